--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -28,6 +28,7 @@
   std::stringstream text;
   text << in.rdbuf();
   World world;
+  world.trace_as(GetParam());
   for (const std::string& what : world.run(text.str())) ADD_FAILURE() << what;
 }
 
--- a/tests/world.h
+++ b/tests/world.h
@@ -38,6 +38,7 @@
 #include <vector>
 
 #include "coordination/controller.h"
+#include "scenario_trace.h"
 #include "users.h"
 
 namespace saddleslip::testing {
@@ -56,6 +57,8 @@
  public:
   // Runs a scenario's text; returns what went wrong, line by line (empty: all as expected).
   std::vector<std::string> run(const std::string& text);
+  // Logs what is played under this name, if the environment asks for it.
+  void trace_as(const std::string& scenario) { trace_.open(scenario); }
 
  private:
   struct Key {
@@ -133,12 +136,18 @@
   };
 
   double t_ = 0;
+  ScenarioTrace trace_;
+  void trace_commit(std::size_t node, const protocol::Transaction& txn,
+                    const protocol::StateClient::Committed& done);
+  void trace_order(std::size_t node, const coordination::Order& order);
   Time now() const;
 
   // the stand-ins
   void write(const std::string& key, const Json& value, std::uint64_t lease,
              std::uint64_t revision);
   protocol::StateClient::Committed commit(std::size_t node, const protocol::Transaction& txn);
+  protocol::StateClient::Committed commit_untraced(std::size_t node,
+                                                   const protocol::Transaction& txn);
   void check_limits(std::size_t node, const protocol::Transaction& txn);
   void check_format(const protocol::Transaction& txn);
   bool is_version_before(std::size_t node) const;
--- a/tests/world_checks.cpp
+++ b/tests/world_checks.cpp
@@ -17,6 +17,7 @@
 
 void World::check_start(const Worker& w, const TaskId& task) {
   ++starts_;
+  trace_.write(t_, "start", w.id, task.job.get(), task.no);
   const auto j = jobs_.find(task.job);
   if (j == jobs_.end()) return broken("invented: a task of an unknown job starts");
   ++j->second.starts;
--- a/tests/world_controllers.cpp
+++ b/tests/world_controllers.cpp
@@ -1,6 +1,7 @@
 // Plays the loops of the controllers' processes in steps of simulated time.
 #include <algorithm>
 
+#include "protocol/id_lists.h"
 #include "world.h"
 #include "world_internal.h"
 
@@ -169,6 +170,12 @@
   }
 }
 
+void World::trace_order(std::size_t node, const coordination::Order& order) {
+  if (!trace_.is_open()) return;
+  trace_.write(t_, "order", node_name(node), order.machine.get(),
+               protocol::orders(order.token, order.session, order.commands));
+}
+
 void World::round(std::size_t n) {
   NodeSim& node = nodes_[n];
   auto& c = *node.controller;
@@ -176,6 +183,7 @@
   node.next_round = t_ + node.settings.tuning.round_period.count();
   const auto send = [&](const std::vector<coordination::Order>& orders) {
     for (const auto& o : orders) {
+      trace_order(n, o);
       for (const Command& command : o.commands) {
         if (command.op == Command::Op::kRun) check_command(n, command.task);
       }
@@ -198,6 +206,8 @@
     c.follow(now());
     auto routed = c.route(now());
     for (auto& [member, offers] : routed) {
+      if (trace_.is_open())
+        trace_.write(t_, "offers", node_name(n), member.get(), to_json(offers).dump());
       for (std::size_t m = 0; m < nodes_.size(); ++m) {
         if (node_name(m) != member.get() || !nodes_[m].up ||
             (m != n && cut(node_name(n), node_name(m))))
@@ -263,6 +273,7 @@
   if (cloud_down_) return;
   if (!actions.release.empty()) {
     for (const auto& id : actions.release) {
+      trace_.write(t_, "release", node_name(n), id.get());
       workers_.erase(id.get());
       ++releases_;
     }
@@ -273,6 +284,7 @@
     const std::string hire = node_name(n) + "-" + std::to_string(c.self().life.get()) + "-" +
                              std::to_string(++node.hires);
     if (hires_.contains(hire)) broken("a rental's name is used twice: " + hire);
+    trace_.write(t_, "rent", hire, r.kind.type, r.kind.zone, r.kind.spot, r.count);
     auto& got = hires_[hire];
     const bool offered = !r.kind.spot || spot_offered_;
     for (int i = 0; offered && i < r.count && capacity_[r.kind.type] > 0; ++i) {
@@ -307,6 +319,13 @@
       if (!takes_word(n, m)) continue;
       const auto status = c.status(base::MemberId(node_name(m)), now());
       const auto said = nodes_[m].controller->heard_status(status, now());
+      if (trace_.is_open()) {
+        trace_.write_digest(
+            t_, std::string("status ").append(node_name(n)).append(" ").append(node_name(m)),
+            to_json(status, now()).dump() + protocol::ids_to_json(said.gone).dump() +
+                protocol::ids_to_json(said.close).dump() +
+                protocol::ids_to_json(said.drain).dump());
+      }
       c.status_taken(base::MemberId(node_name(m)), said.again ? 0 : status.upto);
       if (said.again) node.next_tell = t_;
       c.sibling_reached(base::MemberId(node_name(m)), now());
--- a/tests/world_state.cpp
+++ b/tests/world_state.cpp
@@ -1,5 +1,6 @@
 // The stand-in for the state service.
 #include <algorithm>
+#include <sstream>
 
 #include "world.h"
 #include "world_internal.h"
@@ -86,7 +87,27 @@
   }
 }
 
+void World::trace_commit(std::size_t node, const protocol::Transaction& txn,
+                         const StateClient::Committed& done) {
+  if (!trace_.is_open()) return;
+  std::ostringstream out;
+  out << "commit " << node_name(node) << " outcome " << static_cast<int>(done.outcome)
+      << " revision " << done.revision.get();
+  for (const auto& [key, version] : txn.guards) out << ' ' << key << '@' << version.get();
+  for (const auto& w : txn.writes) {
+    out << ' ' << w.key << '=' << (w.value ? w.value->dump() : "removed");
+    if (w.lease) out << '~' << w.lease->get();
+  }
+  trace_.write(t_, out.str());
+}
+
 StateClient::Committed World::commit(std::size_t node, const protocol::Transaction& txn) {
+  const StateClient::Committed done = commit_untraced(node, txn);
+  trace_commit(node, txn, done);
+  return done;
+}
+
+StateClient::Committed World::commit_untraced(std::size_t node, const protocol::Transaction& txn) {
   check_limits(node, txn);
   check_format(txn);
   StateClient::Committed c;
--- a/tests/world_workers.cpp
+++ b/tests/world_workers.cpp
@@ -108,6 +108,7 @@
   const auto rep = report_of(w);
   if (w.copies_after >= 0) late_reports_.push_back({t_ + w.copies_after, rep});
   const auto reply = nodes_[n].controller->hello(rep, now());
+  trace_.write(t_, "report", w.id, node_name(n), reply.status, reply.body);
   nodes_[n].rung = true;
   if (w.deaf) {
     next();
