--- a/bench/versions/records_tool.cpp
+++ b/bench/versions/records_tool.cpp
@@ -86,15 +86,16 @@
   print(protocol::final_key(base::JobId("run-000004")), final_state(protocol::JobStatus::kDone));
   print(protocol::final_key(base::JobId("run-000005")),
         final_state(protocol::JobStatus::kCancelled));
-  const protocol::Life life{base::MemberId("stall-1"), base::Incarnation(42)};
-  print(protocol::member_key(life.member), to_json(protocol::Member{life, true}));
-  print(protocol::kLeadKey, to_json(life));
+  const protocol::ControllerIncarnation incarnation{base::MemberId("stall-1"),
+                                                    base::Incarnation(42)};
+  print(protocol::member_key(incarnation.member), to_json(protocol::Member{incarnation, true}));
+  print(protocol::kLeadKey, to_json(incarnation));
   protocol::View view;
   view.epoch = base::Epoch(9);
-  view.members = {life, {base::MemberId("stall-2"), base::Incarnation(43)}};
+  view.members = {incarnation, {base::MemberId("stall-2"), base::Incarnation(43)}};
   view.pins[base::MachineId("i-000231")] = base::MemberId("stall-2");
   print(protocol::kViewKey, to_json(view));
-  print(protocol::claim_key(base::MachineId("i-000233")), to_json(life));
+  print(protocol::claim_key(base::MachineId("i-000233")), to_json(incarnation));
   print(protocol::kFleetKey, to_json(std::vector<protocol::Booting>{{base::MachineId("i-000240"),
                                                                      "g8", "a", true, kTimeOfDay}},
                                      1024));
@@ -105,7 +106,7 @@
   type.zones = {"a", "b"};
   print(protocol::kCatalogueKey, to_json(std::vector{type}));
   protocol::MemberStatus status;
-  status.from = life;
+  status.from = incarnation;
   status.has_state = true;
   status.upto = 3;
   protocol::MachineRoom room;
@@ -120,7 +121,7 @@
   status.contact = protocol::WorkerContact::kLost;
   print("message/status", to_json(status, base::Time{}));
   protocol::Offers offers;
-  offers.from = life;
+  offers.from = incarnation;
   offers.epoch = view.epoch;
   offers.offers = {{few.id, {{0, 2}}}};
   print("message/offers", to_json(offers));
@@ -177,9 +178,10 @@
   }
   const auto& view = *ledger.view();
   std::cout << "view " << view.epoch.get() << ' ' << view.members.size() << ' ' << view.pins.size()
-            << " leader " << ledger.leader()->life.get() << " members " << ledger.members().size()
-            << " claims " << ledger.claims().size() << " booting " << ledger.booting().size() << ' '
-            << ledger.booting()[0].type << " types " << ledger.catalogue().size() << '\n';
+            << " leader " << ledger.leader()->incarnation.get() << " members "
+            << ledger.members().size() << " claims " << ledger.claims().size() << " booting "
+            << ledger.booting().size() << ' ' << ledger.booting()[0].type << " types "
+            << ledger.catalogue().size() << '\n';
 }
 
 }  // namespace
--- a/src/bookkeeping/ledger.cpp
+++ b/src/bookkeeping/ledger.cpp
@@ -64,8 +64,8 @@
     }
   } else if (key.starts_with(protocol::kClaims)) {
     const MachineId machine(key.substr(protocol::kClaims.size()));
-    if (const auto life = protocol::parse_life(item.value)) {
-      claims_[machine] = *life;
+    if (const auto incarnation = protocol::parse_incarnation(item.value)) {
+      claims_[machine] = *incarnation;
     } else {
       claims_.erase(machine);
     }
@@ -74,7 +74,7 @@
   } else if (key == protocol::kFormatKey) {
     format_ = item.value.is_number_unsigned() ? item.value.get<std::uint64_t>() : 1;
   } else if (key == protocol::kLeadKey) {
-    leader_ = protocol::parse_life(item.value);
+    leader_ = protocol::parse_incarnation(item.value);
   } else if (key == protocol::kCatalogueKey) {
     if (auto c = protocol::parse_catalogue(item.value)) catalogue_ = std::move(*c);
   } else if (key == protocol::kFleetKey) {
--- a/src/bookkeeping/ledger.h
+++ b/src/bookkeeping/ledger.h
@@ -26,12 +26,12 @@
 using base::Time;
 using base::Version;
 using protocol::ChunkRecord;
+using protocol::ControllerIncarnation;
 using protocol::FinalState;
 using protocol::Held;
 using protocol::Item;
 using protocol::JobRecord;
 using protocol::JobStatus;
-using protocol::Life;
 using protocol::MachineType;
 using protocol::Resources;
 using protocol::View;
@@ -135,9 +135,9 @@
   Version version(const std::string& key) const;
 
   const std::optional<View>& view() const { return view_; }
-  const std::optional<Life>& leader() const { return leader_; }
+  const std::optional<ControllerIncarnation>& leader() const { return leader_; }
   const std::map<MemberId, protocol::Member>& members() const { return members_; }
-  const std::map<MachineId, Life>& claims() const { return claims_; }
+  const std::map<MachineId, ControllerIncarnation>& claims() const { return claims_; }
   const std::vector<MachineType>& catalogue() const { return catalogue_; }
   const MachineType* type(const std::string& name) const;
   // What all controllers read, as is on record.
@@ -188,10 +188,10 @@
       need_lists_;  // by key, until their job has taken them in
   std::uint64_t jobs_made_ready_ = 0;
   std::optional<View> view_;
-  std::optional<Life> leader_;
+  std::optional<ControllerIncarnation> leader_;
   std::uint64_t format_ = 1;
   std::map<MemberId, protocol::Member> members_;
-  std::map<MachineId, Life> claims_;
+  std::map<MachineId, ControllerIncarnation> claims_;
   std::vector<MachineType> catalogue_;
   std::vector<protocol::Booting> booting_;
   Revision revision_;
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -25,16 +25,16 @@
 
 // --- membership
 
-void Controller::begin_life(Life life, Time now) {
-  self_ = std::move(life);
-  alive_ = true;
-  alive_since_ = now;
+void Controller::begin_incarnation(ControllerIncarnation incarnation, Time now) {
+  self_ = std::move(incarnation);
+  has_incarnation_ = true;
+  incarnation_since_ = now;
   authority_until_ = Time{};
   lease_until_ = Time{};
 }
 
-void Controller::end_life() {
-  alive_ = false;
+void Controller::end_incarnation() {
+  has_incarnation_ = false;
   authority_until_ = Time{};
   lease_until_ = Time{};
 }
@@ -56,17 +56,17 @@
 }
 
 bool Controller::entitled(Time now) const {
-  return alive_ && now < authority_until_ && ledger_.view() && followed_view_.get() != 0 &&
-         authority_view_ == followed_view_ &&
+  return has_incarnation_ && now < authority_until_ && ledger_.view() &&
+         followed_view_.get() != 0 && authority_view_ == followed_view_ &&
          followed_view_ == ledger_.version(protocol::kViewKey) &&
          has_member(*ledger_.view(), self_);
 }
 
 bool Controller::leads(Time now) const {
-  return alive_ && has_lease(now) && ledger_.leader() && *ledger_.leader() == self_;
+  return has_incarnation_ && has_lease(now) && ledger_.leader() && *ledger_.leader() == self_;
 }
 
-const Life* Controller::owner(const MachineId& machine) const {
+const ControllerIncarnation* Controller::owner(const MachineId& machine) const {
   const auto& view = ledger_.view();
   if (!view || view->members.empty()) return nullptr;
   const Version version = ledger_.version(protocol::kViewKey);
@@ -82,7 +82,7 @@
 }
 
 bool Controller::owns(const MachineId& machine) const {
-  const Life* of = alive_ ? owner(machine) : nullptr;
+  const ControllerIncarnation* of = has_incarnation_ ? owner(machine) : nullptr;
   return of && *of == self_;
 }
 
@@ -141,8 +141,9 @@
   // Shares handed to members that are gone must find a new home at once.
   offered_.clear();
   std::string names;
-  for (const Life& m : ledger_.view()->members) {
-    names += (names.empty() ? "" : ", ") + m.member.get() + "#" + std::to_string(m.life.get());
+  for (const ControllerIncarnation& m : ledger_.view()->members) {
+    names +=
+        (names.empty() ? "" : ", ") + m.member.get() + "#" + std::to_string(m.incarnation.get());
   }
   spdlog::info("view {} of [{}], {}", ledger_.view()->epoch.get(), names,
                has_member(*ledger_.view(), self_) ? "a member" : "not a member");
@@ -159,10 +160,10 @@
 }
 
 std::optional<Transaction> Controller::tend_view(Time now, base::LeaseId lease) {
-  if (!alive_ || !has_lease(now)) return {};
+  if (!has_incarnation_ || !has_lease(now)) return {};
   const auto& members = ledger_.members();
   const auto me = members.find(self_.member);
-  if (me == members.end() || me->second.life != self_) {
+  if (me == members.end() || me->second.incarnation != self_) {
     // Lost to a write of an earlier life, carried out late, and to the end of that life's lease: without
     // its key this life would stay out of every view for good.
     return member_record(lease, false);
@@ -178,14 +179,15 @@
   }
   Transaction txn;
   if (me->second.reaches != (reached > 0) &&
-      (reached > 0 || base::between(alive_since_, now) > kReachable)) {
+      (reached > 0 || base::between(incarnation_since_, now) > kReachable)) {
     return member_record(lease, reached > 0);
   }
   // A process that came back takes the place of its earlier life at once, leader or not: who owns
   // what stays the same, and workers' leases run on while it waits.
   if (const auto& view = ledger_.view(); view && !has_member(*view, self_)) {
-    const auto old = std::find_if(view->members.begin(), view->members.end(),
-                                  [&](const Life& m) { return m.member == self_.member; });
+    const auto old =
+        std::find_if(view->members.begin(), view->members.end(),
+                     [&](const ControllerIncarnation& m) { return m.member == self_.member; });
     if (old != view->members.end()) {
       View next = *view;
       next.epoch = Epoch(next.epoch.get() + 1);
@@ -200,8 +202,8 @@
   txn.guards[protocol::kLeadKey] = ledger_.version(protocol::kLeadKey);
   const auto& leader = ledger_.leader();
   // A leader whose member has begun another life is no more.
-  const auto lives = leader ? members.find(leader->member) : members.end();
-  const bool ended = leader && lives != members.end() && lives->second.life != *leader;
+  const auto present = leader ? members.find(leader->member) : members.end();
+  const bool ended = leader && present != members.end() && present->second.incarnation != *leader;
   if (!leader || ended) {
     // A node that reaches nobody while others reach each other is the one that is cut off: it must
     // not lead. Where nobody reaches anybody, any leader is better than none.
@@ -213,7 +215,7 @@
   }
   if (*leader != self_) return {};
   if (others >= 2 && reached == 0 && others_reach &&
-      base::between(std::max(led_since_, alive_since_), now) > kReachable) {
+      base::between(std::max(led_since_, incarnation_since_), now) > kReachable) {
     spdlog::warn("no other member can be reached: giving up the lead");
     txn.writes.push_back({protocol::kLeadKey, {}, {}});
     return txn;
@@ -239,7 +241,7 @@
     txn.guards[protocol::kViewKey] = ledger_.version(protocol::kViewKey);
     txn.writes.push_back({protocol::kViewKey, to_json(*next), {}});
   }
-  for (const auto& [machine, life] : ledger_.claims()) {
+  for (const auto& [machine, incarnation] : ledger_.claims()) {
     if (txn.writes.size() + 1 >= settings_.txn_ops) break;
     const std::string key = protocol::claim_key(machine);
     txn.guards[key] = ledger_.version(key);
@@ -293,7 +295,7 @@
   if (!ledger_.view() || ledger_.view()->members.empty()) {
     return {503, protocol::error_body("no view yet")};
   }
-  const Life* of = owner(report.machine);
+  const ControllerIncarnation* of = owner(report.machine);
   if (of->member != self_.member) {
     remember_bounced(report.machine, *of, now);
     return {421, protocol::redirect(of->member)};
@@ -740,7 +742,7 @@
     out.back().second.push_back(&m.room);
   }
   if (!ledger_.view()) return out;
-  for (const Life& member : ledger_.view()->members) {
+  for (const ControllerIncarnation& member : ledger_.view()->members) {
     const auto s = siblings_.find(member.member);
     if (member == self_ || s == siblings_.end() || s->second.from != member ||
         base::between(s->second.heard, now) > remembered) {
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -99,8 +99,8 @@
 
   // --- membership
   // A lease was taken: a new life. Until the view names it, nothing may be done.
-  void begin_life(Life life, Time now);
-  const Life& self() const { return self_; }
+  void begin_incarnation(ControllerIncarnation incarnation, Time now);
+  const ControllerIncarnation& self() const { return self_; }
   // The lease of this life was taken by a call sent at `sent`.
   void lease_taken(Time sent);
   // The lease was renewed by a call sent at `sent`, and the ledger was proved current after that: it
@@ -108,7 +108,7 @@
   // of before that proof: a copy that was read anew meanwhile was not proved current.
   void renewed(Time sent, std::uint64_t copy);
   std::uint64_t copy_number() const { return copy_; }
-  void end_life();
+  void end_incarnation();
   // The ledger was read anew, page by page: parts of it are older than what was proved before, so that
   // nothing may be commanded until a renewal has proved it current again.
   void ledger_replaced() {
@@ -189,7 +189,7 @@
 
  private:
   struct Sibling {
-    Life from;
+    ControllerIncarnation from;
     bool has_state = false;
     std::uint64_t upto = 0;
     std::map<MachineId, MachineRoom> rooms;
@@ -209,7 +209,7 @@
   std::optional<Transaction> tend_format() const;
   Time ttl_after(Time sent) const;
   // As the view says. Asked for every machine in every round, and the same until the view changes.
-  const Life* owner(const MachineId& machine) const;
+  const ControllerIncarnation* owner(const MachineId& machine) const;
   bool owns(const MachineId& machine) const;
   // Does it report, and hear what it is answered?
   bool fresh(const Machine& m, Time now) const;
@@ -223,7 +223,7 @@
   std::vector<MachineId> asked_back() const;
   std::vector<MachineId> knocked(Time now) const;
   // A machine of that owner reported here and was sent there.
-  void remember_bounced(const MachineId& machine, const Life& owner, Time now);
+  void remember_bounced(const MachineId& machine, const ControllerIncarnation& owner, Time now);
   // Machines that come back again and again: they reach this node, and not their owner.
   std::vector<MachineId> claims(Time now);
   // Notices that this process stood still, its clock running on.
@@ -240,12 +240,12 @@
   };
   MachineCensus count_overdue(Time now) const;
   bool is_overdue(const Machine& m, Time now) const;
-  protocol::WorkerContact contact_of(const Life& member, Time now) const;
-  std::vector<MachineId> unheard_of(const Life& member, Time now) const;
+  protocol::WorkerContact contact_of(const ControllerIncarnation& member, Time now) const;
+  std::vector<MachineId> unheard_of(const ControllerIncarnation& member, Time now) const;
   // Adds the machines of members that have lost their workers. False: there are none.
-  bool hand_over_unheard(Time now, std::map<MachineId, Life>& to) const;
+  bool hand_over_unheard(Time now, std::map<MachineId, ControllerIncarnation>& to) const;
   // All members' claims that the leader has heard of, if it is time for a view that follows them.
-  std::map<MachineId, Life> heard_claims(Time now);
+  std::map<MachineId, ControllerIncarnation> heard_claims(Time now);
   std::string zone_of(const MachineId& machine) const;
   static const protocol::ReportedTask* reported(const Machine& m, const TaskId& task,
                                                 const protocol::Held& held);
@@ -364,9 +364,9 @@
   const base::Settings& settings_;
   Ledger ledger_;
   JobPriorities priorities_;
-  Life self_;
-  bool alive_ = false;
-  Time alive_since_{};
+  ControllerIncarnation self_;
+  bool has_incarnation_ = false;
+  Time incarnation_since_{};
   Time lease_until_{};
   Time authority_until_{};
   Version authority_view_;
@@ -383,7 +383,7 @@
   mutable Version owners_view_;
   std::map<MachineId, Machine> machines_;
   struct Bounced {
-    Life owner;  // to whom it was sent
+    ControllerIncarnation owner;  // to whom it was sent
     Time first{}, last{};
     int times = 0;
   };
--- a/src/coordination/handover.cpp
+++ b/src/coordination/handover.cpp
@@ -21,7 +21,8 @@
 
 }  // namespace
 
-void Controller::remember_bounced(const MachineId& machine, const Life& owner, Time now) {
+void Controller::remember_bounced(const MachineId& machine, const ControllerIncarnation& owner,
+                                  Time now) {
   Bounced& b = bounced_[machine];
   if (b.owner != owner || base::between(b.last, now) > kBounceMemory) b = {owner, now, now, 0};
   b.last = now;
@@ -46,7 +47,7 @@
     if (pinned != pinned_since_.end() && base::between(pinned->second.second, now) < kPinHeld) {
       continue;
     }
-    const Life* of = owner(id);
+    const ControllerIncarnation* of = owner(id);
     // Sent to another owner, or an earlier life of it: that tells nothing of this one.
     if (!of || b.owner != *of) continue;
     const auto s = of ? siblings_.find(of->member) : siblings_.end();
@@ -140,7 +141,8 @@
   return base::between(heard, now) > settings_.report_every * kLostIntervals;
 }
 
-protocol::WorkerContact Controller::contact_of(const Life& member, Time now) const {
+protocol::WorkerContact Controller::contact_of(const ControllerIncarnation& member,
+                                               Time now) const {
   if (member == self_) return worker_contact(now);
   const auto at = siblings_.find(member.member);
   const bool known = at != siblings_.end() && at->second.from == member &&
@@ -149,7 +151,7 @@
 }
 
 // The machines that this member owns and does not hear.
-std::vector<MachineId> Controller::unheard_of(const Life& member, Time now) const {
+std::vector<MachineId> Controller::unheard_of(const ControllerIncarnation& member, Time now) const {
   std::vector<MachineId> out;
   if (member == self_) {
     for (const auto& [id, m] : machines_) {
@@ -161,7 +163,7 @@
     }
   }
   for (const auto& [id, tasks] : ledger_.held()) {
-    const Life* of = owner(id);
+    const ControllerIncarnation* of = owner(id);
     const bool reports =
         member == self_ ? machines_.contains(id) : siblings_.at(member.member).rooms.contains(id);
     if (of && *of == member && !reports) out.push_back(id);
@@ -169,18 +171,18 @@
   return out;
 }
 
-bool Controller::hand_over_unheard(Time now, std::map<MachineId, Life>& to) const {
+bool Controller::hand_over_unheard(Time now, std::map<MachineId, ControllerIncarnation>& to) const {
   if (!ledger_.view()) return false;
   View hearing;  // the members that may take over
-  std::vector<const Life*> lost;
-  for (const Life& member : ledger_.view()->members) {
+  std::vector<const ControllerIncarnation*> lost;
+  for (const ControllerIncarnation& member : ledger_.view()->members) {
     const auto contact = contact_of(member, now);
     if (contact == protocol::WorkerContact::kGood) hearing.members.push_back(member);
     if (contact == protocol::WorkerContact::kLost) lost.push_back(&member);
   }
   if (hearing.members.empty()) return false;
   bool any = false;
-  for (const Life* member : lost) {
+  for (const ControllerIncarnation* member : lost) {
     for (const MachineId& id : unheard_of(*member, now)) {
       if (gone_.contains(id)) continue;
       any = to.try_emplace(id, *owner_of(hearing, id)).second || any;
@@ -191,13 +193,13 @@
 
 // Each new view fences all that is under way: one that follows claims carries as many as come within
 // a moment, since a node that loses its workers loses all of them.
-std::map<MachineId, Life> Controller::heard_claims(Time now) {
-  std::map<MachineId, Life> all = ledger_.claims();
+std::map<MachineId, ControllerIncarnation> Controller::heard_claims(Time now) {
+  std::map<MachineId, ControllerIncarnation> all = ledger_.claims();
   const bool stored = !all.empty();
   const auto& view = ledger_.view();
-  const auto take = [&](const Life& by, const std::vector<MachineId>& machines) {
+  const auto take = [&](const ControllerIncarnation& by, const std::vector<MachineId>& machines) {
     for (const MachineId& id : machines) {
-      const Life* of = owner(id);
+      const ControllerIncarnation* of = owner(id);
       if (of && *of != by && !gone_.contains(id)) all.try_emplace(id, by);
     }
   };
--- a/src/coordination/record_batch.cpp
+++ b/src/coordination/record_batch.cpp
@@ -145,7 +145,8 @@
   return finished;
 }
 
-Transaction RecordBatch::build(const protocol::Life& self, Version view, double time_of_day) const {
+Transaction RecordBatch::build(const protocol::ControllerIncarnation& self, Version view,
+                               double time_of_day) const {
   Transaction txn;
   txn.guards[protocol::kViewKey] = view;
   const std::set<JobId> finished = finished_jobs();
@@ -178,7 +179,7 @@
 
 // Starts of a team with a limit stand in a row, whoever makes them: its use, as counted from the local
 // copy, misses none that came before this version.
-void RecordBatch::add_rows(Transaction& txn, const protocol::Life& self) const {
+void RecordBatch::add_rows(Transaction& txn, const protocol::ControllerIncarnation& self) const {
   for (const auto& keys : {teams_, serialized_}) {
     for (const std::string& key : keys) {
       txn.guards[key] = ledger_.version(key);
--- a/src/coordination/record_batch.h
+++ b/src/coordination/record_batch.h
@@ -42,7 +42,7 @@
   bool empty() const { return edits_.empty(); }
   // The transaction: holds only under the view of that version. A job whose last end is in the batch
   // leaves with it.
-  protocol::Transaction build(const protocol::Life& self, base::Version view,
+  protocol::Transaction build(const protocol::ControllerIncarnation& self, base::Version view,
                               double time_of_day) const;
 
  private:
@@ -65,7 +65,7 @@
   std::set<base::JobId> finished_jobs() const;
   static void guard_whole_chunk(protocol::Transaction& txn, const bookkeeping::Job& job,
                                 std::uint32_t piece);
-  void add_rows(protocol::Transaction& txn, const protocol::Life& self) const;
+  void add_rows(protocol::Transaction& txn, const protocol::ControllerIncarnation& self) const;
 
   const base::Settings& settings_;
   const bookkeeping::Ledger& ledger_;
--- a/src/coordination/routing.cpp
+++ b/src/coordination/routing.cpp
@@ -167,7 +167,7 @@
   std::vector<const Job*> jobs;
   for (const auto& [id, job] : ledger_.jobs()) {
     if (job.pending() == 0 || !failures_.may_retry(id, now)) continue;
-    const Life* home = home_of(*ledger_.view(), id);
+    const ControllerIncarnation* home = home_of(*ledger_.view(), id);
     const bool at_home = home && *home == self_;
     const bool is_new = base::between(job.seen, now) < kFirstOffers;
     if (accepted_.contains(id) ? at_home || is_new : at_home && !is_new) jobs.push_back(&job);
--- a/src/coordination/upkeep.cpp
+++ b/src/coordination/upkeep.cpp
@@ -172,10 +172,10 @@
 }
 
 std::optional<Transaction> Controller::finish_one(Time now) {
-  if (!alive_ || !ledger_.view()) return {};
+  if (!has_incarnation_ || !ledger_.view()) return {};
   for (const auto& [id, job] : ledger_.jobs()) {
     if (!may_finish(job)) continue;
-    const Life* home = home_of(*ledger_.view(), id);
+    const ControllerIncarnation* home = home_of(*ledger_.view(), id);
     if (!home || *home != self_ || !ledger_.is_settled(job)) continue;
     return finish(job, settings_.txn_ops, priorities_.time_of_day(now));
   }
@@ -185,7 +185,7 @@
 std::optional<Transaction> Controller::divide_one(Time now) {
   if (!entitled(now) || ledger_.format() < protocol::kFormatWithPieces) return {};
   for (const auto& [id, job] : ledger_.jobs()) {
-    const Life* home = home_of(*ledger_.view(), id);
+    const ControllerIncarnation* home = home_of(*ledger_.view(), id);
     if (!home || *home != self_ || job.cancelled_on_record()) continue;
     if (auto txn = divide_chunks(job, followed_view_, settings_)) return txn;
   }
@@ -193,10 +193,10 @@
 }
 
 std::optional<Transaction> Controller::sweep_orphans() {
-  if (!alive_ || !ledger_.view() || ledger_.orphans().empty()) return {};
+  if (!has_incarnation_ || !ledger_.view() || ledger_.orphans().empty()) return {};
   Transaction txn;
   for (const auto& [key, version] : ledger_.orphans()) {
-    const Life* home = home_of(*ledger_.view(), JobId(key));
+    const ControllerIncarnation* home = home_of(*ledger_.view(), JobId(key));
     if (!home || *home != self_) continue;
     if (txn.writes.size() >= settings_.txn_ops) break;
     txn.guards[key] = version;
--- a/src/coordination/view.cpp
+++ b/src/coordination/view.cpp
@@ -26,10 +26,10 @@
   return h;
 }
 
-const Life* highest(const View& view, const std::string& name) {
-  const Life* best = nullptr;
+const ControllerIncarnation* highest(const View& view, const std::string& name) {
+  const ControllerIncarnation* best = nullptr;
   std::uint64_t most = 0;
-  for (const Life& m : view.members) {
+  for (const ControllerIncarnation& m : view.members) {
     const std::uint64_t h = hash(m.member.get(), name);
     if (!best || h > most) {
       best = &m;
@@ -43,13 +43,13 @@
 
 }  // namespace
 
-const Life* home_of(const View& view, const JobId& job) {
+const ControllerIncarnation* home_of(const View& view, const JobId& job) {
   return highest(view, job.get());
 }
 
-const Life* owner_of(const View& view, const MachineId& machine) {
+const ControllerIncarnation* owner_of(const View& view, const MachineId& machine) {
   if (const auto pin = view.pins.find(machine); pin != view.pins.end()) {
-    for (const Life& m : view.members) {
+    for (const ControllerIncarnation& m : view.members) {
       if (m.member == pin->second) return &m;
     }
   }
@@ -59,16 +59,16 @@
 std::optional<View> wanted_view(const std::map<MemberId, protocol::Member>& members,
                                 const std::optional<View>& present,
                                 const std::set<MemberId>& shunned,
-                                const std::map<MachineId, Life>& claims,
+                                const std::map<MachineId, ControllerIncarnation>& claims,
                                 const std::function<bool(const MachineId&)>& gone,
                                 std::size_t most_bytes) {
   View next;
   for (const auto& [id, member] : members) {
-    if (!shunned.contains(id)) next.members.push_back(member.life);
+    if (!shunned.contains(id)) next.members.push_back(member.incarnation);
   }
   const auto is_member = [&next](const MemberId& id) {
     return std::any_of(next.members.begin(), next.members.end(),
-                       [&id](const Life& m) { return m.member == id; });
+                       [&id](const ControllerIncarnation& m) { return m.member == id; });
   };
   std::size_t bytes = kForMembers * (next.members.size() + 1);
   const auto pin = [&](const MachineId& machine, const MemberId& member) {
@@ -76,8 +76,8 @@
     if (bytes + more > most_bytes || gone(machine)) return;
     if (next.pins.emplace(machine, member).second) bytes += more;
   };
-  for (const auto& [machine, life] : claims) {
-    if (has_member(next, life)) pin(machine, life.member);
+  for (const auto& [machine, incarnation] : claims) {
+    if (has_member(next, incarnation)) pin(machine, incarnation.member);
   }
   if (present) {
     for (const auto& [machine, member] : present->pins) {
@@ -96,8 +96,8 @@
   return next;
 }
 
-bool has_member(const View& view, const Life& life) {
-  return std::find(view.members.begin(), view.members.end(), life) != view.members.end();
+bool has_member(const View& view, const ControllerIncarnation& incarnation) {
+  return std::find(view.members.begin(), view.members.end(), incarnation) != view.members.end();
 }
 
 }  // namespace saddleslip::coordination
--- a/src/coordination/view.h
+++ b/src/coordination/view.h
@@ -15,13 +15,13 @@
 using base::MachineId;
 using base::MemberId;
 using base::Token;
-using protocol::Life;
+using protocol::ControllerIncarnation;
 using protocol::View;
 
 // Rendezvous hash: a change of the members moves only the parts of those who came or went.
-const Life* home_of(const View& view, const JobId& job);
+const ControllerIncarnation* home_of(const View& view, const JobId& job);
 // The same for a machine, unless it is pinned to a member that it can reach.
-const Life* owner_of(const View& view, const MachineId& machine);
+const ControllerIncarnation* owner_of(const View& view, const MachineId& machine);
 
 // The first token of an epoch. Above it there is room for a token for each direct order.
 inline constexpr int kEpochBits = 24;
@@ -34,10 +34,10 @@
 std::optional<View> wanted_view(const std::map<MemberId, protocol::Member>& members,
                                 const std::optional<View>& present,
                                 const std::set<MemberId>& shunned,
-                                const std::map<MachineId, Life>& claims,
+                                const std::map<MachineId, ControllerIncarnation>& claims,
                                 const std::function<bool(const MachineId&)>& gone,
                                 std::size_t most_bytes);
 
-bool has_member(const View& view, const Life& life);
+bool has_member(const View& view, const ControllerIncarnation& incarnation);
 
 }  // namespace saddleslip::coordination
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -299,14 +299,15 @@
         beat_bell_.wait(kShortPause * 2.0);
         continue;
       }
-      const protocol::Life life{settings_.member, base::Incarnation(lease->get())};
+      const protocol::ControllerIncarnation incarnation{settings_.member,
+                                                        base::Incarnation(lease->get())};
       const Transaction txn = locked([&](coordination::Controller& c) {
-        c.begin_life(life, now());
+        c.begin_incarnation(incarnation, now());
         return c.member_record(*lease, false);
       });
       const auto done = state_.commit(txn, kStateCall);
       if (done.outcome != Outcome::kDone) {
-        locked([](auto& c) { c.end_life(); });
+        locked([](auto& c) { c.end_incarnation(); });
         state_.delete_lease(*lease, timeout);
         beat_bell_.wait(kShortPause * 2.0);
         continue;
@@ -315,7 +316,8 @@
       lease_ = lease;
       controller_.ledger().apply(txn, done.revision, now());
       controller_.lease_taken(sent);
-      spdlog::info("member {} begins life {}", life.member.get(), life.life.get());
+      spdlog::info("member {} begins life {}", incarnation.member.get(),
+                   incarnation.incarnation.get());
       for (auto& s : siblings_) s->bell.ring();
     }
     locked([](auto& c) { c.tell_time(now(), base::wall_seconds()); });
@@ -325,7 +327,7 @@
       const std::lock_guard lock(mutex_);
       spdlog::warn("the member's lease is gone: nothing is done until a view names a new life");
       lease_.reset();
-      controller_.end_life();
+      controller_.end_incarnation();
       continue;
     }
     if (renewed == StateClient::Renewed::kYes) {
--- a/src/node_fleet.cpp
+++ b/src/node_fleet.cpp
@@ -89,13 +89,15 @@
 }
 
 std::deque<Node::Rental> Node::rentals(const coordination::FleetPlan& plan) {
-  const protocol::Life life = locked([](Controller& c) { return c.self(); });
+  const protocol::ControllerIncarnation incarnation =
+      locked([](Controller& c) { return c.self(); });
   std::deque<Rental> out;
   if (open_rental_) out.push_back(*open_rental_);
   for (const auto& r : plan.rent) {
     for (int left = r.count; left > 0; left -= protocol::kMostRented) {
       // Never a name that any node or life has used: lives are numbered by the store.
-      out.push_back({"r-" + life.member.get() + "-" + std::to_string(life.life.get()) + "-" +
+      out.push_back({"r-" + incarnation.member.get() + "-" +
+                         std::to_string(incarnation.incarnation.get()) + "-" +
                          std::to_string(++hires_),
                      r.kind, std::min(left, protocol::kMostRented)});
     }
--- a/src/protocol/records.cpp
+++ b/src/protocol/records.cpp
@@ -256,28 +256,30 @@
   return state;
 }
 
-Json to_json(const Life& life) {
-  return Json::array({life.member.get(), life.life.get()});
+Json to_json(const ControllerIncarnation& incarnation) {
+  return Json::array({incarnation.member.get(), incarnation.incarnation.get()});
 }
 
-std::optional<Life> parse_life(const Json& value) {
+std::optional<ControllerIncarnation> parse_incarnation(const Json& value) {
   if (!value.is_array() || value.size() != 2 || !value[0].is_string() ||
       !value[1].is_number_unsigned()) {
     return {};
   }
-  return Life{MemberId(value[0].get<std::string>()), Incarnation(value[1].get<std::uint64_t>())};
+  return ControllerIncarnation{MemberId(value[0].get<std::string>()),
+                               Incarnation(value[1].get<std::uint64_t>())};
 }
 
 Json to_json(const Member& member) {
-  return Json{
-      {"life", to_json(member.life)}, {"reaches", member.reaches}, {"format", member.format}};
+  return Json{{"life", to_json(member.incarnation)},
+              {"reaches", member.reaches},
+              {"format", member.format}};
 }
 
 std::optional<Member> parse_member(const Json& value) {
   if (!value.is_object() || !value.contains("life")) return {};
-  const auto life = parse_life(value.at("life"));
-  if (!life) return {};
-  Member member{*life, value.contains("reaches") && value.at("reaches") == true};
+  const auto incarnation = parse_incarnation(value.at("life"));
+  if (!incarnation) return {};
+  Member member{*incarnation, value.contains("reaches") && value.at("reaches") == true};
   const auto format = value.find("format");
   if (format != value.end() && format->is_number_unsigned())
     member.format = format->get<std::uint64_t>();
@@ -286,7 +288,7 @@
 
 Json to_json(const View& view) {
   Json members = Json::array();
-  for (const Life& m : view.members) members.push_back(to_json(m));
+  for (const ControllerIncarnation& m : view.members) members.push_back(to_json(m));
   Json j = {{"epoch", view.epoch.get()}, {"members", std::move(members)}};
   // By member: a node that loses its workers hands over hundreds of machines at once.
   for (const auto& [machine, member] : view.pins) j["pins"][member.get()].push_back(machine.get());
@@ -301,9 +303,9 @@
   View view;
   view.epoch = Epoch(value.at("epoch").get<std::uint64_t>());
   for (const Json& m : value.at("members")) {
-    const auto life = parse_life(m);
-    if (!life) return {};
-    view.members.push_back(*life);
+    const auto incarnation = parse_incarnation(m);
+    if (!incarnation) return {};
+    view.members.push_back(*incarnation);
   }
   if (const auto pins = value.find("pins"); pins != value.end() && pins->is_object()) {
     for (const auto& [member, machines] : pins->items()) {
@@ -398,7 +400,7 @@
 std::optional<MemberStatus> parse_status(const Json& body, Time now) {
   try {
     MemberStatus s;
-    const auto from = parse_life(body.at("from"));
+    const auto from = parse_incarnation(body.at("from"));
     if (!from) return {};
     s.from = *from;
     s.has_state = body.at("state").get<bool>();
@@ -444,7 +446,7 @@
 std::optional<Offers> parse_offers(const Json& body) {
   try {
     Offers offers;
-    const auto from = parse_life(body.at("from"));
+    const auto from = parse_incarnation(body.at("from"));
     if (!from) return {};
     offers.from = *from;
     offers.epoch = Epoch(body.at("epoch").get<std::uint64_t>());
--- a/src/protocol/records.h
+++ b/src/protocol/records.h
@@ -169,25 +169,25 @@
 Json to_json(const FinalState& state);
 std::optional<FinalState> parse_final(const Json& value);
 
-struct Life {
+struct ControllerIncarnation {
   MemberId member;
-  Incarnation life;
-  auto operator<=>(const Life&) const = default;
+  Incarnation incarnation;
+  auto operator<=>(const ControllerIncarnation&) const = default;
 };
 // A member's own record: its life, and whether it reaches any other member.
 struct Member {
-  Life life;
+  ControllerIncarnation incarnation;
   bool reaches = false;
   std::uint64_t format = 1;  // what it reads
 };
 Json to_json(const Member& member);
 std::optional<Member> parse_member(const Json& value);
-Json to_json(const Life& life);
-std::optional<Life> parse_life(const Json& value);
+Json to_json(const ControllerIncarnation& incarnation);
+std::optional<ControllerIncarnation> parse_incarnation(const Json& value);
 
 struct View {
   Epoch epoch;
-  std::vector<Life> members;
+  std::vector<ControllerIncarnation> members;
   // Machines that can't reach the member that the hash names, and who has them instead.
   std::map<MachineId, MemberId> pins;
   bool operator==(const View&) const = default;
@@ -239,7 +239,7 @@
 // the other side has; 0: all of them. Told in full each time, a part of hundreds of machines cost
 // more than all else that a controller does.
 struct MemberStatus {
-  Life from;
+  ControllerIncarnation from;
   bool has_state = false;  // its lease in the store was renewed lately
   std::uint64_t since = 0, upto = 0;
   std::vector<MachineRoom> machines;
@@ -258,7 +258,7 @@
   std::vector<std::pair<TaskNo, TaskNo>> ranges;  // first, count
 };
 struct Offers {
-  Life from;
+  ControllerIncarnation from;
   Epoch epoch;
   std::vector<Offer> offers;
 };
--- a/tests/authority_test.cpp
+++ b/tests/authority_test.cpp
@@ -12,11 +12,11 @@
             R"({"member":"n0","serve_on":"10.0.0.1:1","peer_listen":"10.0.0.1:2",
                 "endpoints":{"cloud":"10.0.0.1:3","state":"10.0.0.1:4"}})")),
         controller_(settings_) {
-    const Life life{MemberId("n0"), base::Incarnation(7)};
-    controller_.begin_life(life, start_);
+    const ControllerIncarnation incarnation{MemberId("n0"), base::Incarnation(7)};
+    controller_.begin_incarnation(incarnation, start_);
     View view;
     view.epoch = Epoch(1);
-    view.members.push_back(life);
+    view.members.push_back(incarnation);
     controller_.ledger().apply({protocol::kViewKey, to_json(view), Version(3)}, start_);
     controller_.ledger().caught_up(base::Revision(3));
     controller_.follow(start_);
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -114,11 +114,11 @@
 
 // A node that loses its workers hands over all of them: one view carries hundreds, and fits its value.
 TEST(Records, AViewCarriesHundredsOfPins) {
-  const protocol::Life a{MemberId("stall-0"), base::Incarnation(1)},
+  const protocol::ControllerIncarnation a{MemberId("stall-0"), base::Incarnation(1)},
       b{MemberId("stall-1"), base::Incarnation(2)};
   const std::map<MemberId, protocol::Member> members{{a.member, {a, true}}, {b.member, {b, true}}};
   for (const int n : {700, 5000}) {
-    std::map<MachineId, protocol::Life> claims;
+    std::map<MachineId, protocol::ControllerIncarnation> claims;
     for (int i = 0; i < n; ++i) claims[MachineId("i-" + std::to_string(100000 + i))] = b;
     const auto view = coordination::wanted_view(
         members, {}, {}, claims, [](const MachineId&) { return false; }, 16u << 10);
--- a/tests/sibling_test.cpp
+++ b/tests/sibling_test.cpp
@@ -13,9 +13,9 @@
       "endpoints":{"cloud":"10.0.0.1:3","state":"10.0.0.1:4"}})");
 }
 
-MemberStatus status(std::uint64_t life, std::uint64_t since, std::uint64_t upto) {
+MemberStatus status(std::uint64_t incarnation, std::uint64_t since, std::uint64_t upto) {
   MemberStatus s;
-  s.from = {MemberId("n1"), base::Incarnation(life)};
+  s.from = {MemberId("n1"), base::Incarnation(incarnation)};
   s.since = since;
   s.upto = upto;
   return s;
--- a/tests/world_controllers.cpp
+++ b/tests/world_controllers.cpp
@@ -126,12 +126,13 @@
   if (!node.lease) {
     leases_[++next_lease_] = {ttl.count(), t_ + ttl.count()};
     node.lease = base::LeaseId(next_lease_);
-    const protocol::Life life{base::MemberId(node_name(n)), base::Incarnation(next_lease_)};
-    node.controller->begin_life(life, now());
+    const protocol::ControllerIncarnation incarnation{base::MemberId(node_name(n)),
+                                                      base::Incarnation(next_lease_)};
+    node.controller->begin_incarnation(incarnation, now());
     const auto txn = node.controller->member_record(*node.lease, false);
     const auto done = commit(n, txn);
     if (done.outcome != Outcome::kDone) {
-      node.controller->end_life();
+      node.controller->end_incarnation();
       node.lease.reset();
       return;
     }
@@ -140,7 +141,7 @@
   const auto lease = leases_.find(node.lease->get());
   if (lease == leases_.end()) {
     node.lease.reset();
-    node.controller->end_life();
+    node.controller->end_incarnation();
     node.beat_now = true;
     return;
   }
@@ -281,7 +282,7 @@
     node.rung = true;
   }
   for (const auto& r : actions.plan.rent) {
-    const std::string hire = node_name(n) + "-" + std::to_string(c.self().life.get()) + "-" +
+    const std::string hire = node_name(n) + "-" + std::to_string(c.self().incarnation.get()) + "-" +
                              std::to_string(++node.hires);
     if (hires_.contains(hire)) broken("a rental's name is used twice: " + hire);
     trace_.write(t_, "rent", hire, r.kind.type, r.kind.zone, r.kind.spot, r.count);
