--- a/bench/versions/records_tool.cpp
+++ b/bench/versions/records_tool.cpp
@@ -79,9 +79,9 @@
   chunk.next = base::Attempt(7);
   chunk.done.assign(size, false);
   chunk.done[0] = chunk.done[1] = chunk.done[9] = true;
-  chunk.held[size + 2] = {base::MachineId("i-000231"), base::Attempt(5), base::Session(2)};
-  chunk.held[size + 3] = {base::MachineId("i-000232"), base::Attempt(6), base::Session(1)};
-  chunk.held[size + 4] = {base::MachineId("i-000232"), base::Attempt(6), base::Session(1)};
+  chunk.held[size + 2] = {base::MachineId("i-000231"), base::Attempt(5), base::AgentIncarnation(2)};
+  chunk.held[size + 3] = {base::MachineId("i-000232"), base::Attempt(6), base::AgentIncarnation(1)};
+  chunk.held[size + 4] = {base::MachineId("i-000232"), base::Attempt(6), base::AgentIncarnation(1)};
   print(protocol::chunk_key(many.id, 1), to_json(chunk, size));
   print(protocol::final_key(base::JobId("run-000004")), final_state(protocol::JobStatus::kDone));
   print(protocol::final_key(base::JobId("run-000005")),
@@ -151,7 +151,7 @@
       for (const auto& [no, held] : chunk.record.held) {
         std::cout << "held " << id.get() << ' ' << (no - job.chunk_first(1)) << " of record 1 by "
                   << held.machine.get() << " attempt " << held.attempt.get() << " session "
-                  << held.session.get() << " next " << chunk.record.next.get() << '\n';
+                  << held.agent_incarnation.get() << " next " << chunk.record.next.get() << '\n';
       }
     }
   }
--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -32,7 +32,7 @@
 using Incarnation = Strong<struct IncarnationTag, std::uint64_t>;
 using Epoch = Strong<struct EpochTag, std::uint64_t>;
 using Token = Strong<struct TokenTag, std::uint64_t>;
-using Session = Strong<struct SessionTag, std::uint64_t>;
+using AgentIncarnation = Strong<struct AgentIncarnationTag, std::uint64_t>;
 using Sequence = Strong<struct SequenceTag, std::uint64_t>;
 using Attempt = Strong<struct AttemptTag, std::uint64_t>;
 // A key's version in the store; 0: the key does not exist.
--- a/src/bookkeeping/machines.h
+++ b/src/bookkeeping/machines.h
@@ -13,9 +13,9 @@
 
 namespace saddleslip::bookkeeping {
 
+using base::AgentIncarnation;
 using base::Seconds;
 using base::Sequence;
-using base::Session;
 using base::Token;
 using protocol::Report;
 
@@ -28,7 +28,7 @@
   std::uint64_t stamp = 0;    // of the record
   std::uint64_t checked = 0;  // the last stamp of any machine when this one's was looked at
   std::uint32_t held = 0;     // tasks that the record has on it
-  Session session;
+  AgentIncarnation agent_incarnation;
   Sequence sequence;
   std::size_t evicted = 0;
   Resources free;
@@ -75,7 +75,7 @@
   // As other members are told of it, and which telling brought the last change.
   protocol::MachineRoom room;
   std::uint64_t room_changed = 0;
-  std::pair<Session, Sequence> room_report;  // the report that its images are of
+  std::pair<AgentIncarnation, Sequence> room_report;  // the report that its images are of
 
   bool has_image(const std::string& image) const {
     return std::any_of(images.begin(), images.end(),
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -306,7 +306,7 @@
   const auto at = machines_.find(report.machine);
   // A late copy: what came after it has been answered already, and the worker drops this answer.
   if (at == machines_.end() || at->second.last.sequence != report.sequence ||
-      at->second.last.session != report.session) {
+      at->second.last.agent_incarnation != report.agent_incarnation) {
     return {503, protocol::error_body("an old report")};
   }
   Machine& m = at->second;
@@ -328,8 +328,8 @@
 
 void Controller::observe(const Report& report, Time now, bool is_hello) {
   if (gone_.contains(report.machine)) return;
-  const auto dead = dead_session_.find(report.machine);
-  if (dead != dead_session_.end() && report.session <= dead->second) return;
+  const auto ended = ended_incarnations_.find(report.machine);
+  if (ended != ended_incarnations_.end() && report.agent_incarnation <= ended->second) return;
   zones_[report.machine] = report.zone;
   auto [at, is_new] = machines_.try_emplace(report.machine);
   Machine& m = at->second;
@@ -341,14 +341,14 @@
     m.confirm = base_token_;
     m.answered = base::after(followed_at_, settings_.tuning.member_ttl);
     spdlog::info("machine {} ({}, {}{}) reports, session {}, {} tasks", report.machine.get(),
-                 report.type, report.zone, report.spot ? ", spot" : "", report.session.get(),
-                 report.tasks.size());
-  } else if (std::pair(report.session, report.sequence) <=
-             std::pair(m.last.session, m.last.sequence)) {
+                 report.type, report.zone, report.spot ? ", spot" : "",
+                 report.agent_incarnation.get(), report.tasks.size());
+  } else if (std::pair(report.agent_incarnation, report.sequence) <=
+             std::pair(m.last.agent_incarnation, m.last.sequence)) {
     return;
-  } else if (report.session != m.last.session) {
+  } else if (report.agent_incarnation != m.last.agent_incarnation) {
     spdlog::info("machine {} begins session {}: what it ran before is over", report.machine.get(),
-                 report.session.get());
+                 report.agent_incarnation.get());
     m.evict.clear();
     m.ran.clear();
     // A machine that heard nothing for a lease looks like an empty one that is well.
@@ -419,7 +419,8 @@
       // Nor is it started any more: not wanted, or stopped before it began. Without this the latter
       // would be held for ever by a machine that has never heard of it.
       const bool unwanted = job && (job->cancelled() || m.evict.contains(task));
-      if (unwanted && held.session == report.session && !report.tasks.contains(task)) {
+      if (unwanted && held.agent_incarnation == report.agent_incarnation &&
+          !report.tasks.contains(task)) {
         absent_[task] = held.attempt;
       }
     }
@@ -464,7 +465,7 @@
     }
   }
   for (const auto& [task, h] : held) {
-    if (h.session != m.last.session || m.evict.contains(task)) continue;
+    if (h.agent_incarnation != m.last.agent_incarnation || m.evict.contains(task)) continue;
     const Job* job = ledger_.job(task.job);
     if (!job || job->cancelled()) continue;
     const base::Attempt attempt = h.attempt;
@@ -536,8 +537,8 @@
 
 const bookkeeping::Outlook& Controller::look(const Machine& m) const {
   bookkeeping::Outlook& o = m.outlook;
-  const bool same = o.known && o.session == m.last.session && o.sequence == m.last.sequence &&
-                    o.evicted == m.evict.size();
+  const bool same = o.known && o.agent_incarnation == m.last.agent_incarnation &&
+                    o.sequence == m.last.sequence && o.evicted == m.evict.size();
   if (same && o.checked == ledger_.last_stamp()) return o;
   const std::uint64_t stamp = ledger_.stamp(m.last.machine);
   if (same && o.stamp == stamp) {
@@ -549,7 +550,7 @@
   const auto* type = ledger_.type(m.last.type);
   o.known = type != nullptr;
   o.stamp = stamp;
-  o.session = m.last.session;
+  o.agent_incarnation = m.last.agent_incarnation;
   o.sequence = m.last.sequence;
   o.evicted = m.evict.size();
   if (type) o.free = type->size;
@@ -559,7 +560,7 @@
     const Job* job = ledger_.job(task.job);
     if (!job) continue;
     const auto& spec = job->record.spec;
-    if (h.session < m.last.session) {
+    if (h.agent_incarnation < m.last.agent_incarnation) {
       o.over.push_back({task, "worker began a new session", false});
     } else if (const auto* t = reported(m, task, h); t && t->state == protocol::TaskState::kEnded) {
       o.over.push_back(
@@ -603,7 +604,7 @@
   const bool unsure = m.lost_answers > 0 && base::between(m.heard, now) < kDeafRound;
   const bool open = !m.closed && !silent;
   const Time idle = o.held > 0 ? Time{} : m.idle_since;
-  const std::pair report(m.last.session, m.last.sequence);
+  const std::pair report(m.last.agent_incarnation, m.last.sequence);
   const bool is_new = m.room_changed == 0;
   // A report later than any that is well: no reason yet to leave the machine alone, but with its
   // knocks elsewhere a sign that it can't reach this node.
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -22,7 +22,7 @@
 
 namespace saddleslip::coordination {
 
-using base::Session;
+using base::AgentIncarnation;
 using base::TaskId;
 using base::TaskNo;
 using base::Version;
@@ -49,7 +49,7 @@
   MachineId machine;
   std::string address;
   Token token;
-  Session session;
+  AgentIncarnation agent_incarnation;
   std::vector<Command> commands;
 };
 
@@ -397,7 +397,7 @@
   std::map<MachineId, Bounced> bounced_;    // sent to their owners, and back again
   std::optional<Time> claimed_at_;          // since when there are claims that no view follows yet
   std::map<MachineId, Time> owned_since_;   // for machines never heard: the base of lease proofs
-  std::map<MachineId, Session> dead_session_;
+  std::map<MachineId, AgentIncarnation> ended_incarnations_;
   std::map<MachineId, Time> gone_;
   std::map<TaskId, base::Attempt> absent_;  // cancelled, and certainly never to start
   std::map<MachineId, std::string> zones_;
--- a/src/coordination/ends.cpp
+++ b/src/coordination/ends.cpp
@@ -46,8 +46,8 @@
     // The session is over even if the worker's own word for it comes later: old reports of it
     // must not bring its tasks back.
     if (m) {
-      auto& dead = dead_session_[machine];
-      dead = std::max(dead, m->last.session);
+      auto& ended = ended_incarnations_[machine];
+      ended = std::max(ended, m->last.agent_incarnation);
     }
   };
   // What reports here is owned: a new view sorts out the rest.
@@ -59,7 +59,7 @@
 
 const protocol::ReportedTask* Controller::reported(const Machine& m, const TaskId& task,
                                                    const protocol::Held& held) {
-  if (held.session != m.last.session) return nullptr;
+  if (held.agent_incarnation != m.last.agent_incarnation) return nullptr;
   const auto at = m.last.tasks.find(task);
   if (at == m.last.tasks.end()) return nullptr;
   const auto t = std::find_if(at->second.begin(), at->second.end(),
--- a/src/coordination/rounds.cpp
+++ b/src/coordination/rounds.cpp
@@ -231,7 +231,7 @@
       const auto no = std::find_if(w.tasks.begin(), w.tasks.end(), [&](TaskNo n) {
         return !r.tasks.contains(TaskId{spec.id, n});
       });
-      plan.starts.push_back({{spec.id, *no}, {r.machine, {}, r.session}});
+      plan.starts.push_back({{spec.id, *no}, {r.machine, {}, r.agent_incarnation}});
       w.tasks.erase(no);
       ++w.zones[r.zone];
       planned[spec.team] += spec.need;
@@ -348,13 +348,14 @@
   std::map<MachineId, Order> by_machine;
   for (const RoundPlan::Start& s : plan.starts) {
     const auto at = machines_.find(s.held.machine);
-    if (at == machines_.end() || at->second.last.session != s.held.session) continue;
+    if (at == machines_.end() || at->second.last.agent_incarnation != s.held.agent_incarnation)
+      continue;
     Machine& m = at->second;
     Order& o = by_machine[s.held.machine];
     o.machine = s.held.machine;
     o.address = m.last.address;
     o.token = m.token;
-    o.session = m.last.session;
+    o.agent_incarnation = m.last.agent_incarnation;
     o.commands.push_back({Command::Op::kRun, s.task, s.held.attempt, {}});
     m.idle_since = now;
     const Job* job = ledger_.job(s.task.job);
@@ -380,7 +381,7 @@
                 [&](const auto& s) { return base::between(s.second, now) > kStopRepeat; });
   for (const auto& [id, m] : machines_) {
     if (!look(m).stops || m.order_lost || !fresh(m, now)) continue;
-    Order o{id, m.last.address, m.token, m.last.session, {}};
+    Order o{id, m.last.address, m.token, m.last.agent_incarnation, {}};
     for (const Command& c : stops_for(m)) {
       if (stop_sent_.try_emplace({c.task, c.attempt.get()}, now).second) {
         o.commands.push_back(c);
--- a/src/protocol/clients.cpp
+++ b/src/protocol/clients.cpp
@@ -305,11 +305,12 @@
   return at->second.http;
 }
 
-WorkerClient::Answered WorkerClient::order(const std::string& address, Token token, Session session,
+WorkerClient::Answered WorkerClient::order(const std::string& address, Token token,
+                                           AgentIncarnation agent_incarnation,
                                            const std::vector<Command>& commands, Seconds timeout) {
   const auto http = connection(address);
   if (!http) return {};
-  const Answer a = http->post("/orders", orders(token, session, commands), timeout);
+  const Answer a = http->post("/orders", orders(token, agent_incarnation, commands), timeout);
   Answered out;
   out.sent = a.sent;
   if (a.sent != Sent::kYes) return out;
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -224,7 +224,7 @@
   rep.type = r.text("breed");
   rep.zone = r.text("paddock");
   rep.spot = r.find("strays") && r.flag("strays");
-  rep.session = Session(r.count("ride", 0, kAny));
+  rep.agent_incarnation = AgentIncarnation(r.count("ride", 0, kAny));
   rep.sequence = Sequence(r.count("tally", 0, kAny));
   rep.token = Token(r.find("reins") && !r.find("reins")->is_null() ? r.count("reins", 0, kAny) : 0);
   if (const auto n = r.amount_or_null("recall_s", -kMost)) rep.notice = Seconds(*n);
@@ -294,8 +294,10 @@
   return Json{{"reins", token.get()}, {"calls", calls(commands)}}.dump();
 }
 
-std::string orders(Token token, Session session, const std::vector<Command>& commands) {
-  return Json{{"reins", token.get()}, {"ride", session.get()}, {"calls", calls(commands)}}.dump();
+std::string orders(Token token, AgentIncarnation agent_incarnation,
+                   const std::vector<Command>& commands) {
+  return Json{{"reins", token.get()}, {"ride", agent_incarnation.get()}, {"calls", calls(commands)}}
+      .dump();
 }
 
 std::string redirect(const std::optional<MemberId>& owner) {
--- a/src/protocol/messages.h
+++ b/src/protocol/messages.h
@@ -16,13 +16,13 @@
 namespace saddleslip::protocol {
 
 using Json = nlohmann::json;
+using base::AgentIncarnation;
 using base::Attempt;
 using base::JobId;
 using base::MachineId;
 using base::MemberId;
 using base::Seconds;
 using base::Sequence;
-using base::Session;
 using base::TaskId;
 using base::TaskNo;
 using base::Token;
@@ -116,7 +116,7 @@
   std::string type;
   std::string zone;
   bool spot = false;
-  Session session;
+  AgentIncarnation agent_incarnation;
   Sequence sequence;
   Token token;
   std::optional<Seconds> notice;
@@ -133,7 +133,8 @@
 };
 
 std::string report_response(Token token, const std::vector<Command>& commands);
-std::string orders(Token token, Session session, const std::vector<Command>& commands);
+std::string orders(Token token, AgentIncarnation agent_incarnation,
+                   const std::vector<Command>& commands);
 std::string redirect(const std::optional<MemberId>& owner);
 
 // --- cloud
--- a/src/protocol/records.cpp
+++ b/src/protocol/records.cpp
@@ -86,7 +86,7 @@
 
 std::size_t encoded_size_bound(const Held& held) {
   return kHeldPunctuation + kPlaceDigits + 1 + held.machine.get().size() +
-         digits(held.attempt.get()) + digits(held.session.get());
+         digits(held.attempt.get()) + digits(held.agent_incarnation.get());
 }
 
 std::size_t encoded_size_bound(const ChunkRecord& chunk) {
@@ -210,7 +210,7 @@
       ++next;
     }
     held.push_back({it->first - first, n, it->second.machine.get(), it->second.attempt.get(),
-                    it->second.session.get()});
+                    it->second.agent_incarnation.get()});
     it = next;
   }
   return Json{{"n", chunk.next.get()}, {"d", std::move(done)}, {"h", std::move(held)}};
@@ -231,7 +231,7 @@
       const auto at = h.at(0).get<TaskNo>(), n = h.at(1).get<TaskNo>();
       if (at > count || n > count - at) return {};
       const Held held{MachineId(h.at(2).get<std::string>()), Attempt(h.at(3).get<std::uint64_t>()),
-                      Session(h.at(4).get<std::uint64_t>())};
+                      AgentIncarnation(h.at(4).get<std::uint64_t>())};
       for (TaskNo i = 0; i < n; ++i) chunk.held[first + at + i] = held;
     }
     return chunk;
--- a/src/protocol/records.h
+++ b/src/protocol/records.h
@@ -145,7 +145,7 @@
 struct Held {
   MachineId machine;
   Attempt attempt;
-  Session session;
+  AgentIncarnation agent_incarnation;
   bool operator==(const Held&) const = default;
 };
 struct ChunkRecord {
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -47,7 +47,7 @@
   const auto j = job("run-000001", 4);
   ChunkRecord r;
   r.done.assign(4, false);
-  r.held = {{0, {MachineId("i-1"), Attempt(1), base::Session(1)}}};
+  r.held = {{0, {MachineId("i-1"), Attempt(1), base::AgentIncarnation(1)}}};
   const Item record{protocol::chunk_key(j.spec.id, 0), to_json(r, 0), Version(7)};
   ledger.apply(record, Time{});
   EXPECT_EQ(ledger.orphans().size(), 1u);
@@ -70,8 +70,8 @@
     r.held = std::move(held);
     ledger.apply({protocol::chunk_key(j.spec.id, c), to_json(r, c * 16), Version(version)}, Time{});
   };
-  const Held one{MachineId("i-1"), Attempt(1), base::Session(1)};
-  const Held two{MachineId("i-2"), Attempt(1), base::Session(1)};
+  const Held one{MachineId("i-1"), Attempt(1), base::AgentIncarnation(1)};
+  const Held two{MachineId("i-2"), Attempt(1), base::AgentIncarnation(1)};
   EXPECT_EQ(ledger.stamp(one.machine), 0u);
   chunk(0, {{0, one}, {1, one}}, 2);
   chunk(2, {{33, two}}, 3);
@@ -151,7 +151,8 @@
   record.done.assign(count, false);
   record.done[0] = true;
   for (const TaskNo no : held) {
-    record.held[no] = {MachineId("i-" + std::to_string(no)), base::Attempt(1), base::Session(1)};
+    record.held[no] = {MachineId("i-" + std::to_string(no)), base::Attempt(1),
+                       base::AgentIncarnation(1)};
   }
   return {key, to_json(record, first), Version(version)};
 }
--- a/tests/parse_test.cpp
+++ b/tests/parse_test.cpp
@@ -79,10 +79,10 @@
   c.next = Attempt(7);
   c.done.assign(10, false);
   c.done[0] = c.done[1] = c.done[9] = true;
-  const Held h{MachineId("i-1"), Attempt(6), Session(2)};
+  const Held h{MachineId("i-1"), Attempt(6), AgentIncarnation(2)};
   c.held[kMostChunk + 3] = h;
   c.held[kMostChunk + 4] = h;
-  c.held[kMostChunk + 6] = {MachineId("i-2"), Attempt(5), Session(1)};
+  c.held[kMostChunk + 6] = {MachineId("i-2"), Attempt(5), AgentIncarnation(1)};
   const auto again = parse_chunk(to_json(c, kMostChunk), kMostChunk, 10);
   ASSERT_TRUE(again);
   EXPECT_EQ(again->done, c.done);
--- a/tests/world.h
+++ b/tests/world.h
@@ -86,7 +86,7 @@
     bool deaf = false;         // its reports arrive, and nothing reaches it
     double copies_after = -1;  // a copy of each report arrives so much later, everywhere
     double boots = 0;
-    std::uint64_t session = 1, sequence = 0, token = 0;
+    std::uint64_t agent_incarnation = 1, sequence = 0, token = 0;
     double last_answered = 0;  // when its last answered report was sent
     double next_report = 0;
     std::size_t node = 0;
@@ -162,7 +162,7 @@
   protocol::Report report_of(Worker& w);
   void report(Worker& w);
   void deliver(const coordination::Order& order, std::size_t from);
-  void end_session(Worker& w);
+  void end_agent_incarnation(Worker& w);
   Worker& add_worker(const std::string& id, const std::string& type, const std::string& zone,
                      bool spot, double boots);
 
--- a/tests/world_commands.cpp
+++ b/tests/world_commands.cpp
@@ -134,7 +134,7 @@
   } else if (line.word() == "reboot") {
     // Back before it was missed: nothing is on it, and its next session has begun.
     Worker& w = workers_.at(line.text());
-    end_session(w);
+    end_agent_incarnation(w);
     w.boots = w.next_report = w.last_answered = t_ + line.number();
   } else if (line.word() == "hang") {
     workers_.at(line.text()).hung = true;
--- a/tests/world_workers.cpp
+++ b/tests/world_workers.cpp
@@ -37,7 +37,7 @@
     }
   }
   Json j = {{"mount", w.id},         {"endpoint", w.id + ":1"}, {"breed", w.type},
-            {"paddock", w.zone},     {"strays", w.spot},        {"ride", w.session},
+            {"paddock", w.zone},     {"strays", w.spot},        {"ride", w.agent_incarnation},
             {"tally", ++w.sequence}, {"reins", w.token},        {"strides", tasks}};
   if (w.taken_at) j["recall_s"] = *w.taken_at - t_;
   auto r = protocol::parse_report(j.dump());
@@ -85,9 +85,9 @@
   }
 }
 
-void World::end_session(Worker& w) {
+void World::end_agent_incarnation(Worker& w) {
   w.tasks.clear();
-  ++w.session;
+  ++w.agent_incarnation;
   w.last_answered = t_;
 }
 
@@ -152,7 +152,7 @@
   if (at == workers_.end() || !at->second.alive || at->second.hung || t_ < at->second.boots) return;
   Worker& w = at->second;
   if (w.deaf) return;
-  if (order.token.get() >= w.token && order.session.get() == w.session) {
+  if (order.token.get() >= w.token && order.agent_incarnation.get() == w.agent_incarnation) {
     w.token = order.token.get();
     execute(w, order.commands);
   }
@@ -169,7 +169,7 @@
       continue;
     }
     // A hung machine may go on at any time within its lease, not after it.
-    if (t_ - w.last_answered > lease_s_) end_session(w);
+    if (t_ - w.last_answered > lease_s_) end_agent_incarnation(w);
     if (w.hung) continue;
     bool changed = false;
     for (auto& [task, attempts] : w.tasks) {
