--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -31,7 +31,7 @@
 // gives a number twice, so two lives of one member are never mixed up.
 using Incarnation = Strong<struct IncarnationTag, std::uint64_t>;
 using Epoch = Strong<struct EpochTag, std::uint64_t>;
-using Token = Strong<struct TokenTag, std::uint64_t>;
+using FencingToken = Strong<struct FencingTokenTag, std::uint64_t>;
 using AgentIncarnation = Strong<struct AgentIncarnationTag, std::uint64_t>;
 using Sequence = Strong<struct SequenceTag, std::uint64_t>;
 using Attempt = Strong<struct AttemptTag, std::uint64_t>;
--- a/src/bookkeeping/machines.h
+++ b/src/bookkeeping/machines.h
@@ -14,9 +14,9 @@
 namespace saddleslip::bookkeeping {
 
 using base::AgentIncarnation;
+using base::FencingToken;
 using base::Seconds;
 using base::Sequence;
-using base::Token;
 using protocol::Report;
 
 // A report that is later than so many intervals is overdue: none that is well is.
@@ -52,15 +52,15 @@
   std::optional<Time> taken_at;  // when the cloud's notice says that the machine goes
   // Tokens. A direct order is given under a token of its own; the next answer carries a higher one.
   // Once the worker has shown that, no copy of the order can be carried out any more.
-  Token token;  // for the next answer or order
-  Token floor;  // what the worker must have shown for "fenced"
+  FencingToken fencing_token;  // for the next answer or order
+  FencingToken fence_floor;    // what the worker must have shown for "fenced"
   // A report that shows this was sent after this owner's answer reached the machine. Before that
   // nothing tells a machine that hears from a late copy of its reports, or from one whose reports
   // arrive while no answer reaches it.
-  Token confirm;
-  Time token_since{};    // when the present token was first given in an answer
-  Token answered_token;  // the one of the latest answer
-  int lost_answers = 0;  // reports in a row that did not show what was answered before
+  FencingToken confirmation_token;
+  Time fencing_token_since{};    // when the present token was first given in an answer
+  FencingToken last_sent_token;  // the one of the latest answer
+  int lost_answers = 0;          // reports in a row that did not show what was answered before
   std::optional<Time> deaf_since;
   bool order_lost = false;  // no direct orders until it reports again
   bool closed = false;      // takes no new tasks
@@ -92,9 +92,9 @@
       images.erase(images.begin());
     }
   }
-  bool fenced() const { return last.token >= floor; }
+  bool is_fenced() const { return last.fencing_token >= fence_floor; }
   // Has it heard this owner, in this session of its own?
-  bool confirmed() const { return last.token >= confirm; }
+  bool is_confirmed() const { return last.fencing_token >= confirmation_token; }
   // One answer may be lost, or late; two in a row are a sign.
   bool deaf() const { return lost_answers >= 2; }
 };
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -12,7 +12,8 @@
 constexpr Seconds kStoodStill{2.5};  // without a report, a round or a status
 constexpr Seconds kGoneKept{600.0};  // late reports and old lists may still name the machine
 
-constexpr double kTokenAge = 0.5;  // of a lease: workers report a new token this often at most
+constexpr double kFencingTokenRenewal =
+    0.5;  // of a lease: workers report a new token this often at most
 // A machine that hears no answer goes from node to node, and comes by within this.
 constexpr Seconds kDeafRound{20.0};
 constexpr std::size_t kMostSuspects = 256;  // named in one status
@@ -107,11 +108,12 @@
   if (!ledger_.view() || version == followed_view_ || ledger_.revision().get() < version.get()) {
     return;
   }
-  const Token base = first_token(ledger_.view()->epoch);
+  const FencingToken base = first_fencing_token(ledger_.view()->epoch);
   // Views that were skipped may have had other owners, who may have answered until lately.
-  const bool in_a_row = base.get() == base_token_.get() + first_token(Epoch(1)).get();
+  const bool in_a_row =
+      base.get() == base_fencing_token_.get() + first_fencing_token(Epoch(1)).get();
   followed_view_ = version;
-  base_token_ = base;
+  base_fencing_token_ = base;
   followed_at_ = now;
   std::erase_if(machines_, [&](const auto& m) {
     if (owns(m.first)) return false;
@@ -123,11 +125,11 @@
   // know that the task was to be stopped. Kept, it let a task start while it ran on its machine.
   absent_.clear();
   for (auto& [id, m] : machines_) {
-    m.token = base;
-    m.floor = base;
+    m.fencing_token = base;
+    m.fence_floor = base;
     // It has heard this process before: only what is lost from now on counts against it.
-    m.confirm = m.confirmed() && in_a_row ? Token(0) : base;
-    m.answered_token = Token(0);
+    m.confirmation_token = m.is_confirmed() && in_a_row ? FencingToken(0) : base;
+    m.last_sent_token = FencingToken(0);
     if (!in_a_row) m.answered = std::max(m.answered, base::after(now, settings_.tuning.member_ttl));
   }
   std::map<MachineId, std::pair<MemberId, Time>> pinned;
@@ -312,12 +314,12 @@
   Machine& m = at->second;
   m.answered = now;
   // A token that never changes would not tell whether answers arrive.
-  if (base::between(m.token_since, now) > settings_.worker_lease * kTokenAge) {
-    m.token = Token(m.token.get() + 1);
-    m.token_since = now;
+  if (base::between(m.fencing_token_since, now) > settings_.worker_lease * kFencingTokenRenewal) {
+    m.fencing_token = FencingToken(m.fencing_token.get() + 1);
+    m.fencing_token_since = now;
   }
-  m.answered_token = m.token;
-  return {200, protocol::report_response(m.token, reconcile(m))};
+  m.last_sent_token = m.fencing_token;
+  return {200, protocol::report_response(m.fencing_token, reconcile(m))};
 }
 
 void Controller::order_answered(const MachineId& machine, const std::optional<Report>& report,
@@ -336,9 +338,9 @@
   if (is_new) {
     left_.erase(report.machine);
     m.idle_since = now;
-    m.token = base_token_;
-    m.floor = base_token_;
-    m.confirm = base_token_;
+    m.fencing_token = base_fencing_token_;
+    m.fence_floor = base_fencing_token_;
+    m.confirmation_token = base_fencing_token_;
     m.answered = base::after(followed_at_, settings_.tuning.member_ttl);
     spdlog::info("machine {} ({}, {}{}) reports, session {}, {} tasks", report.machine.get(),
                  report.type, report.zone, report.spot ? ", spot" : "",
@@ -352,12 +354,12 @@
     m.evict.clear();
     m.ran.clear();
     // A machine that heard nothing for a lease looks like an empty one that is well.
-    m.token = Token(m.token.get() + 1);
-    m.token_since = now;
-    m.confirm = m.token;
+    m.fencing_token = FencingToken(m.fencing_token.get() + 1);
+    m.fencing_token_since = now;
+    m.confirmation_token = m.fencing_token;
   }
-  if (is_hello && m.answered_token.get() != 0) {
-    if (report.token < m.answered_token) {
+  if (is_hello && m.last_sent_token.get() != 0) {
+    if (report.fencing_token < m.last_sent_token) {
       ++m.lost_answers;
       if (!m.deaf_since) m.deaf_since = now;
       if (m.lost_answers == 2) {
@@ -413,7 +415,7 @@
                 [&](const TaskId& t) { return !ledger_.held_by(report.machine).contains(t); });
   // A start that the worker hasn't heard of can't reach it any more: every answer that carried it
   // was taken or dropped before this report was sent, and direct orders are fenced by the token.
-  if (is_hello && m.fenced()) {
+  if (is_hello && m.is_fenced()) {
     for (const auto& [task, held] : ledger_.held_by(report.machine)) {
       const Job* job = ledger_.job(task.job);
       // Nor is it started any more: not wanted, or stopped before it began. Without this the latter
@@ -451,7 +453,7 @@
   std::vector<Command> out;
   if (look(m).stops) out = stops_for(m);
   const auto& held = ledger_.held_by(m.last.machine);
-  if (m.fenced()) {
+  if (m.is_fenced()) {
     for (const auto& [task, attempts] : m.last.tasks) {
       const auto h = held.find(task);
       for (const auto& t : attempts) {
@@ -528,7 +530,7 @@
 // --- siblings
 
 bool Controller::fresh(const Machine& m, Time now) const {
-  return m.confirmed() && !m.deaf() && heard_lately(m, now);
+  return m.is_confirmed() && !m.deaf() && heard_lately(m, now);
 }
 
 bool Controller::heard_lately(const Machine& m, Time now) const {
@@ -600,7 +602,7 @@
   const bookkeeping::Outlook& o = look(m);
   MachineRoom& r = m.room;
   const bool silent = !fresh(m, now);
-  const bool soon = !m.closed && !m.confirmed() && !m.deaf() && heard_lately(m, now);
+  const bool soon = !m.closed && !m.is_confirmed() && !m.deaf() && heard_lately(m, now);
   const bool unsure = m.lost_answers > 0 && base::between(m.heard, now) < kDeafRound;
   const bool open = !m.closed && !silent;
   const Time idle = o.held > 0 ? Time{} : m.idle_since;
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -48,7 +48,7 @@
 struct Order {
   MachineId machine;
   std::string address;
-  Token token;
+  FencingToken fencing_token;
   AgentIncarnation agent_incarnation;
   std::vector<Command> commands;
 };
@@ -372,7 +372,7 @@
   Version authority_view_;
   std::uint64_t copy_ = 0;  // counts the times that the ledger was read anew
   Version followed_view_;
-  Token base_token_;
+  FencingToken base_fencing_token_;
   Time followed_at_{};
   std::optional<Time> entitled_since_;
   Time last_running_{}, resumed_at_{};  // when this process was last seen to run, and went on
--- a/src/coordination/rounds.cpp
+++ b/src/coordination/rounds.cpp
@@ -354,7 +354,7 @@
     Order& o = by_machine[s.held.machine];
     o.machine = s.held.machine;
     o.address = m.last.address;
-    o.token = m.token;
+    o.fencing_token = m.fencing_token;
     o.agent_incarnation = m.last.agent_incarnation;
     o.commands.push_back({Command::Op::kRun, s.task, s.held.attempt, {}});
     m.idle_since = now;
@@ -367,8 +367,8 @@
     Machine& m = machines_.at(id);
     // A token of its own for each order that starts something: once the worker has shown the next
     // one, no copy of this order, however late, is carried out.
-    m.token = Token(m.token.get() + 1);
-    m.floor = m.token;
+    m.fencing_token = FencingToken(m.fencing_token.get() + 1);
+    m.fence_floor = m.fencing_token;
     if (!m.order_lost) orders.push_back(std::move(o));
   }
   return orders;
@@ -381,7 +381,7 @@
                 [&](const auto& s) { return base::between(s.second, now) > kStopRepeat; });
   for (const auto& [id, m] : machines_) {
     if (!look(m).stops || m.order_lost || !fresh(m, now)) continue;
-    Order o{id, m.last.address, m.token, m.last.agent_incarnation, {}};
+    Order o{id, m.last.address, m.fencing_token, m.last.agent_incarnation, {}};
     for (const Command& c : stops_for(m)) {
       if (stop_sent_.try_emplace({c.task, c.attempt.get()}, now).second) {
         o.commands.push_back(c);
--- a/src/coordination/view.h
+++ b/src/coordination/view.h
@@ -11,10 +11,10 @@
 namespace saddleslip::coordination {
 
 using base::Epoch;
+using base::FencingToken;
 using base::JobId;
 using base::MachineId;
 using base::MemberId;
-using base::Token;
 using protocol::ControllerIncarnation;
 using protocol::View;
 
@@ -25,8 +25,8 @@
 
 // The first token of an epoch. Above it there is room for a token for each direct order.
 inline constexpr int kEpochBits = 24;
-inline Token first_token(Epoch epoch) {
-  return Token(epoch.get() << kEpochBits);
+inline FencingToken first_fencing_token(Epoch epoch) {
+  return FencingToken(epoch.get() << kEpochBits);
 }
 
 // The view that the members' keys ask for, or none if the present one is right. Pins, of machines
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -675,7 +675,8 @@
       orders_.pop_front();
     }
     if (!locked([&](auto& c) { return c.still_due(o, now()); })) continue;
-    const auto a = workers_.order(o.address, o.token, o.agent_incarnation, o.commands, kOrderCall);
+    const auto a =
+        workers_.order(o.address, o.fencing_token, o.agent_incarnation, o.commands, kOrderCall);
     if (a.sent != transport::Sent::kYes) {
       spdlog::info("order to {} was not answered", o.machine.get());
       locked([&](auto& c) { c.order_lost(o.machine); });
--- a/src/protocol/clients.cpp
+++ b/src/protocol/clients.cpp
@@ -305,12 +305,13 @@
   return at->second.http;
 }
 
-WorkerClient::Answered WorkerClient::order(const std::string& address, Token token,
+WorkerClient::Answered WorkerClient::order(const std::string& address, FencingToken fencing_token,
                                            AgentIncarnation agent_incarnation,
                                            const std::vector<Command>& commands, Seconds timeout) {
   const auto http = connection(address);
   if (!http) return {};
-  const Answer a = http->post("/orders", orders(token, agent_incarnation, commands), timeout);
+  const Answer a =
+      http->post("/orders", orders(fencing_token, agent_incarnation, commands), timeout);
   Answered out;
   out.sent = a.sent;
   if (a.sent != Sent::kYes) return out;
--- a/src/protocol/clients.h
+++ b/src/protocol/clients.h
@@ -97,8 +97,9 @@
     bool executed = false;
     std::optional<Report> report;
   };
-  Answered order(const std::string& address, Token token, AgentIncarnation agent_incarnation,
-                 const std::vector<Command>& commands, Seconds timeout);
+  Answered order(const std::string& address, FencingToken fencing_token,
+                 AgentIncarnation agent_incarnation, const std::vector<Command>& commands,
+                 Seconds timeout);
   explicit WorkerClient(std::size_t most_connections) : most_(most_connections) {}
 
  private:
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -226,7 +226,8 @@
   rep.spot = r.find("strays") && r.flag("strays");
   rep.agent_incarnation = AgentIncarnation(r.count("ride", 0, kAny));
   rep.sequence = Sequence(r.count("tally", 0, kAny));
-  rep.token = Token(r.find("reins") && !r.find("reins")->is_null() ? r.count("reins", 0, kAny) : 0);
+  rep.fencing_token =
+      FencingToken(r.find("reins") && !r.find("reins")->is_null() ? r.count("reins", 0, kAny) : 0);
   if (const auto n = r.amount_or_null("recall_s", -kMost)) rep.notice = Seconds(*n);
   if (const Json* tasks = r.find("strides"); tasks && !tasks->is_null()) {
     if (!tasks->is_array()) return {};
@@ -290,13 +291,14 @@
 
 }  // namespace
 
-std::string report_response(Token token, const std::vector<Command>& commands) {
-  return Json{{"reins", token.get()}, {"calls", calls(commands)}}.dump();
+std::string report_response(FencingToken fencing_token, const std::vector<Command>& commands) {
+  return Json{{"reins", fencing_token.get()}, {"calls", calls(commands)}}.dump();
 }
 
-std::string orders(Token token, AgentIncarnation agent_incarnation,
+std::string orders(FencingToken fencing_token, AgentIncarnation agent_incarnation,
                    const std::vector<Command>& commands) {
-  return Json{{"reins", token.get()}, {"ride", agent_incarnation.get()}, {"calls", calls(commands)}}
+  return Json{
+      {"reins", fencing_token.get()}, {"ride", agent_incarnation.get()}, {"calls", calls(commands)}}
       .dump();
 }
 
--- a/src/protocol/messages.h
+++ b/src/protocol/messages.h
@@ -18,6 +18,7 @@
 using Json = nlohmann::json;
 using base::AgentIncarnation;
 using base::Attempt;
+using base::FencingToken;
 using base::JobId;
 using base::MachineId;
 using base::MemberId;
@@ -25,7 +26,6 @@
 using base::Sequence;
 using base::TaskId;
 using base::TaskNo;
-using base::Token;
 
 // Cores, GPUs, memory: what a task takes and a machine has.
 struct Resources {
@@ -118,7 +118,7 @@
   bool spot = false;
   AgentIncarnation agent_incarnation;
   Sequence sequence;
-  Token token;
+  FencingToken fencing_token;
   std::optional<Seconds> notice;
   std::map<TaskId, std::vector<ReportedTask>> tasks;  // seldom more than one attempt of a task
 };
@@ -132,8 +132,8 @@
   Seconds grace{0};
 };
 
-std::string report_response(Token token, const std::vector<Command>& commands);
-std::string orders(Token token, AgentIncarnation agent_incarnation,
+std::string report_response(FencingToken fencing_token, const std::vector<Command>& commands);
+std::string orders(FencingToken fencing_token, AgentIncarnation agent_incarnation,
                    const std::vector<Command>& commands);
 std::string redirect(const std::optional<MemberId>& owner);
 
--- a/tests/world.h
+++ b/tests/world.h
@@ -86,7 +86,7 @@
     bool deaf = false;         // its reports arrive, and nothing reaches it
     double copies_after = -1;  // a copy of each report arrives so much later, everywhere
     double boots = 0;
-    std::uint64_t agent_incarnation = 1, sequence = 0, token = 0;
+    std::uint64_t agent_incarnation = 1, sequence = 0, fencing_token = 0;
     double last_answered = 0;  // when its last answered report was sent
     double next_report = 0;
     std::size_t node = 0;
--- a/tests/world_controllers.cpp
+++ b/tests/world_controllers.cpp
@@ -174,7 +174,7 @@
 void World::trace_order(std::size_t node, const coordination::Order& order) {
   if (!trace_.is_open()) return;
   trace_.write(t_, "order", node_name(node), order.machine.get(),
-               protocol::orders(order.token, order.agent_incarnation, order.commands));
+               protocol::orders(order.fencing_token, order.agent_incarnation, order.commands));
 }
 
 void World::round(std::size_t n) {
--- a/tests/world_workers.cpp
+++ b/tests/world_workers.cpp
@@ -36,9 +36,9 @@
                        {"cause", t.cause}});
     }
   }
-  Json j = {{"mount", w.id},         {"endpoint", w.id + ":1"}, {"breed", w.type},
-            {"paddock", w.zone},     {"strays", w.spot},        {"ride", w.agent_incarnation},
-            {"tally", ++w.sequence}, {"reins", w.token},        {"strides", tasks}};
+  Json j = {{"mount", w.id},         {"endpoint", w.id + ":1"},  {"breed", w.type},
+            {"paddock", w.zone},     {"strays", w.spot},         {"ride", w.agent_incarnation},
+            {"tally", ++w.sequence}, {"reins", w.fencing_token}, {"strides", tasks}};
   if (w.taken_at) j["recall_s"] = *w.taken_at - t_;
   auto r = protocol::parse_report(j.dump());
   if (!r) broken("the stand-in's report can't be parsed");
@@ -125,9 +125,9 @@
     }
   }
   if (reply.status != 200) return next();
-  const auto token = body["reins"].get<std::uint64_t>();
-  if (token < w.token) return;
-  w.token = token;
+  const auto fencing_token = body["reins"].get<std::uint64_t>();
+  if (fencing_token < w.fencing_token) return;
+  w.fencing_token = fencing_token;
   w.last_answered = t_;
   std::vector<Command> commands;
   for (const Json& c : body["calls"]) {
@@ -152,8 +152,9 @@
   if (at == workers_.end() || !at->second.alive || at->second.hung || t_ < at->second.boots) return;
   Worker& w = at->second;
   if (w.deaf) return;
-  if (order.token.get() >= w.token && order.agent_incarnation.get() == w.agent_incarnation) {
-    w.token = order.token.get();
+  if (order.fencing_token.get() >= w.fencing_token &&
+      order.agent_incarnation.get() == w.agent_incarnation) {
+    w.fencing_token = order.fencing_token.get();
     execute(w, order.commands);
   }
   const auto rep = report_of(w);
