--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -165,7 +165,7 @@
     }
   }
   const Json& workers = section(params, "workers");
-  s.report_every = Seconds(number_or(workers, "report_s", 3.0, "settings.workers.", 0.05));
+  s.heartbeat_interval = Seconds(number_or(workers, "report_s", 3.0, "settings.workers.", 0.05));
   s.worker_lease = Seconds(number_or(workers, "lease_s", 20.0, "settings.workers.", 0.5));
   s.cancel_within = Seconds(number_or(workers, "cancel_s", 45.0, "settings.workers."));
   read_state_limits(s, section(params, "state"));
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -73,7 +73,7 @@
   std::map<std::string, Team> teams;
   std::vector<Objective> objectives;
   // workers
-  Seconds report_every{3.0};
+  Seconds heartbeat_interval{3.0};
   Seconds worker_lease{20.0};
   Seconds cancel_within{45.0};
   // state service
--- a/src/bookkeeping/machines.h
+++ b/src/bookkeeping/machines.h
@@ -17,7 +17,7 @@
 using base::FencingToken;
 using base::Seconds;
 using base::Sequence;
-using protocol::Report;
+using protocol::Heartbeat;
 
 // A report that is later than so many intervals is overdue: none that is well is.
 inline constexpr double kOverdue = 1.5;
@@ -44,10 +44,11 @@
 };
 
 struct Machine {
-  Report last;
+  Heartbeat last_heartbeat;
   mutable Outlook outlook;
-  Time heard{};     // when the newest report came
-  Time answered{};  // when a report was last answered with 200 by anyone who may have done so
+  Time last_heartbeat_at{};  // when the newest report came
+  Time
+      last_answered_at{};  // when a report was last answered with 200 by anyone who may have done so
   Time idle_since{};
   std::optional<Time> taken_at;  // when the cloud's notice says that the machine goes
   // Tokens. A direct order is given under a token of its own; the next answer carries a higher one.
@@ -92,9 +93,9 @@
       images.erase(images.begin());
     }
   }
-  bool is_fenced() const { return last.fencing_token >= fence_floor; }
+  bool is_fenced() const { return last_heartbeat.fencing_token >= fence_floor; }
   // Has it heard this owner, in this session of its own?
-  bool is_confirmed() const { return last.fencing_token >= confirmation_token; }
+  bool is_confirmed() const { return last_heartbeat.fencing_token >= confirmation_token; }
   // One answer may be lost, or late; two in a row are a sign.
   bool deaf() const { return lost_answers >= 2; }
 };
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -130,7 +130,9 @@
     // It has heard this process before: only what is lost from now on counts against it.
     m.confirmation_token = m.is_confirmed() && in_a_row ? FencingToken(0) : base;
     m.last_sent_token = FencingToken(0);
-    if (!in_a_row) m.answered = std::max(m.answered, base::after(now, settings_.tuning.member_ttl));
+    if (!in_a_row)
+      m.last_answered_at =
+          std::max(m.last_answered_at, base::after(now, settings_.tuning.member_ttl));
   }
   std::map<MachineId, std::pair<MemberId, Time>> pinned;
   for (const auto& [id, member] : ledger_.view()->pins) {
@@ -292,65 +294,65 @@
   return entitled_since_ ? std::max(*entitled_since_, resumed_at_) : resumed_at_;
 }
 
-WorkerReply Controller::hello(const Report& report, Time now) {
+WorkerReply Controller::handle_heartbeat(const Heartbeat& heartbeat, Time now) {
   note_running(now);
   if (!ledger_.view() || ledger_.view()->members.empty()) {
     return {503, protocol::error_body("no view yet")};
   }
-  const ControllerIncarnation* of = owner(report.machine);
+  const ControllerIncarnation* of = owner(heartbeat.machine);
   if (of->member != self_.member) {
-    remember_bounced(report.machine, *of, now);
+    remember_bounced(heartbeat.machine, *of, now);
     return {421, protocol::redirect(of->member)};
   }
   if (!entitled(now)) return {503, protocol::error_body("not entitled to act now")};
-  if (gone_.contains(report.machine)) return {503, protocol::error_body("released")};
-  observe(report, now, true);
-  const auto at = machines_.find(report.machine);
+  if (gone_.contains(heartbeat.machine)) return {503, protocol::error_body("released")};
+  record_heartbeat(heartbeat, now, true);
+  const auto at = machines_.find(heartbeat.machine);
   // A late copy: what came after it has been answered already, and the worker drops this answer.
-  if (at == machines_.end() || at->second.last.sequence != report.sequence ||
-      at->second.last.agent_incarnation != report.agent_incarnation) {
+  if (at == machines_.end() || at->second.last_heartbeat.sequence != heartbeat.sequence ||
+      at->second.last_heartbeat.agent_incarnation != heartbeat.agent_incarnation) {
     return {503, protocol::error_body("an old report")};
   }
   Machine& m = at->second;
-  m.answered = now;
+  m.last_answered_at = now;
   // A token that never changes would not tell whether answers arrive.
   if (base::between(m.fencing_token_since, now) > settings_.worker_lease * kFencingTokenRenewal) {
     m.fencing_token = FencingToken(m.fencing_token.get() + 1);
     m.fencing_token_since = now;
   }
   m.last_sent_token = m.fencing_token;
-  return {200, protocol::report_response(m.fencing_token, reconcile(m))};
+  return {200, protocol::heartbeat_response(m.fencing_token, reconcile(m))};
 }
 
-void Controller::order_answered(const MachineId& machine, const std::optional<Report>& report,
-                                Time now) {
-  if (!report || report->machine != machine || !owns(machine)) return;
-  observe(*report, now, false);
+void Controller::handle_order_reply(const MachineId& machine,
+                                    const std::optional<Heartbeat>& heartbeat, Time now) {
+  if (!heartbeat || heartbeat->machine != machine || !owns(machine)) return;
+  record_heartbeat(*heartbeat, now, false);
 }
 
-void Controller::observe(const Report& report, Time now, bool is_hello) {
-  if (gone_.contains(report.machine)) return;
-  const auto ended = ended_incarnations_.find(report.machine);
-  if (ended != ended_incarnations_.end() && report.agent_incarnation <= ended->second) return;
-  zones_[report.machine] = report.zone;
-  auto [at, is_new] = machines_.try_emplace(report.machine);
+void Controller::record_heartbeat(const Heartbeat& heartbeat, Time now, bool renews_lease) {
+  if (gone_.contains(heartbeat.machine)) return;
+  const auto ended = ended_incarnations_.find(heartbeat.machine);
+  if (ended != ended_incarnations_.end() && heartbeat.agent_incarnation <= ended->second) return;
+  zones_[heartbeat.machine] = heartbeat.zone;
+  auto [at, is_new] = machines_.try_emplace(heartbeat.machine);
   Machine& m = at->second;
   if (is_new) {
-    left_.erase(report.machine);
+    left_.erase(heartbeat.machine);
     m.idle_since = now;
     m.fencing_token = base_fencing_token_;
     m.fence_floor = base_fencing_token_;
     m.confirmation_token = base_fencing_token_;
-    m.answered = base::after(followed_at_, settings_.tuning.member_ttl);
-    spdlog::info("machine {} ({}, {}{}) reports, session {}, {} tasks", report.machine.get(),
-                 report.type, report.zone, report.spot ? ", spot" : "",
-                 report.agent_incarnation.get(), report.tasks.size());
-  } else if (std::pair(report.agent_incarnation, report.sequence) <=
-             std::pair(m.last.agent_incarnation, m.last.sequence)) {
+    m.last_answered_at = base::after(followed_at_, settings_.tuning.member_ttl);
+    spdlog::info("machine {} ({}, {}{}) reports, session {}, {} tasks", heartbeat.machine.get(),
+                 heartbeat.type, heartbeat.zone, heartbeat.spot ? ", spot" : "",
+                 heartbeat.agent_incarnation.get(), heartbeat.tasks.size());
+  } else if (std::pair(heartbeat.agent_incarnation, heartbeat.sequence) <=
+             std::pair(m.last_heartbeat.agent_incarnation, m.last_heartbeat.sequence)) {
     return;
-  } else if (report.agent_incarnation != m.last.agent_incarnation) {
-    spdlog::info("machine {} begins session {}: what it ran before is over", report.machine.get(),
-                 report.agent_incarnation.get());
+  } else if (heartbeat.agent_incarnation != m.last_heartbeat.agent_incarnation) {
+    spdlog::info("machine {} begins session {}: what it ran before is over",
+                 heartbeat.machine.get(), heartbeat.agent_incarnation.get());
     m.evict.clear();
     m.ran.clear();
     // A machine that heard nothing for a lease looks like an empty one that is well.
@@ -358,34 +360,34 @@
     m.fencing_token_since = now;
     m.confirmation_token = m.fencing_token;
   }
-  if (is_hello && m.last_sent_token.get() != 0) {
-    if (report.fencing_token < m.last_sent_token) {
+  if (renews_lease && m.last_sent_token.get() != 0) {
+    if (heartbeat.fencing_token < m.last_sent_token) {
       ++m.lost_answers;
       if (!m.deaf_since) m.deaf_since = now;
       if (m.lost_answers == 2) {
-        spdlog::info("machine {} reports, and answers do not reach it", report.machine.get());
+        spdlog::info("machine {} reports, and answers do not reach it", heartbeat.machine.get());
       }
     } else {
       m.lost_answers = 0;
       m.deaf_since.reset();
     }
   }
-  m.last = report;
+  m.last_heartbeat = heartbeat;
   // An order that is answered does not renew the machine's lease: one that opens no connections to any
   // controller is about to lose all that is on it, however well it answers.
-  if (is_hello || is_new) m.heard = now;
+  if (renews_lease || is_new) m.last_heartbeat_at = now;
   m.order_lost = false;
-  if (report.notice && !m.taken_at) {
-    m.taken_at = base::after(now, *report.notice);
+  if (heartbeat.notice && !m.taken_at) {
+    m.taken_at = base::after(now, *heartbeat.notice);
     m.closed = true;
-    spdlog::info("machine {} will be taken in {:.1f} s", report.machine.get(),
-                 report.notice->count());
+    spdlog::info("machine {} will be taken in {:.1f} s", heartbeat.machine.get(),
+                 heartbeat.notice->count());
   }
   std::map<TaskId, Time> ran;
-  const auto* type = ledger_.type(report.type);
+  const auto* type = ledger_.type(heartbeat.type);
   m.pulling.clear();
-  bool busy = !ledger_.held_by(report.machine).empty();
-  for (const auto& [task, attempts] : report.tasks) {
+  bool busy = !ledger_.held_by(heartbeat.machine).empty();
+  for (const auto& [task, attempts] : heartbeat.tasks) {
     for (const auto& t : attempts) {
       if (t.state != protocol::TaskState::kEnded) busy = true;
       if (const Job* job = ledger_.job(task.job); job && type) {
@@ -400,7 +402,7 @@
         const auto before = m.ran.find(task);
         ran[task] = before == m.ran.end() ? now : before->second;
         if (before == m.ran.end()) {
-          spdlog::debug("{}/{} runs on {}", task.job.get(), task.no, report.machine.get());
+          spdlog::debug("{}/{} runs on {}", task.job.get(), task.no, heartbeat.machine.get());
         }
       }
     }
@@ -408,21 +410,21 @@
   for (const auto& [task, since] : m.ran) {
     if (!ran.contains(task)) m.ran_before[task] = base::between(since, now);
   }
-  std::erase_if(m.ran_before, [&](const auto& r) { return !report.tasks.contains(r.first); });
+  std::erase_if(m.ran_before, [&](const auto& r) { return !heartbeat.tasks.contains(r.first); });
   m.ran = std::move(ran);
   if (busy) m.idle_since = now;
   std::erase_if(m.evict,
-                [&](const TaskId& t) { return !ledger_.held_by(report.machine).contains(t); });
+                [&](const TaskId& t) { return !ledger_.held_by(heartbeat.machine).contains(t); });
   // A start that the worker hasn't heard of can't reach it any more: every answer that carried it
   // was taken or dropped before this report was sent, and direct orders are fenced by the token.
-  if (is_hello && m.is_fenced()) {
-    for (const auto& [task, held] : ledger_.held_by(report.machine)) {
+  if (renews_lease && m.is_fenced()) {
+    for (const auto& [task, held] : ledger_.held_by(heartbeat.machine)) {
       const Job* job = ledger_.job(task.job);
       // Nor is it started any more: not wanted, or stopped before it began. Without this the latter
       // would be held for ever by a machine that has never heard of it.
       const bool unwanted = job && (job->cancelled() || m.evict.contains(task));
-      if (unwanted && held.agent_incarnation == report.agent_incarnation &&
-          !report.tasks.contains(task)) {
+      if (unwanted && held.agent_incarnation == heartbeat.agent_incarnation &&
+          !heartbeat.tasks.contains(task)) {
         absent_[task] = held.attempt;
       }
     }
@@ -431,8 +433,8 @@
 
 std::vector<Command> Controller::stops_for(const Machine& m) const {
   std::vector<Command> out;
-  const auto& held = ledger_.held_by(m.last.machine);
-  for (const auto& [task, attempts] : m.last.tasks) {
+  const auto& held = ledger_.held_by(m.last_heartbeat.machine);
+  for (const auto& [task, attempts] : m.last_heartbeat.tasks) {
     const auto h = held.find(task);
     const Job* job = ledger_.job(task.job);
     for (const auto& t : attempts) {
@@ -452,9 +454,9 @@
 std::vector<Command> Controller::reconcile(const Machine& m) const {
   std::vector<Command> out;
   if (look(m).stops) out = stops_for(m);
-  const auto& held = ledger_.held_by(m.last.machine);
+  const auto& held = ledger_.held_by(m.last_heartbeat.machine);
   if (m.is_fenced()) {
-    for (const auto& [task, attempts] : m.last.tasks) {
+    for (const auto& [task, attempts] : m.last_heartbeat.tasks) {
       const auto h = held.find(task);
       for (const auto& t : attempts) {
         // Forgotten only once its end is on record and no copy of its start can arrive any more:
@@ -467,13 +469,14 @@
     }
   }
   for (const auto& [task, h] : held) {
-    if (h.agent_incarnation != m.last.agent_incarnation || m.evict.contains(task)) continue;
+    if (h.agent_incarnation != m.last_heartbeat.agent_incarnation || m.evict.contains(task))
+      continue;
     const Job* job = ledger_.job(task.job);
     if (!job || job->cancelled()) continue;
     const base::Attempt attempt = h.attempt;
-    const auto reported = m.last.tasks.find(task);
-    const bool known = reported != m.last.tasks.end() &&
-                       std::any_of(reported->second.begin(), reported->second.end(),
+    const auto reported_attempt = m.last_heartbeat.tasks.find(task);
+    const bool known = reported_attempt != m.last_heartbeat.tasks.end() &&
+                       std::any_of(reported_attempt->second.begin(), reported_attempt->second.end(),
                                    [&](const auto& t) { return t.attempt == attempt; });
     if (!known) out.push_back({Command::Op::kRun, task, attempt, {}});
   }
@@ -529,42 +532,43 @@
 
 // --- siblings
 
-bool Controller::fresh(const Machine& m, Time now) const {
-  return m.is_confirmed() && !m.deaf() && heard_lately(m, now);
+bool Controller::is_schedulable(const Machine& m, Time now) const {
+  return m.is_confirmed() && !m.deaf() && has_recent_heartbeat(m, now);
 }
 
-bool Controller::heard_lately(const Machine& m, Time now) const {
-  return base::between(m.heard, now) < settings_.report_every * 2.5;
+bool Controller::has_recent_heartbeat(const Machine& m, Time now) const {
+  return base::between(m.last_heartbeat_at, now) < settings_.heartbeat_interval * 2.5;
 }
 
 const bookkeeping::Outlook& Controller::look(const Machine& m) const {
   bookkeeping::Outlook& o = m.outlook;
-  const bool same = o.known && o.agent_incarnation == m.last.agent_incarnation &&
-                    o.sequence == m.last.sequence && o.evicted == m.evict.size();
+  const bool same = o.known && o.agent_incarnation == m.last_heartbeat.agent_incarnation &&
+                    o.sequence == m.last_heartbeat.sequence && o.evicted == m.evict.size();
   if (same && o.checked == ledger_.last_stamp()) return o;
-  const std::uint64_t stamp = ledger_.stamp(m.last.machine);
+  const std::uint64_t stamp = ledger_.stamp(m.last_heartbeat.machine);
   if (same && o.stamp == stamp) {
     o.checked = ledger_.last_stamp();
     return o;
   }
   o = {};
   o.checked = ledger_.last_stamp();
-  const auto* type = ledger_.type(m.last.type);
+  const auto* type = ledger_.type(m.last_heartbeat.type);
   o.known = type != nullptr;
   o.stamp = stamp;
-  o.agent_incarnation = m.last.agent_incarnation;
-  o.sequence = m.last.sequence;
+  o.agent_incarnation = m.last_heartbeat.agent_incarnation;
+  o.sequence = m.last_heartbeat.sequence;
   o.evicted = m.evict.size();
   if (type) o.free = type->size;
-  const auto& held = ledger_.held_by(m.last.machine);
+  const auto& held = ledger_.held_by(m.last_heartbeat.machine);
   o.held = static_cast<std::uint32_t>(held.size());
   for (const auto& [task, h] : held) {
     const Job* job = ledger_.job(task.job);
     if (!job) continue;
     const auto& spec = job->record.spec;
-    if (h.agent_incarnation < m.last.agent_incarnation) {
+    if (h.agent_incarnation < m.last_heartbeat.agent_incarnation) {
       o.over.push_back({task, "worker began a new session", false});
-    } else if (const auto* t = reported(m, task, h); t && t->state == protocol::TaskState::kEnded) {
+    } else if (const auto* t = reported_attempt(m, task, h);
+               t && t->state == protocol::TaskState::kEnded) {
       o.over.push_back(
           {task, protocol::to_string(t->cause),
            t->cause == protocol::Cause::kDone && spec.kind != protocol::Kind::kService});
@@ -579,7 +583,7 @@
     }
   }
   bool strange = false;
-  for (const auto& [task, attempts] : m.last.tasks) {
+  for (const auto& [task, attempts] : m.last_heartbeat.tasks) {
     const auto h = held.find(task);
     for (const auto& t : attempts) {
       if (t.state == protocol::TaskState::kEnded) continue;
@@ -601,30 +605,31 @@
 void Controller::update_room(Machine& m, Time now) {
   const bookkeeping::Outlook& o = look(m);
   MachineRoom& r = m.room;
-  const bool silent = !fresh(m, now);
-  const bool soon = !m.closed && !m.is_confirmed() && !m.deaf() && heard_lately(m, now);
-  const bool unsure = m.lost_answers > 0 && base::between(m.heard, now) < kDeafRound;
+  const bool silent = !is_schedulable(m, now);
+  const bool soon = !m.closed && !m.is_confirmed() && !m.deaf() && has_recent_heartbeat(m, now);
+  const bool unsure = m.lost_answers > 0 && base::between(m.last_heartbeat_at, now) < kDeafRound;
   const bool open = !m.closed && !silent;
   const Time idle = o.held > 0 ? Time{} : m.idle_since;
-  const std::pair report(m.last.agent_incarnation, m.last.sequence);
+  const std::pair heartbeat(m.last_heartbeat.agent_incarnation, m.last_heartbeat.sequence);
   const bool is_new = m.room_changed == 0;
   // A report later than any that is well: no reason yet to leave the machine alone, but with its
   // knocks elsewhere a sign that it can't reach this node.
-  const bool late = base::between(m.heard, now) > settings_.report_every * bookkeeping::kOverdue;
+  const bool late = base::between(m.last_heartbeat_at, now) >
+                    settings_.heartbeat_interval * bookkeeping::kOverdue;
   if (!is_new && r.silent == silent && r.late == late && r.soon == soon && r.unsure == unsure &&
       r.open == open && r.idle_since == idle && r.tasks == o.held && r.free == o.free &&
       r.lower == o.lower &&
-      (m.room_report == report ||
+      (m.room_report == heartbeat ||
        std::equal(r.images.begin(), r.images.end(), m.images.begin(), m.images.end(),
                   [](const std::string& a, const auto& b) { return a == b.first; }))) {
-    m.room_report = report;
+    m.room_report = heartbeat;
     return;
   }
   if (is_new) {
-    r.id = m.last.machine;
-    r.type = m.last.type;
-    r.zone = m.last.zone;
-    r.spot = m.last.spot;
+    r.id = m.last_heartbeat.machine;
+    r.type = m.last_heartbeat.type;
+    r.zone = m.last_heartbeat.zone;
+    r.spot = m.last_heartbeat.spot;
   }
   r.silent = silent;
   r.late = late;
@@ -635,10 +640,10 @@
   r.lower = o.lower;
   r.tasks = o.held;
   r.idle_since = idle;
-  if (is_new || m.room_report != report) {
+  if (is_new || m.room_report != heartbeat) {
     r.images.clear();
     for (const auto& [image, gb] : m.images) r.images.push_back(image);
-    m.room_report = report;
+    m.room_report = heartbeat;
   }
   m.room_changed = ++told_;
 }
@@ -710,7 +715,7 @@
   s.claims = status.claims;
   s.contact = status.contact;
   s.suspects = {status.suspects.begin(), status.suspects.end()};
-  s.heard = now;
+  s.last_heartbeat_at = now;
   for (const MachineId& id : status.left) s.rooms.erase(id);
   for (const MachineRoom& m : status.machines) {
     if (!gone_.contains(m.id)) zones_[m.id] = m.zone;
@@ -732,7 +737,7 @@
 
 bool Controller::others_have_state(Time now) const {
   return std::any_of(siblings_.begin(), siblings_.end(), [&](const auto& s) {
-    return s.second.has_state && base::between(s.second.heard, now) < Seconds(2.5);
+    return s.second.has_state && base::between(s.second.last_heartbeat_at, now) < Seconds(2.5);
   });
 }
 
@@ -748,7 +753,7 @@
   for (const ControllerIncarnation& member : ledger_.view()->members) {
     const auto s = siblings_.find(member.member);
     if (member == self_ || s == siblings_.end() || s->second.from != member ||
-        base::between(s->second.heard, now) > remembered) {
+        base::between(s->second.last_heartbeat_at, now) > remembered) {
       continue;
     }
     out.emplace_back(member.member, std::vector<const MachineRoom*>{});
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -30,10 +30,10 @@
 using bookkeeping::Ledger;
 using bookkeeping::Machine;
 using protocol::Command;
+using protocol::Heartbeat;
 using protocol::Item;
 using protocol::JobId;
 using protocol::MemberStatus;
-using protocol::Report;
 using protocol::Transaction;
 
 // A sibling that was not reached for this long counts as cut off.
@@ -127,10 +127,11 @@
   std::optional<Transaction> tend_view(Time now, base::LeaseId lease);
 
   // --- workers
-  WorkerReply hello(const Report& report, Time now);
+  WorkerReply handle_heartbeat(const Heartbeat& heartbeat, Time now);
   // Claims, by way of the store, for when the leader is out of reach.
   std::optional<Transaction> claim(Time now);
-  void order_answered(const MachineId& machine, const std::optional<Report>& report, Time now);
+  void handle_order_reply(const MachineId& machine, const std::optional<Heartbeat>& heartbeat,
+                          Time now);
   // A direct order was not answered: until the machine reports again, what it is to do goes with
   // the answer to its report. With dozens of dead machines, waiting for each held up all orders.
   void order_lost(const MachineId& machine);
@@ -196,7 +197,7 @@
     std::vector<MachineId> give_back, knocked, claims;
     std::set<JobId> suspects;
     protocol::WorkerContact contact = protocol::WorkerContact::kUnknown;
-    Time heard{};
+    Time last_heartbeat_at{};
   };
   using Parts = std::vector<std::pair<MemberId, std::vector<const MachineRoom*>>>;
   struct PoolEntry {
@@ -212,9 +213,9 @@
   const ControllerIncarnation* owner(const MachineId& machine) const;
   bool owns(const MachineId& machine) const;
   // Does it report, and hear what it is answered?
-  bool fresh(const Machine& m, Time now) const;
-  bool heard_lately(const Machine& m, Time now) const;
-  void observe(const Report& report, Time now, bool is_hello);
+  bool is_schedulable(const Machine& m, Time now) const;
+  bool has_recent_heartbeat(const Machine& m, Time now) const;
+  void record_heartbeat(const Heartbeat& heartbeat, Time now, bool renews_lease);
   std::vector<Command> reconcile(const Machine& m) const;
   std::vector<Command> stops_for(const Machine& m) const;
   const bookkeeping::Outlook& look(const Machine& m) const;
@@ -247,10 +248,10 @@
   // All members' claims that the leader has heard of, if it is time for a view that follows them.
   std::map<MachineId, ControllerIncarnation> heard_claims(Time now);
   std::string zone_of(const MachineId& machine) const;
-  static const protocol::ReportedTask* reported(const Machine& m, const TaskId& task,
-                                                const protocol::Held& held);
+  static const protocol::ReportedAttempt* reported_attempt(const Machine& m, const TaskId& task,
+                                                           const protocol::Held& held);
   // Has the machine reported the end of this attempt? Its room is free then, on record or not.
-  static bool reported_over(const Machine& m, const TaskId& task, const protocol::Held& held);
+  static bool reported_ended(const Machine& m, const TaskId& task, const protocol::Held& held);
   // A job that was offered to this part, and which of its tasks wait here.
   struct WaitingJob {
     const Job* job;
@@ -279,7 +280,7 @@
   std::vector<int> order_by_due(const std::vector<WaitingJob>& waiting,
                                 const std::vector<Bin>& bins, Time now) const;
   void place(std::vector<WaitingJob>& waiting, Time now, RoundPlan& plan);
-  bool may_start(const WaitingJob& w, const Report& r, const Resources& planned) const;
+  bool may_start(const WaitingJob& w, const Heartbeat& r, const Resources& planned) const;
   int preference(const protocol::JobSpec& spec, const Machine& m,
                  std::optional<Seconds> start_within, bool displaces, Time now) const;
   static void record_starts(RecordBatch& batch, RoundPlan& plan);
--- a/src/coordination/ends.cpp
+++ b/src/coordination/ends.cpp
@@ -28,7 +28,7 @@
     }
     const Time since = owned_since_.try_emplace(machine, now).first->second;
     Time last_answer = base::after(since, settings_.tuning.member_ttl);
-    if (m) last_answer = std::max(last_answer, m->answered);
+    if (m) last_answer = std::max(last_answer, m->last_answered_at);
     const bool expired = now > base::after(last_answer, lease);
     std::set<TaskId> told;
     if (m) {
@@ -47,7 +47,7 @@
     // must not bring its tasks back.
     if (m) {
       auto& ended = ended_incarnations_[machine];
-      ended = std::max(ended, m->last.agent_incarnation);
+      ended = std::max(ended, m->last_heartbeat.agent_incarnation);
     }
   };
   // What reports here is owned: a new view sorts out the rest.
@@ -57,18 +57,18 @@
   }
 }
 
-const protocol::ReportedTask* Controller::reported(const Machine& m, const TaskId& task,
-                                                   const protocol::Held& held) {
-  if (held.agent_incarnation != m.last.agent_incarnation) return nullptr;
-  const auto at = m.last.tasks.find(task);
-  if (at == m.last.tasks.end()) return nullptr;
+const protocol::ReportedAttempt* Controller::reported_attempt(const Machine& m, const TaskId& task,
+                                                              const protocol::Held& held) {
+  if (held.agent_incarnation != m.last_heartbeat.agent_incarnation) return nullptr;
+  const auto at = m.last_heartbeat.tasks.find(task);
+  if (at == m.last_heartbeat.tasks.end()) return nullptr;
   const auto t = std::find_if(at->second.begin(), at->second.end(),
                               [&](const auto& r) { return r.attempt == held.attempt; });
   return t == at->second.end() ? nullptr : &*t;
 }
 
-bool Controller::reported_over(const Machine& m, const TaskId& task, const protocol::Held& held) {
-  const auto* t = reported(m, task, held);
+bool Controller::reported_ended(const Machine& m, const TaskId& task, const protocol::Held& held) {
+  const auto* t = reported_attempt(m, task, held);
   return t && t->state == TaskState::kEnded;
 }
 
--- a/src/coordination/fleet_control.cpp
+++ b/src/coordination/fleet_control.cpp
@@ -92,7 +92,7 @@
   const Parts known = parts(now, kRoomRemembered);
   actions.release = releases_due(known, now);
   // Renting while a part's machines are unknown would pay for them twice.
-  const Seconds settle = settings_.report_every * 2.0 + Seconds(1.0);
+  const Seconds settle = settings_.heartbeat_interval * 2.0 + Seconds(1.0);
   if (known.size() < ledger_.view()->members.size() ||
       base::between(std::max(led_since_, followed_at_), now) < settle) {
     return actions;
@@ -120,7 +120,8 @@
   const auto own_knocked = knocked(now);
   std::set<MachineId> well(own_knocked.begin(), own_knocked.end());
   for (const auto& [member, s] : siblings_) {
-    if (base::between(s.heard, now) > kStatusFresh || !has_member(*ledger_.view(), s.from)) {
+    if (base::between(s.last_heartbeat_at, now) > kStatusFresh ||
+        !has_member(*ledger_.view(), s.from)) {
       continue;
     }
     release.insert(s.give_back.begin(), s.give_back.end());
--- a/src/coordination/handover.cpp
+++ b/src/coordination/handover.cpp
@@ -53,7 +53,7 @@
     const auto s = of ? siblings_.find(of->member) : siblings_.end();
     bool lost = false;
     if (s != siblings_.end() && s->second.from == *of &&
-        base::between(s->second.heard, now) < kStatusRecent) {
+        base::between(s->second.last_heartbeat_at, now) < kStatusRecent) {
       // The owner itself says whether it hears the machine.
       const auto& rooms = s->second.rooms;
       const auto room = rooms.find(id);
@@ -131,14 +131,14 @@
     if (machines_.contains(id) || gone_.contains(id) || ledger_.held_by(id).empty()) continue;
     ++owned;
     const Seconds missed = base::between(std::max(since, listening_since()), now);
-    if (missed > settings_.report_every + kWorkerRetry) ++overdue;
+    if (missed > settings_.heartbeat_interval + kWorkerRetry) ++overdue;
   }
   return {owned, overdue};
 }
 
 bool Controller::is_overdue(const Machine& m, Time now) const {
-  const Time heard = std::max(m.heard, listening_since());
-  return base::between(heard, now) > settings_.report_every * kLostIntervals;
+  const Time heard = std::max(m.last_heartbeat_at, listening_since());
+  return base::between(heard, now) > settings_.heartbeat_interval * kLostIntervals;
 }
 
 protocol::WorkerContact Controller::contact_of(const ControllerIncarnation& member,
@@ -146,7 +146,7 @@
   if (member == self_) return worker_contact(now);
   const auto at = siblings_.find(member.member);
   const bool known = at != siblings_.end() && at->second.from == member &&
-                     base::between(at->second.heard, now) < kStatusRecent;
+                     base::between(at->second.last_heartbeat_at, now) < kStatusRecent;
   return known ? at->second.contact : protocol::WorkerContact::kUnknown;
 }
 
@@ -206,7 +206,7 @@
   if (view) {
     take(self_, claims(now));
     for (const auto& [member, s] : siblings_) {
-      if (has_member(*view, s.from) && base::between(s.heard, now) < kStatusRecent) {
+      if (has_member(*view, s.from) && base::between(s.last_heartbeat_at, now) < kStatusRecent) {
         take(s.from, s.claims);
       }
     }
@@ -218,7 +218,8 @@
   }
   if (!claimed_at_) claimed_at_ = now;
   const bool complete = stored || owners_lost;
-  if (!complete && base::between(*claimed_at_, now) < settings_.report_every * 0.5 + Seconds(1.0)) {
+  if (!complete &&
+      base::between(*claimed_at_, now) < settings_.heartbeat_interval * 0.5 + Seconds(1.0)) {
     return {};
   }
   claimed_at_.reset();
--- a/src/coordination/preemption.cpp
+++ b/src/coordination/preemption.cpp
@@ -64,9 +64,9 @@
 std::vector<Controller::Victim> Controller::candidates(const Preemption& p, const Machine& m,
                                                        Time now) const {
   std::vector<Victim> out;
-  for (const auto& [task, held] : ledger_.held_by(m.last.machine)) {
+  for (const auto& [task, held] : ledger_.held_by(m.last_heartbeat.machine)) {
     const Job* other = ledger_.job(task.job);
-    if (!other || other->cancelled() || m.evict.contains(task) || reported_over(m, task, held) ||
+    if (!other || other->cancelled() || m.evict.contains(task) || reported_ended(m, task, held) ||
         !may_stop(p, *other)) {
       continue;
     }
@@ -85,7 +85,7 @@
   const auto& spec = p.job->record.spec;
   Resources room = look(m).free;
   room += being_stopped(m);
-  if (const auto taken = p.taken.find(m.last.machine); taken != p.taken.end())
+  if (const auto taken = p.taken.find(m.last_heartbeat.machine); taken != p.taken.end())
     room -= taken->second;
   // What a guarantee may take is more than what is of lower rank.
   if (!priorities_.is_guaranteed(*p.job)) {
@@ -114,7 +114,8 @@
   Machine* best = nullptr;
   Sacrifice least;
   for (auto& [id, m] : machines_) {
-    if (m.closed || !fresh(m, now) || !may_run(spec, m.last.type, m.last.zone, m.last.spot) ||
+    if (m.closed || !is_schedulable(m, now) ||
+        !may_run(spec, m.last_heartbeat.type, m.last_heartbeat.zone, m.last_heartbeat.spot) ||
         (with_image && !m.has_image(spec.image))) {
       continue;
     }
@@ -126,14 +127,14 @@
     least = std::move(*sacrifice);
   }
   if (!best) return false;
-  p.taken[best->last.machine] += spec.need;
+  p.taken[best->last_heartbeat.machine] += spec.need;
   // What is made room here is kept for it: given away to what was stopped, it had to be made
   // again and again, and never was enough.
-  gathered_.try_emplace(best->last.machine,
+  gathered_.try_emplace(best->last_heartbeat.machine,
                         Gathered{spec.id, base::after(now, kPreemptRepeat), false});
   for (const TaskId& v : least.tasks) {
     spdlog::info("{}/{} on {} is stopped to make room for {}", v.job.get(), v.no,
-                 best->last.machine.get(), spec.id.get());
+                 best->last_heartbeat.machine.get(), spec.id.get());
     best->evict.insert(v);
     if (const Job* other = ledger_.job(v.job))
       p.stopping[other->record.spec.team] += other->record.spec.need.cores();
--- a/src/coordination/rounds.cpp
+++ b/src/coordination/rounds.cpp
@@ -33,15 +33,15 @@
   for (const auto& [id, m] : machines_) {
     const auto g = gathered_.find(id);
     if (g != gathered_.end() && g->second.job == spec.id) return;
-    if (g != gathered_.end() || m.closed || !fresh(m, now) ||
-        !may_run(spec, m.last.type, m.last.zone, m.last.spot)) {
+    if (g != gathered_.end() || m.closed || !is_schedulable(m, now) ||
+        !may_run(spec, m.last_heartbeat.type, m.last_heartbeat.zone, m.last_heartbeat.spot)) {
       continue;
     }
     // What it will have once the tasks that end by themselves have ended.
     Resources later = look(m).free;
     for (const auto& [task, held] : ledger_.held_by(id)) {
       const Job* other = ledger_.job(task.job);
-      if (other && other->record.spec.kind != Kind::kService && !reported_over(m, task, held)) {
+      if (other && other->record.spec.kind != Kind::kService && !reported_ended(m, task, held)) {
         later += other->record.spec.need;
       }
     }
@@ -49,13 +49,14 @@
     if (!best || look(m).free.cores() > look(*best).free.cores()) best = &m;
   }
   if (!best) return;
-  spdlog::info("machine {} is kept free until {} fits", best->last.machine.get(), spec.id.get());
-  gathered_[best->last.machine] = {spec.id, base::after(now, kGatherFor), true};
+  spdlog::info("machine {} is kept free until {} fits", best->last_heartbeat.machine.get(),
+               spec.id.get());
+  gathered_[best->last_heartbeat.machine] = {spec.id, base::after(now, kGatherFor), true};
 }
 
 Seconds Controller::fetch_time(const Machine& m, const protocol::JobSpec& spec) const {
   if (m.has_image(spec.image)) return Seconds(0);
-  const auto* type = ledger_.type(m.last.type);
+  const auto* type = ledger_.type(m.last_heartbeat.type);
   if (!type || type->fetch_gb_per_s <= 0) return Seconds(0);
   // Images fetched at the same time share the rate.
   const double sharing = 1.0 + static_cast<double>(m.pulling.size() - m.pulling.count(spec.image));
@@ -65,11 +66,11 @@
 // The room of tasks that were told to stop and have not ended yet.
 Resources Controller::being_stopped(const Machine& m) const {
   Resources room;
-  const auto& held = ledger_.held_by(m.last.machine);
+  const auto& held = ledger_.held_by(m.last_heartbeat.machine);
   for (const TaskId& t : m.evict) {
     const auto h = held.find(t);
     const Job* job = ledger_.job(t.job);
-    if (job && h != held.end() && !reported_over(m, t, h->second)) room += job->record.spec.need;
+    if (job && h != held.end() && !reported_ended(m, t, h->second)) room += job->record.spec.need;
   }
   return room;
 }
@@ -82,8 +83,8 @@
   const auto since = preempting_.find(spec.id);
   if (since != preempting_.end() && base::between(since->second, now) > kDisplaceFor) return false;
   for (const auto& [id, m] : machines_) {
-    if (m.closed || !fresh(m, now) || !m.has_image(spec.image) ||
-        !may_run(spec, m.last.type, m.last.zone, m.last.spot)) {
+    if (m.closed || !is_schedulable(m, now) || !m.has_image(spec.image) ||
+        !may_run(spec, m.last_heartbeat.type, m.last_heartbeat.zone, m.last_heartbeat.spot)) {
       continue;
     }
     Resources room = look(m).free;
@@ -174,12 +175,12 @@
 Controller::OpenMachines Controller::open_machines(Time now) {
   OpenMachines open;
   for (auto& [id, m] : machines_) {
-    const auto* type = ledger_.type(m.last.type);
+    const auto* type = ledger_.type(m.last_heartbeat.type);
     if (!type) continue;
     for (std::size_t i = 0; i < open.scale.v.size(); ++i) {
       open.scale.v[i] = std::max(open.scale.v[i], type->size.v[i]);
     }
-    if (m.closed || !fresh(m, now)) continue;
+    if (m.closed || !is_schedulable(m, now)) continue;
     open.bins.push_back({look(m).free});
     open.machines.push_back(&m);
   }
@@ -224,10 +225,10 @@
     g.count = w.tasks.size();
     g.tier = (first ? -1 : priorities_.tier(*w.job)) * jobs + order[i];
     g.allowed = [&, this](std::size_t b) {
-      return may_start(w, open.machines[b]->last, planned[spec.team]);
+      return may_start(w, open.machines[b]->last_heartbeat, planned[spec.team]);
     };
     g.placed = [&](std::size_t b) {
-      const Report& r = open.machines[b]->last;
+      const Heartbeat& r = open.machines[b]->last_heartbeat;
       const auto no = std::find_if(w.tasks.begin(), w.tasks.end(), [&](TaskNo n) {
         return !r.tasks.contains(TaskId{spec.id, n});
       });
@@ -247,7 +248,8 @@
 }
 
 // May one more task of the job start on this machine, with what was planned for its team before?
-bool Controller::may_start(const WaitingJob& w, const Report& r, const Resources& planned) const {
+bool Controller::may_start(const WaitingJob& w, const Heartbeat& r,
+                           const Resources& planned) const {
   const auto& spec = w.job->record.spec;
   if (w.tasks.empty()) return false;
   if (spec.one_zone || spec.spread) {
@@ -279,17 +281,18 @@
 // takes all that runs there: services go where controllers are, and other work leaves them the room.
 int Controller::preference(const protocol::JobSpec& spec, const Machine& m,
                            std::optional<Seconds> start_within, bool displaces, Time now) const {
-  if (!may_run(spec, m.last.type, m.last.zone, m.last.spot)) return -1;
-  const auto kept = gathered_.find(m.last.machine);
+  if (!may_run(spec, m.last_heartbeat.type, m.last_heartbeat.zone, m.last_heartbeat.spot))
+    return -1;
+  const auto kept = gathered_.find(m.last_heartbeat.machine);
   if (kept != gathered_.end() && kept->second.job != spec.id) return -1;
-  if (failures_.avoids(spec.id, m.last.machine, now)) return -1;
+  if (failures_.avoids(spec.id, m.last_heartbeat.machine, now)) return -1;
   const bool quick = !start_within || fetch_time(m, spec) < *start_within * 0.75;
   const int image = m.has_image(spec.image)          ? 0
                     : m.pulling.contains(spec.image) ? 2
                     : quick                          ? 4
                                                      : kSlowFetch;
   if (displaces && image == kSlowFetch) return -1;
-  const bool reachable = settings_.controller_zones.contains(m.last.zone);
+  const bool reachable = settings_.controller_zones.contains(m.last_heartbeat.zone);
   return image + (reachable == (spec.kind == Kind::kService) ? 0 : 1);
 }
 
@@ -348,14 +351,15 @@
   std::map<MachineId, Order> by_machine;
   for (const RoundPlan::Start& s : plan.starts) {
     const auto at = machines_.find(s.held.machine);
-    if (at == machines_.end() || at->second.last.agent_incarnation != s.held.agent_incarnation)
+    if (at == machines_.end() ||
+        at->second.last_heartbeat.agent_incarnation != s.held.agent_incarnation)
       continue;
     Machine& m = at->second;
     Order& o = by_machine[s.held.machine];
     o.machine = s.held.machine;
-    o.address = m.last.address;
+    o.address = m.last_heartbeat.address;
     o.fencing_token = m.fencing_token;
-    o.agent_incarnation = m.last.agent_incarnation;
+    o.agent_incarnation = m.last_heartbeat.agent_incarnation;
     o.commands.push_back({Command::Op::kRun, s.task, s.held.attempt, {}});
     m.idle_since = now;
     const Job* job = ledger_.job(s.task.job);
@@ -380,8 +384,8 @@
   std::erase_if(stop_sent_,
                 [&](const auto& s) { return base::between(s.second, now) > kStopRepeat; });
   for (const auto& [id, m] : machines_) {
-    if (!look(m).stops || m.order_lost || !fresh(m, now)) continue;
-    Order o{id, m.last.address, m.fencing_token, m.last.agent_incarnation, {}};
+    if (!look(m).stops || m.order_lost || !is_schedulable(m, now)) continue;
+    Order o{id, m.last_heartbeat.address, m.fencing_token, m.last_heartbeat.agent_incarnation, {}};
     for (const Command& c : stops_for(m)) {
       if (stop_sent_.try_emplace({c.task, c.attempt.get()}, now).second) {
         o.commands.push_back(c);
--- a/src/coordination/upkeep.cpp
+++ b/src/coordination/upkeep.cpp
@@ -57,7 +57,8 @@
   const Job* job = ledger_.job(id);
   if (job && job->done > 0) return false;
   return std::any_of(siblings_.begin(), siblings_.end(), [&](const auto& s) {
-    return base::between(s.second.heard, now) < kSuspicionFresh && s.second.suspects.contains(id);
+    return base::between(s.second.last_heartbeat_at, now) < kSuspicionFresh &&
+           s.second.suspects.contains(id);
   });
 }
 
@@ -75,7 +76,7 @@
 
 // Stops one service on a machine that is being emptied, if it finds room with its image elsewhere now.
 void Controller::move_service_away(Machine& m, const Parts& known, Time now) {
-  const MachineId& id = m.last.machine;
+  const MachineId& id = m.last_heartbeat.machine;
   // One service at a time, and none that a user would still count as just started.
   const bool moving = std::any_of(m.evict.begin(), m.evict.end(),
                                   [&](const TaskId& t) { return ledger_.held_by(id).contains(t); });
@@ -107,7 +108,7 @@
   const Seconds set = settings_.tuning.mute_release;
   const auto patience = [&](double reports, Seconds more) {
     if (set.count() > 0) return set;
-    return std::max(settings_.report_every * reports + more, settings_.worker_lease * 0.35);
+    return std::max(settings_.heartbeat_interval * reports + more, settings_.worker_lease * 0.35);
   };
   // One whose answer was lost waits for it, tries the next node and is sent back here.
   const Seconds quiet = std::max(patience(1.75, Seconds(1.0)), set.count() > 0 ? set : kLostAnswer);
@@ -118,21 +119,21 @@
   std::optional<Parts> known;
   for (auto& [id, m] : machines_) {
     m.give_back = m.closed && ledger_.held_by(id).empty() && !look(m).active;
-    if (m.draining && fresh(m, now)) {
+    if (m.draining && is_schedulable(m, now)) {
       if (!known) known = parts(now, kRoomToMove);
       move_service_away(m, *known, now);
     }
     const bool overdue = m.taken_at && now > *m.taken_at;
     // While this node might not answer, workers went from node to node: that is no silence.
-    const Time heard = std::max(m.heard, listening_since());
+    const Time heard = std::max(m.last_heartbeat_at, listening_since());
     const bool silent =
-        base::between(heard, now) > (overdue ? settings_.report_every * 2.0 : quiet);
+        base::between(heard, now) > (overdue ? settings_.heartbeat_interval * 2.0 : quiet);
     // Reports that arrive while no answer does, or late copies of a dead machine's.
     const bool deaf =
         m.deaf() && base::between(std::max(*m.deaf_since, listening_since()), now) > unanswered;
     if (silent || deaf) mute.insert(id);
     if (silent || deaf ||
-        base::between(heard, now) > settings_.report_every * bookkeeping::kOverdue)
+        base::between(heard, now) > settings_.heartbeat_interval * bookkeeping::kOverdue)
       ++late;
   }
   for (const MachineId& id : unheard_owned(now)) {
@@ -141,7 +142,7 @@
     const Time since = owned_since_.try_emplace(id, now).first->second;
     // Workers whose node is gone need a while to find their new one.
     const Seconds missed = base::between(std::max(since, listening_since()), now);
-    const Seconds on_its_way = settings_.report_every + Seconds(6.0);
+    const Seconds on_its_way = settings_.heartbeat_interval + Seconds(6.0);
     if (missed > std::max(quiet, on_its_way)) mute.insert(id);
     if (missed > on_its_way) ++late;
   }
@@ -153,13 +154,13 @@
   if (late > std::max<std::size_t>(1, owned / 5)) many_mute_at_ = now;
   const bool few =
       !many_mute_at_ || base::between(*many_mute_at_, now) >
-                            settings_.worker_lease * 0.5 + settings_.report_every * 4.0;
+                            settings_.worker_lease * 0.5 + settings_.heartbeat_interval * 4.0;
   std::set<MachineId> next;
   for (const MachineId& id : mute) {
     const auto at = machines_.find(id);
     const Time since = at == machines_.end()   ? owned_since_[id]
                        : at->second.deaf_since ? *at->second.deaf_since
-                                               : at->second.heard;
+                                               : at->second.last_heartbeat_at;
     if (few || mute_.contains(id) || base::between(since, now) > settings_.worker_lease * 6.0) {
       if (!mute_.contains(id)) spdlog::info("machine {} is silent: to be released", id.get());
       next.insert(id);
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -119,7 +119,7 @@
 
 Node::Reply Node::serve(const Request& req) {
   if (req.path == "/hello") {
-    return req.method == "POST" ? hello(req.body) : error(405, "wrong method");
+    return req.method == "POST" ? handle_heartbeat(req.body) : error(405, "wrong method");
   }
   if (req.path == "/ready") return req.method == "GET" ? ready() : error(405, "wrong method");
   const bool admitted = asking_.fetch_add(1) < most_asking_;
@@ -162,18 +162,18 @@
   return ok ? Reply{200, R"({"ready":true})", 0} : error(503, "not ready", 1);
 }
 
-Node::Reply Node::hello(const std::string& body) {
-  const auto report = protocol::parse_report(body);
-  if (!report) return error(400, "not a report");
+Node::Reply Node::handle_heartbeat(const std::string& body) {
+  const auto heartbeat = protocol::parse_heartbeat(body);
+  if (!heartbeat) return error(400, "not a report");
   bool news = false;
   const auto reply = locked([&](coordination::Controller& c) {
-    auto r = c.hello(*report, now());
+    auto r = c.handle_heartbeat(*heartbeat, now());
     if (r.status == 200) {
-      news = std::any_of(report->tasks.begin(), report->tasks.end(), [](const auto& t) {
+      news = std::any_of(heartbeat->tasks.begin(), heartbeat->tasks.end(), [](const auto& t) {
         return std::any_of(t.second.begin(), t.second.end(),
                            [](const auto& a) { return a.state == protocol::TaskState::kEnded; });
       });
-      news = news || report->tasks.empty();
+      news = news || heartbeat->tasks.empty();
     }
     return r;
   });
@@ -682,7 +682,7 @@
       locked([&](auto& c) { c.order_lost(o.machine); });
       continue;
     }
-    locked([&](auto& c) { c.order_answered(o.machine, a.report, now()); });
+    locked([&](auto& c) { c.handle_order_reply(o.machine, a.heartbeat, now()); });
   }
 }
 
--- a/src/node.h
+++ b/src/node.h
@@ -65,7 +65,7 @@
   Reply serve(const Request& req);
   Reply serve_user(const Request& req);
   Reply ready();
-  Reply hello(const std::string& body);
+  Reply handle_heartbeat(const std::string& body);
 
   // Siblings
   Reply serve_sibling(const Request& req);
--- a/src/protocol/clients.cpp
+++ b/src/protocol/clients.cpp
@@ -316,7 +316,7 @@
   out.sent = a.sent;
   if (a.sent != Sent::kYes) return out;
   out.executed = a.status == 200;
-  if (a.status == 200 || a.status == 409) out.report = parse_report(a.body);
+  if (a.status == 200 || a.status == 409) out.heartbeat = parse_heartbeat(a.body);
   return out;
 }
 
--- a/src/protocol/clients.h
+++ b/src/protocol/clients.h
@@ -95,7 +95,7 @@
   struct Answered {
     transport::Sent sent = transport::Sent::kNo;
     bool executed = false;
-    std::optional<Report> report;
+    std::optional<Heartbeat> heartbeat;
   };
   Answered order(const std::string& address, FencingToken fencing_token,
                  AgentIncarnation agent_incarnation, const std::vector<Command>& commands,
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -213,29 +213,29 @@
   return kWords[static_cast<std::size_t>(cause)];
 }
 
-std::optional<Report> parse_report(const std::string& body) {
+std::optional<Heartbeat> parse_heartbeat(const std::string& body) {
   const Json root = Json::parse(body, nullptr, false);
   if (!root.is_object()) return {};
   Reader r(root);
   constexpr auto kAny = std::numeric_limits<std::uint64_t>::max();
-  Report rep;
-  rep.machine = MachineId(r.text("mount"));
-  rep.address = r.text("endpoint");
-  rep.type = r.text("breed");
-  rep.zone = r.text("paddock");
-  rep.spot = r.find("strays") && r.flag("strays");
-  rep.agent_incarnation = AgentIncarnation(r.count("ride", 0, kAny));
-  rep.sequence = Sequence(r.count("tally", 0, kAny));
-  rep.fencing_token =
+  Heartbeat heartbeat;
+  heartbeat.machine = MachineId(r.text("mount"));
+  heartbeat.address = r.text("endpoint");
+  heartbeat.type = r.text("breed");
+  heartbeat.zone = r.text("paddock");
+  heartbeat.spot = r.find("strays") && r.flag("strays");
+  heartbeat.agent_incarnation = AgentIncarnation(r.count("ride", 0, kAny));
+  heartbeat.sequence = Sequence(r.count("tally", 0, kAny));
+  heartbeat.fencing_token =
       FencingToken(r.find("reins") && !r.find("reins")->is_null() ? r.count("reins", 0, kAny) : 0);
-  if (const auto n = r.amount_or_null("recall_s", -kMost)) rep.notice = Seconds(*n);
+  if (const auto n = r.amount_or_null("recall_s", -kMost)) heartbeat.notice = Seconds(*n);
   if (const Json* tasks = r.find("strides"); tasks && !tasks->is_null()) {
     if (!tasks->is_array()) return {};
     for (const Json& t : *tasks) {
       if (!t.is_object()) return {};
       Reader tr(t);
       const auto id = parse_task_id(tr.text("stride"));
-      ReportedTask task;
+      ReportedAttempt task;
       task.attempt = Attempt(tr.count("remount", 0, kAny));
       const std::string state = tr.text("status");
       if (state == "pulling") {
@@ -259,11 +259,11 @@
         task.state = TaskState::kGathering;
       }
       if (!id || !tr.error().empty()) return {};
-      rep.tasks[*id].push_back(task);
+      heartbeat.tasks[*id].push_back(task);
     }
   }
   if (!r.error().empty()) return {};
-  return rep;
+  return heartbeat;
 }
 
 namespace {
@@ -291,7 +291,7 @@
 
 }  // namespace
 
-std::string report_response(FencingToken fencing_token, const std::vector<Command>& commands) {
+std::string heartbeat_response(FencingToken fencing_token, const std::vector<Command>& commands) {
   return Json{{"reins", fencing_token.get()}, {"calls", calls(commands)}}.dump();
 }
 
--- a/src/protocol/messages.h
+++ b/src/protocol/messages.h
@@ -103,14 +103,14 @@
 enum class Cause { kNone, kDone, kHalted, kError, kNoRoom, kBusy, kUnknown };
 const char* to_string(Cause cause);
 
-struct ReportedTask {
+struct ReportedAttempt {
   Attempt attempt;
   TaskState state = TaskState::kPulling;
   Cause cause = Cause::kNone;
-  bool operator==(const ReportedTask&) const = default;
+  bool operator==(const ReportedAttempt&) const = default;
 };
 
-struct Report {
+struct Heartbeat {
   MachineId machine;
   std::string address;
   std::string type;
@@ -120,10 +120,10 @@
   Sequence sequence;
   FencingToken fencing_token;
   std::optional<Seconds> notice;
-  std::map<TaskId, std::vector<ReportedTask>> tasks;  // seldom more than one attempt of a task
+  std::map<TaskId, std::vector<ReportedAttempt>> tasks;  // seldom more than one attempt of a task
 };
 
-std::optional<Report> parse_report(const std::string& body);
+std::optional<Heartbeat> parse_heartbeat(const std::string& body);
 
 struct Command {
   enum class Op { kRun, kKill, kForget } op = Op::kRun;
@@ -132,7 +132,7 @@
   Seconds grace{0};
 };
 
-std::string report_response(FencingToken fencing_token, const std::vector<Command>& commands);
+std::string heartbeat_response(FencingToken fencing_token, const std::vector<Command>& commands);
 std::string orders(FencingToken fencing_token, AgentIncarnation agent_incarnation,
                    const std::vector<Command>& commands);
 std::string redirect(const std::optional<MemberId>& owner);
--- a/tests/parse_test.cpp
+++ b/tests/parse_test.cpp
@@ -92,14 +92,14 @@
   EXPECT_FALSE(parse_chunk(Json("x"), 0, 10));
 }
 
-TEST(Report, SurvivesGarbage) {
+TEST(Heartbeat, SurvivesGarbage) {
   for (const char* text :
        {"", "{}", "[]", R"({"mount":3})",
         R"({"mount":"m","endpoint":"e","breed":"b","paddock":"p","ride":-1,"tally":1})"}) {
-    EXPECT_FALSE(parse_report(text)) << text;
+    EXPECT_FALSE(parse_heartbeat(text)) << text;
   }
   // A state that is not known yet means that the task is there.
-  const auto r = parse_report(
+  const auto r = parse_heartbeat(
       R"({"mount":"m","endpoint":"e","breed":"b","paddock":"p","strays":false,"ride":1,"tally":1,)"
       R"("strides":[{"stride":"run-000001/3","remount":1,"status":"dreaming"}]})");
   ASSERT_TRUE(r);
--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -51,16 +51,16 @@
     late_.erase(late_.begin() + static_cast<std::ptrdiff_t>(i));
     deliver(l.order, l.from);
   }
-  for (std::size_t i = 0; i < late_reports_.size();) {
-    if (t_ < late_reports_[i].at) {
+  for (std::size_t i = 0; i < late_heartbeats_.size();) {
+    if (t_ < late_heartbeats_[i].at) {
       ++i;
       continue;
     }
-    const LateReport late = late_reports_[i];
-    late_reports_.erase(late_reports_.begin() + static_cast<std::ptrdiff_t>(i));
+    const LateHeartbeat late = late_heartbeats_[i];
+    late_heartbeats_.erase(late_heartbeats_.begin() + static_cast<std::ptrdiff_t>(i));
     for (NodeSim& node : nodes_) {
       if (!node.up || !node.loaded) continue;
-      node.controller->hello(late.report, now());
+      node.controller->handle_heartbeat(late.heartbeat, now());
       node.rung = true;
     }
   }
--- a/tests/world.h
+++ b/tests/world.h
@@ -87,8 +87,8 @@
     double copies_after = -1;  // a copy of each report arrives so much later, everywhere
     double boots = 0;
     std::uint64_t agent_incarnation = 1, sequence = 0, fencing_token = 0;
-    double last_answered = 0;  // when its last answered report was sent
-    double next_report = 0;
+    double last_answered_at = 0;  // when its last answered report was sent
+    double next_heartbeat = 0;
     std::size_t node = 0;
     std::map<TaskId, std::vector<Task>> tasks;
     std::optional<double> taken_at;
@@ -99,9 +99,9 @@
     coordination::Order order;
     std::size_t from;
   };
-  struct LateReport {
+  struct LateHeartbeat {
     double at;
-    protocol::Report report;
+    protocol::Heartbeat heartbeat;
   };
   struct NodeSim {
     base::Settings settings;
@@ -159,8 +159,8 @@
   void expire_leases();
   void step_workers();
   void execute(Worker& w, const std::vector<Command>& commands);
-  protocol::Report report_of(Worker& w);
-  void report(Worker& w);
+  protocol::Heartbeat heartbeat_of(Worker& w);
+  void heartbeat(Worker& w);
   void deliver(const coordination::Order& order, std::size_t from);
   void end_agent_incarnation(Worker& w);
   Worker& add_worker(const std::string& id, const std::string& type, const std::string& zone,
@@ -232,7 +232,7 @@
 
   std::map<std::string, Worker> workers_;
   std::vector<Late> late_;
-  std::vector<LateReport> late_reports_;
+  std::vector<LateHeartbeat> late_heartbeats_;
   double hold_orders_until_ = -1;
   bool lose_orders_ = false;
   bool repeat_orders_ = false;
@@ -256,7 +256,7 @@
   std::size_t starts_ = 0;
   std::string teams_ = R"({"name":"t","cpus":0,"cpus_max":0})";
   double troubles_over_ = 0;  // since when nothing is cut, held, down or late
-  double report_s_ = 1, lease_s_ = 10, cancel_s_ = 30;
+  double heartbeat_s_ = 1, lease_s_ = 10, cancel_s_ = 30;
 };
 
 }  // namespace saddleslip::testing
--- a/tests/world_commands.cpp
+++ b/tests/world_commands.cpp
@@ -11,7 +11,7 @@
 // What there is before and between troubles.
 bool World::set_up(CommandLine& line) {
   if (line.word() == "workers") {
-    report_s_ = line.number();
+    heartbeat_s_ = line.number();
     lease_s_ = line.number();
   } else if (line.word() == "team") {
     const std::string team = line.text();
@@ -135,7 +135,7 @@
     // Back before it was missed: nothing is on it, and its next session has begun.
     Worker& w = workers_.at(line.text());
     end_agent_incarnation(w);
-    w.boots = w.next_report = w.last_answered = t_ + line.number();
+    w.boots = w.next_heartbeat = w.last_answered_at = t_ + line.number();
   } else if (line.word() == "hang") {
     workers_.at(line.text()).hung = true;
   } else if (line.word() == "wake") {
--- a/tests/world_controllers.cpp
+++ b/tests/world_controllers.cpp
@@ -22,7 +22,7 @@
       {"settings",
        {{"size", nodes_.size()},
         {"teams", Json::parse("[" + teams_ + "]")},
-        {"workers", {{"report_s", report_s_}, {"lease_s", lease_s_}, {"cancel_s", cancel_s_}}},
+        {"workers", {{"report_s", heartbeat_s_}, {"lease_s", lease_s_}, {"cancel_s", cancel_s_}}},
         {"cloud", {{"list_lag_s", 5}}}}}};
   const auto section = [](const StateLimits& limits) {
     return Json{{"value_kb", static_cast<double>(limits.value_bytes) / 1024.0},
--- a/tests/world_workers.cpp
+++ b/tests/world_workers.cpp
@@ -21,12 +21,12 @@
   w.zone = zone;
   w.spot = spot;
   w.boots = boots;
-  w.last_answered = boots;
-  w.next_report = boots;
+  w.last_answered_at = boots;
+  w.next_heartbeat = boots;
   return workers_[id] = w;
 }
 
-protocol::Report World::report_of(Worker& w) {
+protocol::Heartbeat World::heartbeat_of(Worker& w) {
   Json tasks = Json::array();
   for (const auto& [id, attempts] : w.tasks) {
     for (const Task& t : attempts) {
@@ -40,7 +40,7 @@
             {"paddock", w.zone},     {"strays", w.spot},         {"ride", w.agent_incarnation},
             {"tally", ++w.sequence}, {"reins", w.fencing_token}, {"strides", tasks}};
   if (w.taken_at) j["recall_s"] = *w.taken_at - t_;
-  auto r = protocol::parse_report(j.dump());
+  auto r = protocol::parse_heartbeat(j.dump());
   if (!r) broken("the stand-in's report can't be parsed");
   return *r;
 }
@@ -88,31 +88,31 @@
 void World::end_agent_incarnation(Worker& w) {
   w.tasks.clear();
   ++w.agent_incarnation;
-  w.last_answered = t_;
+  w.last_answered_at = t_;
 }
 
-void World::report(Worker& w) {
-  w.next_report = t_ + report_s_;
+void World::heartbeat(Worker& w) {
+  w.next_heartbeat = t_ + heartbeat_s_;
   const std::size_t n = w.node;
   const auto next = [&] {
     w.node = (w.node + 1) % nodes_.size();
-    w.next_report = t_ + 1.0;
+    w.next_heartbeat = t_ + 1.0;
   };
   if (!nodes_[n].up || !nodes_[n].loaded) return next();
   if (w.mute || cut(node_name(n), "workers") || cut(node_name(n), w.id) ||
       cut(node_name(n), w.zone) || t_ < nodes_[n].frozen_until) {
     next();
-    if (silent_cuts_) w.next_report += kNoResponse;
+    if (silent_cuts_) w.next_heartbeat += kNoResponse;
     return;
   }
-  const auto rep = report_of(w);
-  if (w.copies_after >= 0) late_reports_.push_back({t_ + w.copies_after, rep});
-  const auto reply = nodes_[n].controller->hello(rep, now());
+  const auto heartbeat = heartbeat_of(w);
+  if (w.copies_after >= 0) late_heartbeats_.push_back({t_ + w.copies_after, heartbeat});
+  const auto reply = nodes_[n].controller->handle_heartbeat(heartbeat, now());
   trace_.write(t_, "report", w.id, node_name(n), reply.status, reply.body);
   nodes_[n].rung = true;
   if (w.deaf) {
     next();
-    w.next_report += kNoResponse;
+    w.next_heartbeat += kNoResponse;
     return;
   }
   const Json body = Json::parse(reply.body, nullptr, false);
@@ -120,7 +120,7 @@
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       if (node_name(i) != body["trailboss"] || i == n) continue;
       w.node = i;
-      w.next_report = t_ + 0.1;
+      w.next_heartbeat = t_ + 0.1;
       return;
     }
   }
@@ -128,7 +128,7 @@
   const auto fencing_token = body["reins"].get<std::uint64_t>();
   if (fencing_token < w.fencing_token) return;
   w.fencing_token = fencing_token;
-  w.last_answered = t_;
+  w.last_answered_at = t_;
   std::vector<Command> commands;
   for (const Json& c : body["calls"]) {
     const std::string stride = c["stride"];
@@ -144,7 +144,7 @@
     commands.push_back(cmd);
   }
   execute(w, commands);
-  if (!commands.empty()) w.next_report = std::min(w.next_report, t_ + 0.5);
+  if (!commands.empty()) w.next_heartbeat = std::min(w.next_heartbeat, t_ + 0.5);
 }
 
 void World::deliver(const coordination::Order& order, std::size_t from) {
@@ -157,8 +157,8 @@
     w.fencing_token = order.fencing_token.get();
     execute(w, order.commands);
   }
-  const auto rep = report_of(w);
-  if (nodes_[from].up) nodes_[from].controller->order_answered(order.machine, rep, now());
+  const auto heartbeat = heartbeat_of(w);
+  if (nodes_[from].up) nodes_[from].controller->handle_order_reply(order.machine, heartbeat, now());
 }
 
 void World::step_workers() {
@@ -170,7 +170,7 @@
       continue;
     }
     // A hung machine may go on at any time within its lease, not after it.
-    if (t_ - w.last_answered > lease_s_) end_agent_incarnation(w);
+    if (t_ - w.last_answered_at > lease_s_) end_agent_incarnation(w);
     if (w.hung) continue;
     bool changed = false;
     for (auto& [task, attempts] : w.tasks) {
@@ -201,8 +201,8 @@
         }
       }
     }
-    if (changed) w.next_report = std::min(w.next_report, t_ + 0.2);
-    if (t_ >= w.next_report) report(w);
+    if (changed) w.next_heartbeat = std::min(w.next_heartbeat, t_ + 0.2);
+    if (t_ >= w.next_heartbeat) heartbeat(w);
   }
 }
 
