--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -30,18 +30,18 @@
   self_ = std::move(incarnation);
   has_incarnation_ = true;
   incarnation_since_ = now;
-  authority_until_ = Time{};
-  lease_until_ = Time{};
+  authority_valid_until_ = Time{};
+  lease_valid_until_ = Time{};
 }
 
 void Controller::end_incarnation() {
   has_incarnation_ = false;
-  authority_until_ = Time{};
-  lease_until_ = Time{};
+  authority_valid_until_ = Time{};
+  lease_valid_until_ = Time{};
 }
 
-void Controller::lease_taken(Time sent) {
-  lease_until_ = std::max(lease_until_, ttl_after(sent));
+void Controller::lease_acquired(Time sent) {
+  lease_valid_until_ = std::max(lease_valid_until_, ttl_after(sent));
 }
 
 Time Controller::ttl_after(Time sent) const {
@@ -50,14 +50,14 @@
   return base::after(sent, settings_.tuning.member_ttl * (1.0 - base::kDrift));
 }
 
-void Controller::renewed(Time sent, std::uint64_t copy) {
+void Controller::lease_renewed(Time sent, std::uint64_t copy) {
   if (copy != copy_) return;
-  authority_until_ = ttl_after(sent);
+  authority_valid_until_ = ttl_after(sent);
   authority_view_ = ledger_.version(protocol::kViewKey);
 }
 
-bool Controller::entitled(Time now) const {
-  return has_incarnation_ && now < authority_until_ && ledger_.view() &&
+bool Controller::has_authority(Time now) const {
+  return has_incarnation_ && now < authority_valid_until_ && ledger_.view() &&
          followed_view_.get() != 0 && authority_view_ == followed_view_ &&
          followed_view_ == ledger_.version(protocol::kViewKey) &&
          has_member(*ledger_.view(), self_);
@@ -291,7 +291,7 @@
 // Since when this process could hear machines: while it might not answer, or stood still, they went from
 // node to node, and that is no silence.
 Time Controller::listening_since() const {
-  return entitled_since_ ? std::max(*entitled_since_, resumed_at_) : resumed_at_;
+  return authority_since_ ? std::max(*authority_since_, resumed_at_) : resumed_at_;
 }
 
 WorkerReply Controller::handle_heartbeat(const Heartbeat& heartbeat, Time now) {
@@ -304,7 +304,7 @@
     remember_bounced(heartbeat.machine, *of, now);
     return {421, protocol::redirect(of->member)};
   }
-  if (!entitled(now)) return {503, protocol::error_body("not entitled to act now")};
+  if (!has_authority(now)) return {503, protocol::error_body("not entitled to act now")};
   if (gone_.contains(heartbeat.machine)) return {503, protocol::error_body("released")};
   record_heartbeat(heartbeat, now, true);
   const auto at = machines_.find(heartbeat.machine);
@@ -484,7 +484,7 @@
 }
 
 bool Controller::still_due(Order& order, Time now) const {
-  if (!entitled(now)) return false;
+  if (!has_authority(now)) return false;
   std::erase_if(order.commands, [this](const Command& c) {
     const Job* job = ledger_.job(c.task.job);
     return c.op == Command::Op::kRun && (!job || job->cancelled());
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -102,22 +102,22 @@
   void begin_incarnation(ControllerIncarnation incarnation, Time now);
   const ControllerIncarnation& self() const { return self_; }
   // The lease of this life was taken by a call sent at `sent`.
-  void lease_taken(Time sent);
+  void lease_acquired(Time sent);
   // The lease was renewed by a call sent at `sent`, and the ledger was proved current after that: it
   // holds all that was committed before the call, cancellations and views. `copy` is copy_number() as
   // of before that proof: a copy that was read anew meanwhile was not proved current.
-  void renewed(Time sent, std::uint64_t copy);
+  void lease_renewed(Time sent, std::uint64_t copy);
   std::uint64_t copy_number() const { return copy_; }
   void end_incarnation();
   // The ledger was read anew, page by page: parts of it are older than what was proved before, so that
   // nothing may be commanded until a renewal has proved it current again.
   void ledger_replaced() {
-    authority_until_ = Time{};
+    authority_valid_until_ = Time{};
     ++copy_;
   }
   // May this process answer workers and give them orders now?
-  bool entitled(Time now) const;
-  bool has_lease(Time now) const { return now < lease_until_; }
+  bool has_authority(Time now) const;
+  bool has_lease(Time now) const { return now < lease_valid_until_; }
   bool leads(Time now) const;
   // After the ledger took in changes: follows a new view.
   void follow(Time now);
@@ -368,14 +368,14 @@
   ControllerIncarnation self_;
   bool has_incarnation_ = false;
   Time incarnation_since_{};
-  Time lease_until_{};
-  Time authority_until_{};
+  Time lease_valid_until_{};
+  Time authority_valid_until_{};
   Version authority_view_;
   std::uint64_t copy_ = 0;  // counts the times that the ledger was read anew
   Version followed_view_;
   FencingToken base_fencing_token_;
   Time followed_at_{};
-  std::optional<Time> entitled_since_;
+  std::optional<Time> authority_since_;
   Time last_running_{}, resumed_at_{};  // when this process was last seen to run, and went on
   std::optional<Time> many_mute_at_;
   std::optional<Time> unheard_since_;  // while it hears hardly any of its machines
--- a/src/coordination/fleet_control.cpp
+++ b/src/coordination/fleet_control.cpp
@@ -87,7 +87,7 @@
 
 Controller::FleetActions Controller::plan_fleet(Time now, double wall_now) {
   FleetActions actions;
-  if (!leads(now) || !entitled(now) || ledger_.catalogue().empty()) return actions;
+  if (!leads(now) || !has_authority(now) || ledger_.catalogue().empty()) return actions;
   count_arrivals(now);
   const Parts known = parts(now, kRoomRemembered);
   actions.release = releases_due(known, now);
--- a/src/coordination/handover.cpp
+++ b/src/coordination/handover.cpp
@@ -33,7 +33,7 @@
   std::vector<MachineId> out;
   std::erase_if(bounced_,
                 [&](const auto& b) { return base::between(b.second.last, now) > kBounceMemory; });
-  if (!entitled(now)) {
+  if (!has_authority(now)) {
     // Nor may their owners answer, most likely: in an outage of the state service all are turned
     // away everywhere.
     bounced_.clear();
@@ -95,7 +95,7 @@
 // next come to a live one only after most of their lease: the member's own word must do without them.
 protocol::WorkerContact Controller::worker_contact(Time now) const {
   // A node that may not answer sends machines away: it hears none of them for that reason.
-  if (!entitled(now) || !entitled_since_) return protocol::WorkerContact::kUnknown;
+  if (!has_authority(now) || !authority_since_) return protocol::WorkerContact::kUnknown;
   const MachineCensus census = count_overdue(now);
   if (census.are_lost()) {
     const bool lasting = unheard_since_ && base::between(*unheard_since_, now) > kLostFor;
--- a/src/coordination/rounds.cpp
+++ b/src/coordination/rounds.cpp
@@ -110,12 +110,12 @@
 RoundPlan Controller::plan(Time now, Pace pace) {
   note_running(now);
   RoundPlan plan;
-  if (!entitled(now)) {
-    entitled_since_.reset();
+  if (!has_authority(now)) {
+    authority_since_.reset();
     unheard_since_.reset();
     return plan;
   }
-  if (!entitled_since_) entitled_since_ = now;
+  if (!authority_since_) authority_since_ = now;
   housekeeping(now);
   priorities_.update(now);
 
@@ -380,7 +380,7 @@
 
 std::vector<Order> Controller::stops(Time now) {
   std::vector<Order> orders;
-  if (!entitled(now)) return orders;
+  if (!has_authority(now)) return orders;
   std::erase_if(stop_sent_,
                 [&](const auto& s) { return base::between(s.second, now) > kStopRepeat; });
   for (const auto& [id, m] : machines_) {
--- a/src/coordination/routing.cpp
+++ b/src/coordination/routing.cpp
@@ -371,7 +371,7 @@
 }
 
 std::map<MemberId, protocol::Offers> Controller::route(Time now) {
-  if (!entitled(now)) return {};
+  if (!has_authority(now)) return {};
   tidy_offers(now);
   std::vector<const Job*> jobs = jobs_to_route(now);
   if (jobs.empty()) return {};
--- a/src/coordination/upkeep.cpp
+++ b/src/coordination/upkeep.cpp
@@ -184,7 +184,7 @@
 }
 
 std::optional<Transaction> Controller::divide_one(Time now) {
-  if (!entitled(now) || ledger_.format() < protocol::kFormatWithPieces) return {};
+  if (!has_authority(now) || ledger_.format() < protocol::kFormatWithPieces) return {};
   for (const auto& [id, job] : ledger_.jobs()) {
     const ControllerIncarnation* home = home_of(*ledger_.view(), id);
     if (!home || *home != self_ || job.cancelled_on_record()) continue;
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -315,7 +315,7 @@
       const std::lock_guard lock(mutex_);
       lease_ = lease;
       controller_.ledger().apply(txn, done.revision, now());
-      controller_.lease_taken(sent);
+      controller_.lease_acquired(sent);
       spdlog::info("member {} begins life {}", incarnation.member.get(),
                    incarnation.incarnation.get());
       for (auto& s : siblings_) s->bell.ring();
@@ -331,12 +331,13 @@
       continue;
     }
     if (renewed == StateClient::Renewed::kYes) {
-      locked([&](coordination::Controller& c) { c.lease_taken(sent); });
+      locked([&](coordination::Controller& c) { c.lease_acquired(sent); });
       // Authority to command needs more than the present view: a copy of the jobs that is as new as
       // the renewal. After an outage the renewal is answered before the watch has said anything, and
       // a job that was cancelled elsewhere meanwhile would be started again.
       const auto copy = locked([](coordination::Controller& c) { return c.copy_number(); });
-      if (catch_up(timeout)) locked([&](coordination::Controller& c) { c.renewed(sent, copy); });
+      if (catch_up(timeout))
+        locked([&](coordination::Controller& c) { c.lease_renewed(sent, copy); });
     }
     const auto txn = locked([&](auto& c) { return c.tend_view(now(), *lease); });
     if (txn) {
--- a/tests/authority_test.cpp
+++ b/tests/authority_test.cpp
@@ -30,26 +30,26 @@
 
 TEST_F(Authority, EndsOneTtlAfterTheRenewalWasSent) {
   const double ttl = settings_.tuning.member_ttl.count();
-  EXPECT_FALSE(controller_.entitled(start_));
+  EXPECT_FALSE(controller_.has_authority(start_));
   // A lease alone is not enough: the copy of the jobs may be older.
-  controller_.lease_taken(start_);
-  EXPECT_FALSE(controller_.entitled(start_));
-  controller_.renewed(start_, controller_.copy_number());
-  EXPECT_TRUE(controller_.entitled(at(ttl * 0.99)));
-  EXPECT_FALSE(controller_.entitled(at(ttl)));
+  controller_.lease_acquired(start_);
+  EXPECT_FALSE(controller_.has_authority(start_));
+  controller_.lease_renewed(start_, controller_.copy_number());
+  EXPECT_TRUE(controller_.has_authority(at(ttl * 0.99)));
+  EXPECT_FALSE(controller_.has_authority(at(ttl)));
   // Answered late: it counts from when it was sent, whenever that is known.
-  controller_.renewed(at(1), controller_.copy_number());
-  EXPECT_TRUE(controller_.entitled(at(ttl)));
-  EXPECT_FALSE(controller_.entitled(at(ttl + 1)));
+  controller_.lease_renewed(at(1), controller_.copy_number());
+  EXPECT_TRUE(controller_.has_authority(at(ttl)));
+  EXPECT_FALSE(controller_.has_authority(at(ttl + 1)));
 }
 
 TEST_F(Authority, NeedsAProofAfterTheCopyWasReadAnew) {
-  controller_.renewed(start_, controller_.copy_number());
-  EXPECT_TRUE(controller_.entitled(at(1)));
+  controller_.lease_renewed(start_, controller_.copy_number());
+  EXPECT_TRUE(controller_.has_authority(at(1)));
   controller_.ledger_replaced();
-  EXPECT_FALSE(controller_.entitled(at(1)));
-  controller_.renewed(at(1.5), controller_.copy_number());
-  EXPECT_TRUE(controller_.entitled(at(2)));
+  EXPECT_FALSE(controller_.has_authority(at(1)));
+  controller_.lease_renewed(at(1.5), controller_.copy_number());
+  EXPECT_TRUE(controller_.has_authority(at(2)));
 }
 
 // The copy may be read anew between the look that proved it current and the word of it: what was proved
@@ -57,10 +57,10 @@
 TEST_F(Authority, IsNotGivenToACopyThatWasReadAnewDuringTheProof) {
   const std::uint64_t copy = controller_.copy_number();
   controller_.ledger_replaced();
-  controller_.renewed(start_, copy);
-  EXPECT_FALSE(controller_.entitled(at(1)));
-  controller_.renewed(start_, controller_.copy_number());
-  EXPECT_TRUE(controller_.entitled(at(1)));
+  controller_.lease_renewed(start_, copy);
+  EXPECT_FALSE(controller_.has_authority(at(1)));
+  controller_.lease_renewed(start_, controller_.copy_number());
+  EXPECT_TRUE(controller_.has_authority(at(1)));
 }
 
 }  // namespace saddleslip::coordination
--- a/tests/world_controllers.cpp
+++ b/tests/world_controllers.cpp
@@ -147,9 +147,9 @@
   }
   node.controller->tell_time(now(), 1000 + t_);
   lease->second.until = t_ + ttl.count();
-  node.controller->lease_taken(now());
+  node.controller->lease_acquired(now());
   const std::uint64_t copy = node.controller->copy_number();
-  if (catch_up(n)) node.controller->renewed(now(), copy);
+  if (catch_up(n)) node.controller->lease_renewed(now(), copy);
   if (const auto txn = node.controller->claim(now())) commit(n, *txn);
   if (const auto txn = node.controller->tend_view(now(), *node.lease)) {
     const auto done = commit(n, *txn);
