--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -63,7 +63,7 @@
          has_member(*ledger_.view(), self_);
 }
 
-bool Controller::leads(Time now) const {
+bool Controller::is_leader(Time now) const {
   return has_incarnation_ && has_lease(now) && ledger_.leader() && *ledger_.leader() == self_;
 }
 
@@ -90,10 +90,10 @@
 void Controller::follow(Time now) {
   for (const auto& [id, member] : ledger_.members()) member_since_.try_emplace(id, now);
   std::erase_if(member_since_, [&](const auto& m) { return !ledger_.members().contains(m.first); });
-  if (leads(now) != led_) {
-    led_ = leads(now);
-    if (led_) {
-      led_since_ = now;
+  if (is_leader(now) != was_leader_) {
+    was_leader_ = is_leader(now);
+    if (was_leader_) {
+      leader_since_ = now;
       booting_ = ledger_.booting();
       to_release_.clear();
       unheard_.clear();
@@ -219,7 +219,7 @@
   }
   if (*leader != self_) return {};
   if (others >= 2 && reached == 0 && others_reach &&
-      base::between(std::max(led_since_, incarnation_since_), now) > kReachable) {
+      base::between(std::max(leader_since_, incarnation_since_), now) > kReachable) {
     spdlog::warn("no other member can be reached: giving up the lead");
     txn.writes.push_back({protocol::kLeadKey, {}, {}});
     return txn;
@@ -724,7 +724,7 @@
   for (const MachineId& id : status.give_back) {
     if (gone_.contains(id)) out.gone.push_back(id);
   }
-  if (leads(now)) {
+  if (is_leader(now)) {
     auto& close = to_close_[status.from.member];
     out.close.assign(close.begin(), close.end());
     close.clear();
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -118,7 +118,7 @@
   // May this process answer workers and give them orders now?
   bool has_authority(Time now) const;
   bool has_lease(Time now) const { return now < lease_valid_until_; }
-  bool leads(Time now) const;
+  bool is_leader(Time now) const;
   // After the ledger took in changes: follows a new view.
   void follow(Time now);
   // The key by which others know of this life.
@@ -422,8 +422,8 @@
   std::map<MemberId, Time> reached_;
   std::map<MemberId, Time> member_since_;
   std::set<MemberId> shunned_;
-  Time led_since_{};
-  bool led_ = false;
+  Time leader_since_{};
+  bool was_leader_ = false;
 
   std::map<MachineKind, Time> refused_;  // not to be asked for before then
   std::map<MachineKind, int> refusals_;  // in a row
--- a/src/coordination/fleet_control.cpp
+++ b/src/coordination/fleet_control.cpp
@@ -87,21 +87,21 @@
 
 Controller::FleetActions Controller::plan_fleet(Time now, double wall_now) {
   FleetActions actions;
-  if (!leads(now) || !has_authority(now) || ledger_.catalogue().empty()) return actions;
+  if (!is_leader(now) || !has_authority(now) || ledger_.catalogue().empty()) return actions;
   count_arrivals(now);
   const Parts known = parts(now, kRoomRemembered);
   actions.release = releases_due(known, now);
   // Renting while a part's machines are unknown would pay for them twice.
   const Seconds settle = settings_.heartbeat_interval * 2.0 + Seconds(1.0);
   if (known.size() < ledger_.view()->members.size() ||
-      base::between(std::max(led_since_, followed_at_), now) < settle) {
+      base::between(std::max(leader_since_, followed_at_), now) < settle) {
     return actions;
   }
   FleetInput in = fleet_input(known, now);
   drop_booted(in, now, wall_now, actions.release);
   add_waiting(in, now);
   add_expected_services(in, now);
-  in.calm = base::between(std::max(restless_at_, led_since_), now) > kCalm &&
+  in.calm = base::between(std::max(restless_at_, leader_since_), now) > kCalm &&
             base::between(drained_at_, now) > kDrainGap;
   if (in.calm) add_movable_services(in);
   actions.plan = coordination::plan_fleet(in);
@@ -247,12 +247,12 @@
 // Room for the services that arrive while a machine boots.
 void Controller::add_expected_services(FleetInput& in, Time now) const {
   const double span =
-      std::clamp(base::between(led_since_, now).count(), kLeastSpan, kArrivalWindow.count());
+      std::clamp(base::between(leader_since_, now).count(), kLeastSpan, kArrivalWindow.count());
   for (const auto& [name, a] : arrivals_) {
     double tasks = 0;
     for (const auto& [at, n] : a.recent) {
       // What was there at the start of this leader's count is not an arrival.
-      if (base::between(led_since_, at) > kCountStarts) tasks += n;
+      if (base::between(leader_since_, at) > kCountStarts) tasks += n;
     }
     Demand d;
     d.need = a.spec.need;
@@ -328,7 +328,7 @@
 
 void Controller::listed(const std::vector<protocol::CloudMachine>& machines, Time now,
                         double wall_now) {
-  if (!leads(now)) return;
+  if (!is_leader(now)) return;
   std::set<MachineId> heard, listed;
   for (const auto& [member, rooms] : parts(now, kRoomRemembered)) {
     for (const MachineRoom* r : rooms) heard.insert(r->id);
--- a/src/node_fleet.cpp
+++ b/src/node_fleet.cpp
@@ -31,7 +31,7 @@
   const Seconds gap(kCallGap / settings_.cloud_rps);
   for (;;) {
     fleet_bell_.wait(std::max(gap, kLeastTurn));
-    if (!locked([](Controller& c) { return c.leads(now()); })) {
+    if (!locked([](Controller& c) { return c.is_leader(now()); })) {
       open_rental_.reset();
       continue;
     }
@@ -111,7 +111,7 @@
   int calls = 0;
   for (const Rental& r : rentals(plan)) {
     if (++calls > kMostRentCalls) break;
-    if (!locked([](Controller& c) { return c.leads(now()); })) break;
+    if (!locked([](Controller& c) { return c.is_leader(now()); })) break;
     const RentOutcome outcome = rent_once(r);
     rented = rented || outcome == RentOutcome::kRented;
     if (outcome == RentOutcome::kStop) break;
--- a/tests/world_controllers.cpp
+++ b/tests/world_controllers.cpp
@@ -250,7 +250,7 @@
   NodeSim& node = nodes_[n];
   auto& c = *node.controller;
   node.next_fleet = t_ + 1;
-  if (!c.leads(now())) return;
+  if (!c.is_leader(now())) return;
   if (c.ledger().catalogue().empty()) {
     Json types = Json::array();
     for (const auto& [type, cores] : {std::pair("small", 4), std::pair("big", 8)}) {
