--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -58,8 +58,8 @@
 
 bool Controller::has_authority(Time now) const {
   return has_incarnation_ && now < authority_valid_until_ && ledger_.view() &&
-         followed_view_.get() != 0 && authority_view_ == followed_view_ &&
-         followed_view_ == ledger_.version(protocol::kViewKey) &&
+         installed_view_.get() != 0 && authority_view_ == installed_view_ &&
+         installed_view_ == ledger_.version(protocol::kViewKey) &&
          has_member(*ledger_.view(), self_);
 }
 
@@ -71,9 +71,9 @@
   const auto& view = ledger_.view();
   if (!view || view->members.empty()) return nullptr;
   const Version version = ledger_.version(protocol::kViewKey);
-  if (owners_view_ != version || owners_.size() > kMostOwners) {
+  if (owners_view_version_ != version || owners_.size() > kMostOwners) {
     owners_.clear();
-    owners_view_ = version;
+    owners_view_version_ = version;
   }
   const auto [at, is_new] = owners_.try_emplace(machine, 0);
   if (is_new) {
@@ -87,7 +87,7 @@
   return of && *of == self_;
 }
 
-void Controller::follow(Time now) {
+void Controller::install_view(Time now) {
   for (const auto& [id, member] : ledger_.members()) member_since_.try_emplace(id, now);
   std::erase_if(member_since_, [&](const auto& m) { return !ledger_.members().contains(m.first); });
   if (is_leader(now) != was_leader_) {
@@ -105,16 +105,16 @@
   }
   const Version version = ledger_.version(protocol::kViewKey);
   // Taking over needs all that was recorded before the view: the watch must have brought it.
-  if (!ledger_.view() || version == followed_view_ || ledger_.revision().get() < version.get()) {
+  if (!ledger_.view() || version == installed_view_ || ledger_.revision().get() < version.get()) {
     return;
   }
   const FencingToken base = first_fencing_token(ledger_.view()->epoch);
   // Views that were skipped may have had other owners, who may have answered until lately.
   const bool in_a_row =
       base.get() == base_fencing_token_.get() + first_fencing_token(Epoch(1)).get();
-  followed_view_ = version;
+  installed_view_ = version;
   base_fencing_token_ = base;
-  followed_at_ = now;
+  view_installed_at_ = now;
   std::erase_if(machines_, [&](const auto& m) {
     if (owns(m.first)) return false;
     left_[m.first] = ++told_;
@@ -163,7 +163,7 @@
   return txn;
 }
 
-std::optional<Transaction> Controller::tend_view(Time now, base::LeaseId lease) {
+std::optional<Transaction> Controller::propose_membership_change(Time now, base::LeaseId lease) {
   if (!has_incarnation_ || !has_lease(now)) return {};
   const auto& members = ledger_.members();
   const auto me = members.find(self_.member);
@@ -224,7 +224,7 @@
     txn.writes.push_back({protocol::kLeadKey, {}, {}});
     return txn;
   }
-  if (auto format = tend_format()) return format;
+  if (auto format = propose_format_upgrade()) return format;
   std::set<MemberId> shun;
   for (const auto& [id, member] : members) {
     if (id == self_.member || reached == 0) continue;
@@ -238,7 +238,7 @@
     shunned_ = shun;
     for (const auto& id : shun) spdlog::warn("{} can't be reached: left out of the view", id.get());
   }
-  const auto next = wanted_view(
+  const auto next = next_view(
       members, ledger_.view(), shunned_, heard_claims(now),
       [this](const MachineId& id) { return gone_.contains(id); }, settings_.value_bytes);
   if (next) {
@@ -257,7 +257,7 @@
 
 // New formats begin once every controller that is configured has said, under its present incarnation, that it
 // reads them: one that is away may come back as the version before.
-std::optional<Transaction> Controller::tend_format() const {
+std::optional<Transaction> Controller::propose_format_upgrade() const {
   if (ledger_.format() >= protocol::kFormat) return {};
   Transaction txn;
   txn.guards[protocol::kFormatKey] = ledger_.version(protocol::kFormatKey);
@@ -343,7 +343,7 @@
     m.fencing_token = base_fencing_token_;
     m.fence_floor = base_fencing_token_;
     m.confirmation_token = base_fencing_token_;
-    m.last_answered_at = base::after(followed_at_, settings_.tuning.member_ttl);
+    m.last_answered_at = base::after(view_installed_at_, settings_.tuning.member_ttl);
     spdlog::info("machine {} ({}, {}{}) reports, session {}, {} tasks", heartbeat.machine.get(),
                  heartbeat.type, heartbeat.zone, heartbeat.spot ? ", spot" : "",
                  heartbeat.agent_incarnation.get(), heartbeat.tasks.size());
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -120,11 +120,11 @@
   bool has_lease(Time now) const { return now < lease_valid_until_; }
   bool is_leader(Time now) const;
   // After the ledger took in changes: follows a new view.
-  void follow(Time now);
+  void install_view(Time now);
   // The key by which others know of this life.
   Transaction member_record(base::LeaseId lease, bool reaches_others) const;
   // What leadership asks for: to take it, or to write a new view. At most one transaction.
-  std::optional<Transaction> tend_view(Time now, base::LeaseId lease);
+  std::optional<Transaction> propose_membership_change(Time now, base::LeaseId lease);
 
   // --- workers
   WorkerReply handle_heartbeat(const Heartbeat& heartbeat, Time now);
@@ -207,7 +207,7 @@
   };
 
   // Puts on record that all controllers read this version's format, if they do and it is not yet.
-  std::optional<Transaction> tend_format() const;
+  std::optional<Transaction> propose_format_upgrade() const;
   Time ttl_after(Time sent) const;
   // As the view says. Asked for every machine in every round, and the same until the view changes.
   const ControllerIncarnation* owner(const MachineId& machine) const;
@@ -372,16 +372,16 @@
   Time authority_valid_until_{};
   Version authority_view_;
   std::uint64_t copy_ = 0;  // counts the times that the ledger was read anew
-  Version followed_view_;
+  Version installed_view_;
   FencingToken base_fencing_token_;
-  Time followed_at_{};
+  Time view_installed_at_{};
   std::optional<Time> authority_since_;
   Time last_running_{}, resumed_at_{};  // when this process was last seen to run, and went on
   std::optional<Time> many_mute_at_;
   std::optional<Time> unheard_since_;  // while it hears hardly any of its machines
 
   mutable std::unordered_map<MachineId, std::size_t> owners_;  // by place in the view's members
-  mutable Version owners_view_;
+  mutable Version owners_view_version_;
   std::map<MachineId, Machine> machines_;
   struct Bounced {
     ControllerIncarnation owner;  // to whom it was sent
--- a/src/coordination/fleet_control.cpp
+++ b/src/coordination/fleet_control.cpp
@@ -94,7 +94,7 @@
   // Renting while a part's machines are unknown would pay for them twice.
   const Seconds settle = settings_.heartbeat_interval * 2.0 + Seconds(1.0);
   if (known.size() < ledger_.view()->members.size() ||
-      base::between(std::max(leader_since_, followed_at_), now) < settle) {
+      base::between(std::max(leader_since_, view_installed_at_), now) < settle) {
     return actions;
   }
   FleetInput in = fleet_input(known, now);
@@ -352,7 +352,7 @@
       continue;
     }
     const Time since = unheard_.try_emplace(c.id, now).first->second;
-    if (base::between(std::max(since, followed_at_), now) >
+    if (base::between(std::max(since, view_installed_at_), now) >
         settings_.worker_lease * 2.0 + settings_.list_lag) {
       spdlog::info("machine {} is listed but reports to nobody: released", c.id.get());
       to_release_.insert(c.id);
--- a/src/coordination/handover.cpp
+++ b/src/coordination/handover.cpp
@@ -77,7 +77,7 @@
   const auto reached = reached_.find(leader->member);
   if (reached != reached_.end() && base::between(reached->second, now) < kReachable) return {};
   Transaction txn;
-  txn.guards[protocol::kViewKey] = followed_view_;
+  txn.guards[protocol::kViewKey] = installed_view_;
   for (const MachineId& id : claims(now)) {
     const std::string key = protocol::claim_key(id);
     if (ledger_.version(key).get() != 0) continue;
--- a/src/coordination/rounds.cpp
+++ b/src/coordination/rounds.cpp
@@ -129,7 +129,7 @@
   record_late_ends(std::move(later), pace, now, batch, plan);
   make_room(waiting, plan, now);
   plan.more = batch.turned_away();
-  if (!batch.empty()) plan.txn = batch.build(self_, followed_view_, priorities_.time_of_day(now));
+  if (!batch.empty()) plan.txn = batch.build(self_, installed_view_, priorities_.time_of_day(now));
   return plan;
 }
 
--- a/src/coordination/upkeep.cpp
+++ b/src/coordination/upkeep.cpp
@@ -63,7 +63,8 @@
 }
 
 const std::vector<MachineId>& Controller::unheard_owned(Time now) {
-  if (base::between(unheard_owned_at_, now) < kUnheardFor && unheard_owned_at_ > followed_at_) {
+  if (base::between(unheard_owned_at_, now) < kUnheardFor &&
+      unheard_owned_at_ > view_installed_at_) {
     return unheard_owned_;
   }
   unheard_owned_at_ = now;
@@ -188,7 +189,7 @@
   for (const auto& [id, job] : ledger_.jobs()) {
     const ControllerIncarnation* home = home_of(*ledger_.view(), id);
     if (!home || *home != self_ || job.cancelled_on_record()) continue;
-    if (auto txn = divide_chunks(job, followed_view_, settings_)) return txn;
+    if (auto txn = divide_chunks(job, installed_view_, settings_)) return txn;
   }
   return {};
 }
--- a/src/coordination/view.cpp
+++ b/src/coordination/view.cpp
@@ -56,12 +56,11 @@
   return highest(view, machine.get());
 }
 
-std::optional<View> wanted_view(const std::map<MemberId, protocol::Member>& members,
-                                const std::optional<View>& present,
-                                const std::set<MemberId>& shunned,
-                                const std::map<MachineId, ControllerIncarnation>& claims,
-                                const std::function<bool(const MachineId&)>& gone,
-                                std::size_t most_bytes) {
+std::optional<View> next_view(const std::map<MemberId, protocol::Member>& members,
+                              const std::optional<View>& present, const std::set<MemberId>& shunned,
+                              const std::map<MachineId, ControllerIncarnation>& claims,
+                              const std::function<bool(const MachineId&)>& gone,
+                              std::size_t most_bytes) {
   View next;
   for (const auto& [id, member] : members) {
     if (!shunned.contains(id)) next.members.push_back(member.incarnation);
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -339,13 +339,13 @@
       if (catch_up(timeout))
         locked([&](coordination::Controller& c) { c.lease_renewed(sent, copy); });
     }
-    const auto txn = locked([&](auto& c) { return c.tend_view(now(), *lease); });
+    const auto txn = locked([&](auto& c) { return c.propose_membership_change(now(), *lease); });
     if (txn) {
       const auto done = state_.commit(*txn, kStateCall);
       if (done.outcome == Outcome::kDone) {
         locked([&](coordination::Controller& c) {
           c.ledger().apply(*txn, done.revision, now());
-          c.follow(now());
+          c.install_view(now());
         });
         round_bell_.ring();
         fleet_bell_.ring();
@@ -475,7 +475,7 @@
                 e.key.starts_with(protocol::kMembers) || e.key.starts_with(protocol::kClaims);
     }
     c.ledger().caught_up(w.revision);
-    c.follow(now());
+    c.install_view(now());
   });
   if (!current) return false;
   if (!loaded_) {
@@ -558,7 +558,7 @@
     const auto pace = await_writes();
     const Time began = now();
     auto routed = locked([](coordination::Controller& c) {
-      c.follow(now());
+      c.install_view(now());
       auto out = c.route(now());
       const auto mine = out.find(c.self().member);
       if (mine != out.end()) {
--- a/tests/authority_test.cpp
+++ b/tests/authority_test.cpp
@@ -19,7 +19,7 @@
     view.members.push_back(incarnation);
     controller_.ledger().apply({protocol::kViewKey, to_json(view), Version(3)}, start_);
     controller_.ledger().caught_up(base::Revision(3));
-    controller_.follow(start_);
+    controller_.install_view(start_);
   }
   Time at(double s) const { return base::after(start_, Seconds(s)); }
 
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -120,14 +120,14 @@
   for (const int n : {700, 5000}) {
     std::map<MachineId, protocol::ControllerIncarnation> claims;
     for (int i = 0; i < n; ++i) claims[MachineId("i-" + std::to_string(100000 + i))] = b;
-    const auto view = coordination::wanted_view(
+    const auto view = coordination::next_view(
         members, {}, {}, claims, [](const MachineId&) { return false; }, 16u << 10);
     ASSERT_TRUE(view);
     EXPECT_LE(to_json(*view).dump().size(), 16u * 1024);
     EXPECT_GE(view->pins.size(), 700u);
     EXPECT_EQ(protocol::parse_view(to_json(*view)), view);
     // What is gone leaves with the next view, and is no reason for one.
-    const auto same = coordination::wanted_view(
+    const auto same = coordination::next_view(
         members, view, {}, {}, [](const MachineId&) { return true; }, 16u << 10);
     EXPECT_FALSE(same);
   }
--- a/tests/world_controllers.cpp
+++ b/tests/world_controllers.cpp
@@ -96,7 +96,7 @@
     upto = std::max(upto, change.revision);
   }
   ledger.caught_up(base::Revision(upto));
-  node.controller->follow(now());
+  node.controller->install_view(now());
 }
 
 bool World::catch_up(std::size_t n) {
@@ -151,11 +151,11 @@
   const std::uint64_t copy = node.controller->copy_number();
   if (catch_up(n)) node.controller->lease_renewed(now(), copy);
   if (const auto txn = node.controller->claim(now())) commit(n, *txn);
-  if (const auto txn = node.controller->tend_view(now(), *node.lease)) {
+  if (const auto txn = node.controller->propose_membership_change(now(), *node.lease)) {
     const auto done = commit(n, *txn);
     if (done.outcome == Outcome::kDone) {
       node.controller->ledger().apply(*txn, done.revision, now());
-      node.controller->follow(now());
+      node.controller->install_view(now());
       node.beat_now = true;
       node.rung = true;
     }
@@ -204,7 +204,7 @@
     }
   };
   for (int i = 0; i < 6; ++i) {
-    c.follow(now());
+    c.install_view(now());
     auto routed = c.route(now());
     for (auto& [member, offers] : routed) {
       if (trace_.is_open())
