--- a/bench/versions/records_tool.cpp
+++ b/bench/versions/records_tool.cpp
@@ -93,7 +93,7 @@
   protocol::View view;
   view.epoch = base::Epoch(9);
   view.members = {incarnation, {base::MemberId("stall-2"), base::Incarnation(43)}};
-  view.pins[base::MachineId("i-000231")] = base::MemberId("stall-2");
+  view.overrides[base::MachineId("i-000231")] = base::MemberId("stall-2");
   print(protocol::kViewKey, to_json(view));
   print(protocol::claim_key(base::MachineId("i-000233")), to_json(incarnation));
   print(protocol::kFleetKey, to_json(std::vector<protocol::Booting>{{base::MachineId("i-000240"),
@@ -177,11 +177,11 @@
     std::cout << "final " << id << ' ' << ledger.final_state(base::JobId(id)).has_value() << '\n';
   }
   const auto& view = *ledger.view();
-  std::cout << "view " << view.epoch.get() << ' ' << view.members.size() << ' ' << view.pins.size()
-            << " leader " << ledger.leader()->incarnation.get() << " members "
-            << ledger.members().size() << " claims " << ledger.claims().size() << " booting "
-            << ledger.booting().size() << ' ' << ledger.booting()[0].type << " types "
-            << ledger.catalogue().size() << '\n';
+  std::cout << "view " << view.epoch.get() << ' ' << view.members.size() << ' '
+            << view.overrides.size() << " leader " << ledger.leader()->incarnation.get()
+            << " members " << ledger.members().size() << " claims " << ledger.claims().size()
+            << " booting " << ledger.booting().size() << ' ' << ledger.booting()[0].type
+            << " types " << ledger.catalogue().size() << '\n';
 }
 
 }  // namespace
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -134,14 +134,14 @@
       m.last_answered_at =
           std::max(m.last_answered_at, base::after(now, settings_.tuning.member_ttl));
   }
-  std::map<MachineId, std::pair<MemberId, Time>> pinned;
-  for (const auto& [id, member] : ledger_.view()->pins) {
-    const auto before = pinned_since_.find(id);
-    pinned[id] = before != pinned_since_.end() && before->second.first == member
-                     ? before->second
-                     : std::pair(member, now);
-  }
-  pinned_since_ = std::move(pinned);
+  std::map<MachineId, std::pair<MemberId, Time>> overridden;
+  for (const auto& [id, member] : ledger_.view()->overrides) {
+    const auto before = override_since_.find(id);
+    overridden[id] = before != override_since_.end() && before->second.first == member
+                         ? before->second
+                         : std::pair(member, now);
+  }
+  override_since_ = std::move(overridden);
   // Shares handed to members that are gone must find a new home at once.
   offered_.clear();
   std::string names;
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -388,7 +388,7 @@
     Time first{}, last{};
     int times = 0;
   };
-  std::map<MachineId, std::pair<MemberId, Time>> pinned_since_;
+  std::map<MachineId, std::pair<MemberId, Time>> override_since_;
   struct Gathered {
     JobId job;
     Time until{};
--- a/src/coordination/handover.cpp
+++ b/src/coordination/handover.cpp
@@ -9,8 +9,8 @@
 constexpr Seconds kBounceMemory{15.0};
 // A machine whose owner doesn't hear it comes to other members for so long before it is claimed.
 constexpr Seconds kKnocked{3.0};
-constexpr Seconds kPinHeld{60.0};      // a machine that was handed over stays for so long
-constexpr Seconds kStatusRecent{2.5};  // a sibling's word on what it hears now
+constexpr Seconds kOverrideHeld{60.0};  // a machine that was handed over stays for so long
+constexpr Seconds kStatusRecent{2.5};   // a sibling's word on what it hears now
 // Workers whose node does not answer need so long, and a report interval, to find another one.
 constexpr Seconds kWorkerRetry{6.0};
 constexpr double kLostIntervals = 2.0;    // without a report
@@ -43,8 +43,9 @@
     if (owns(id)) continue;
     // A machine that hears nobody knocks everywhere: handed on each time, its owners would change
     // for ever, and none would get to see that it is deaf.
-    const auto pinned = pinned_since_.find(id);
-    if (pinned != pinned_since_.end() && base::between(pinned->second.second, now) < kPinHeld) {
+    const auto overridden = override_since_.find(id);
+    if (overridden != override_since_.end() &&
+        base::between(overridden->second.second, now) < kOverrideHeld) {
       continue;
     }
     const ControllerIncarnation* of = owner(id);
--- a/src/coordination/view.cpp
+++ b/src/coordination/view.cpp
@@ -48,9 +48,10 @@
 }
 
 const ControllerIncarnation* owner_of(const View& view, const MachineId& machine) {
-  if (const auto pin = view.pins.find(machine); pin != view.pins.end()) {
+  if (const auto add_override = view.overrides.find(machine);
+      add_override != view.overrides.end()) {
     for (const ControllerIncarnation& m : view.members) {
-      if (m.member == pin->second) return &m;
+      if (m.member == add_override->second) return &m;
     }
   }
   return highest(view, machine.get());
@@ -70,17 +71,17 @@
                        [&id](const ControllerIncarnation& m) { return m.member == id; });
   };
   std::size_t bytes = kForMembers * (next.members.size() + 1);
-  const auto pin = [&](const MachineId& machine, const MemberId& member) {
+  const auto add_override = [&](const MachineId& machine, const MemberId& member) {
     const std::size_t more = machine.get().size() + 3;
     if (bytes + more > most_bytes || gone(machine)) return;
-    if (next.pins.emplace(machine, member).second) bytes += more;
+    if (next.overrides.emplace(machine, member).second) bytes += more;
   };
   for (const auto& [machine, incarnation] : claims) {
-    if (has_member(next, incarnation)) pin(machine, incarnation.member);
+    if (has_member(next, incarnation)) add_override(machine, incarnation.member);
   }
   if (present) {
-    for (const auto& [machine, member] : present->pins) {
-      if (is_member(member)) pin(machine, member);
+    for (const auto& [machine, member] : present->overrides) {
+      if (is_member(member)) add_override(machine, member);
     }
   }
   if (next.members.empty()) return {};
@@ -88,7 +89,7 @@
     next.epoch = present->epoch;
     // That machines are gone is no reason for a new view: they leave it with the next one.
     View now = *present;
-    std::erase_if(now.pins, [&](const auto& p) { return gone(p.first); });
+    std::erase_if(now.overrides, [&](const auto& p) { return gone(p.first); });
     if (next == now) return {};
   }
   next.epoch = Epoch(next.epoch.get() + 1);
--- a/src/protocol/records.cpp
+++ b/src/protocol/records.cpp
@@ -291,7 +291,8 @@
   for (const ControllerIncarnation& m : view.members) members.push_back(to_json(m));
   Json j = {{"epoch", view.epoch.get()}, {"members", std::move(members)}};
   // By member: a node that loses its workers hands over hundreds of machines at once.
-  for (const auto& [machine, member] : view.pins) j["pins"][member.get()].push_back(machine.get());
+  for (const auto& [machine, member] : view.overrides)
+    j["pins"][member.get()].push_back(machine.get());
   return j;
 }
 
@@ -307,12 +308,13 @@
     if (!incarnation) return {};
     view.members.push_back(*incarnation);
   }
-  if (const auto pins = value.find("pins"); pins != value.end() && pins->is_object()) {
-    for (const auto& [member, machines] : pins->items()) {
+  if (const auto overrides = value.find("pins");
+      overrides != value.end() && overrides->is_object()) {
+    for (const auto& [member, machines] : overrides->items()) {
       if (!machines.is_array()) return {};
       for (const Json& machine : machines) {
         if (!machine.is_string()) return {};
-        view.pins[MachineId(machine.get<std::string>())] = MemberId(member);
+        view.overrides[MachineId(machine.get<std::string>())] = MemberId(member);
       }
     }
   }
--- a/src/protocol/records.h
+++ b/src/protocol/records.h
@@ -189,7 +189,7 @@
   Epoch epoch;
   std::vector<ControllerIncarnation> members;
   // Machines that can't reach the member that the hash names, and who has them instead.
-  std::map<MachineId, MemberId> pins;
+  std::map<MachineId, MemberId> overrides;
   bool operator==(const View&) const = default;
 };
 Json to_json(const View& view);
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -124,7 +124,7 @@
         members, {}, {}, claims, [](const MachineId&) { return false; }, 16u << 10);
     ASSERT_TRUE(view);
     EXPECT_LE(to_json(*view).dump().size(), 16u * 1024);
-    EXPECT_GE(view->pins.size(), 700u);
+    EXPECT_GE(view->overrides.size(), 700u);
     EXPECT_EQ(protocol::parse_view(to_json(*view)), view);
     // What is gone leaves with the next view, and is no reason for one.
     const auto same = coordination::next_view(
