--- a/bench/versions/records_tool.cpp
+++ b/bench/versions/records_tool.cpp
@@ -44,7 +44,7 @@
 #else
   coordination::AcceptanceContext context;
   context.time_of_day = kTimeOfDay;
-  context.parts = 3;
+  context.partitions = 3;
   context.value_bytes = 2048;
   const auto txn = coordination::acceptance(coordination::accepted_record(spec, context));
 #endif
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -741,8 +741,8 @@
   });
 }
 
-Controller::Parts Controller::parts(Time now, Seconds remembered) {
-  Parts out;
+Controller::Partitions Controller::partitions(Time now, Seconds remembered) {
+  Partitions out;
   out.emplace_back(self_.member, std::vector<const MachineRoom*>{});
   out.back().second.reserve(machines_.size());
   for (auto& [id, m] : machines_) {
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -88,7 +88,7 @@
 };
 
 // The machines of one member as seen by routing.
-struct Part;
+struct Partition;
 
 class Controller {
  public:
@@ -199,7 +199,7 @@
     protocol::WorkerContact contact = protocol::WorkerContact::kUnknown;
     Time last_heartbeat_at{};
   };
-  using Parts = std::vector<std::pair<MemberId, std::vector<const MachineRoom*>>>;
+  using Partitions = std::vector<std::pair<MemberId, std::vector<const MachineRoom*>>>;
   struct PoolEntry {
     JobId job;
     std::vector<std::pair<TaskNo, TaskNo>> ranges;
@@ -297,7 +297,7 @@
   Seconds run_before_end(const RoundPlan::End& end) const;
   void learn_run_time(const RoundPlan::End& end);
   void housekeeping(Time now);
-  void move_service_away(Machine& m, const Parts& known, Time now);
+  void move_service_away(Machine& m, const Partitions& known, Time now);
   void count_arrivals(Time now);
   std::map<JobId, std::size_t> timely_share(Time now, double boot) const;
   // The steps of routing.
@@ -307,18 +307,18 @@
   std::vector<const Job*> jobs_to_route(Time now) const;
   void sort_by_turn(std::vector<const Job*>& jobs, Time now) const;
   bool may_displace(const Job& job, Time now) const;
-  std::vector<Part> routing_parts(const std::vector<const Job*>& jobs, Time now);
-  void look_at_part(Routing& r, std::size_t part) const;
+  std::vector<Partition> routing_partitions(const std::vector<const Job*>& jobs, Time now);
+  void update_candidates(Routing& r, std::size_t partition) const;
   std::vector<TaskNo> tasks_to_offer(const Job& job, std::size_t most, Time now) const;
-  void offer(Routing& r, std::size_t part, std::size_t n);
+  void offer(Routing& r, std::size_t partition, std::size_t n);
   void offer_array(Routing& r);
-  std::optional<std::size_t> best_part(const Routing& r) const;
+  std::optional<std::size_t> best_partition(const Routing& r) const;
   void offer_to_roomiest(Routing& r);
   void offer_to_displace(Routing& r);
   void route_job(Routing& r, const Job& job);
   // The steps of the fleet's plan.
-  std::vector<MachineId> releases_due(const Parts& known, Time now) const;
-  FleetInput fleet_input(const Parts& known, Time now) const;
+  std::vector<MachineId> releases_due(const Partitions& known, Time now) const;
+  FleetInput fleet_input(const Partitions& known, Time now) const;
   void drop_booted(FleetInput& in, Time now, double wall_now, std::vector<MachineId>& release);
   Seconds boot_time(const std::string& type_name) const;
   double soonest_boot() const;
@@ -327,7 +327,7 @@
   void add_waiting(FleetInput& in, Time now);
   void add_expected_services(FleetInput& in, Time now) const;
   void add_movable_services(FleetInput& in) const;
-  void pass_on(const FleetPlan& plan, const Parts& known, Time now);
+  void pass_on(const FleetPlan& plan, const Partitions& known, Time now);
   // A waiting job that may displace other work, and what was done for it and before it.
   struct Preemption {
     const Job* job;
@@ -360,7 +360,7 @@
   bool displaces_for_image(const Job& job, Time now) const;
   // The machines of each part whose owner was heard of lately. The pointers hold until the machines
   // or the siblings' words change.
-  Parts parts(Time now, Seconds remembered);
+  Partitions partitions(Time now, Seconds remembered);
 
   const base::Settings& settings_;
   Ledger ledger_;
--- a/src/coordination/fleet_control.cpp
+++ b/src/coordination/fleet_control.cpp
@@ -89,7 +89,7 @@
   FleetActions actions;
   if (!is_leader(now) || !has_authority(now) || ledger_.catalogue().empty()) return actions;
   count_arrivals(now);
-  const Parts known = parts(now, kRoomRemembered);
+  const Partitions known = partitions(now, kRoomRemembered);
   actions.release = releases_due(known, now);
   // Renting while a part's machines are unknown would pay for them twice.
   const Seconds settle = settings_.heartbeat_interval * 2.0 + Seconds(1.0);
@@ -111,7 +111,7 @@
 }
 
 // What owners ask for now, and what this leader itself found to be of no use.
-std::vector<MachineId> Controller::releases_due(const Parts& known, Time now) const {
+std::vector<MachineId> Controller::releases_due(const Partitions& known, Time now) const {
   // An owner that was silent may have come back since a machine was last asked for.
   std::set<MachineId> release = to_release_;
   for (const MachineId& id : asked_back()) release.insert(id);
@@ -138,7 +138,7 @@
   return {release.begin(), release.end()};
 }
 
-FleetInput Controller::fleet_input(const Parts& known, Time now) const {
+FleetInput Controller::fleet_input(const Partitions& known, Time now) const {
   FleetInput in;
   in.now = now;
   in.catalogue = &ledger_.catalogue();
@@ -277,24 +277,24 @@
 
 // Tells the owners of machines that are to be emptied or closed: here, or with the answer to their
 // next status.
-void Controller::pass_on(const FleetPlan& plan, const Parts& known, Time now) {
-  std::map<MachineId, MemberId> part;
+void Controller::pass_on(const FleetPlan& plan, const Partitions& known, Time now) {
+  std::map<MachineId, MemberId> partition;
   for (const auto& [member, rooms] : known) {
-    for (const MachineRoom* r : rooms) part[r->id] = member;
+    for (const MachineRoom* r : rooms) partition[r->id] = member;
   }
   for (const MachineId& id : plan.drain) {
     drained_at_ = now;
-    if (part[id] == self_.member) {
+    if (partition[id] == self_.member) {
       drain({id});
     } else {
-      to_drain_[part[id]].insert(id);
+      to_drain_[partition[id]].insert(id);
     }
   }
   for (const MachineId& id : plan.close) {
-    if (part[id] == self_.member) {
+    if (partition[id] == self_.member) {
       close_idle({id});
     } else {
-      to_close_[part[id]].insert(id);
+      to_close_[partition[id]].insert(id);
     }
   }
 }
@@ -330,7 +330,7 @@
                         double wall_now) {
   if (!is_leader(now)) return;
   std::set<MachineId> heard, listed;
-  for (const auto& [member, rooms] : parts(now, kRoomRemembered)) {
+  for (const auto& [member, rooms] : partitions(now, kRoomRemembered)) {
     for (const MachineRoom* r : rooms) heard.insert(r->id);
   }
   for (const auto& b : booting_) heard.insert(b.id);
--- a/src/coordination/intake.cpp
+++ b/src/coordination/intake.cpp
@@ -46,7 +46,7 @@
   record.spec = spec;
   record.submitted = context.time_of_day;
   record.cancelled = context.need_cancelled;
-  record.chunk = protocol::chunk_size(spec.tasks, context.parts, context.value_bytes);
+  record.chunk = protocol::chunk_size(spec.tasks, context.partitions, context.value_bytes);
   // A cancellation is written into the record later.
   protocol::JobRecord largest = record;
   largest.cancelled = true;
--- a/src/coordination/intake.h
+++ b/src/coordination/intake.h
@@ -16,7 +16,7 @@
 // What the acceptance of a job depends on, besides what its user asks.
 struct AcceptanceContext {
   double time_of_day = 0;
-  std::size_t parts = 1;        // among how many controllers the machines are parted
+  std::size_t partitions = 1;   // among how many controllers the machines are parted
   std::size_t value_bytes = 0;  // the most that a value of the store holds
   bool need_cancelled = false;  // a job that it needs is cancelled, and so is this one
 };
--- a/src/coordination/routing.cpp
+++ b/src/coordination/routing.cpp
@@ -13,12 +13,14 @@
 namespace {
 
 constexpr Seconds kFirstOffers{0.6};  // made by the node that accepted the job, then by its home
-constexpr std::size_t kStayToDisplace = 2;  // offers, before another part is asked to make room
-constexpr std::size_t kStayWithPart = 40;   // offers, before another part is asked to gather room
-constexpr Seconds kRoomFresh{4.0};          // a sibling's room is relied on for this long
-constexpr double kOfferPeriods = 1.2;       // rounds, before a task is offered again
-constexpr std::size_t kLeastOffered = 8;    // tasks of a job that may displace others
-constexpr int kStarvedTier = -1;            // before all others
+constexpr std::size_t kOffersBeforeNextDisplacement =
+    2;  // offers, before another part is asked to make room
+constexpr std::size_t kOffersBeforeNextReservation =
+    40;                                   // offers, before another part is asked to gather room
+constexpr Seconds kRoomFresh{4.0};        // a sibling's room is relied on for this long
+constexpr double kOfferPeriods = 1.2;     // rounds, before a task is offered again
+constexpr std::size_t kLeastOffered = 8;  // tasks of a job that may displace others
+constexpr int kStarvedTier = -1;          // before all others
 
 }  // namespace
 
@@ -38,7 +40,7 @@
   bool displaces_has = false;  // ... where the image is
 };
 
-struct Part {
+struct Partition {
   MemberId member;
   std::vector<Place> places;
   double free_cores = 0;
@@ -129,7 +131,7 @@
 // what each part could do for it and which of its tasks are still to be offered.
 struct Controller::Routing {
   Time now;
-  std::vector<Part> parts;
+  std::vector<Partition> partitions;
   std::map<MemberId, protocol::Offers> out;
 
   const Job* job = nullptr;
@@ -201,7 +203,8 @@
 
 // Most machines of a full fleet have room for nothing that waits: they are passed over in one go, not
 // job by job.
-std::vector<Part> Controller::routing_parts(const std::vector<const Job*>& jobs, Time now) {
+std::vector<Partition> Controller::routing_partitions(const std::vector<const Job*>& jobs,
+                                                      Time now) {
   std::optional<Resources> least, least_displacing;
   const auto lower_to = [](std::optional<Resources>& to, const Resources& need) {
     if (!to) to = need;
@@ -211,25 +214,26 @@
     lower_to(least, job->record.spec.need);
     if (may_displace(*job, now)) lower_to(least_displacing, job->record.spec.need);
   }
-  std::vector<Part> all;
-  for (const auto& [member, machines] : parts(now, kRoomFresh)) {
-    Part part{member, {}, 0};
+  std::vector<Partition> all;
+  for (const auto& [member, machines] : partitions(now, kRoomFresh)) {
+    Partition partition{member, {}, 0};
     for (const MachineRoom* m : machines) {
       if (!m->open) continue;
-      part.free_cores += m->free.cores();
+      partition.free_cores += m->free.cores();
       Resources with_lower = m->free;
       with_lower += m->lower;
       if (m->free.fits(*least) || (least_displacing && with_lower.fits(*least_displacing))) {
-        part.places.push_back({m, m->free, m->lower});
+        partition.places.push_back({m, m->free, m->lower});
       }
     }
-    all.push_back(std::move(part));
+    all.push_back(std::move(partition));
   }
   return all;
 }
 
-void Controller::look_at_part(Routing& r, std::size_t part) const {
-  r.chances[part] = r.parts[part].chances(r.spec(), settings_.controller_zones, r.may_displace);
+void Controller::update_candidates(Routing& r, std::size_t partition) const {
+  r.chances[partition] =
+      r.partitions[partition].chances(r.spec(), settings_.controller_zones, r.may_displace);
 }
 
 std::vector<TaskNo> Controller::tasks_to_offer(const Job& job, std::size_t most, Time now) const {
@@ -249,8 +253,8 @@
 }
 
 // Offers the next `n` of the job's waiting tasks to that part.
-void Controller::offer(Routing& r, std::size_t part, std::size_t n) {
-  auto& offers = r.out[r.parts[part].member];
+void Controller::offer(Routing& r, std::size_t partition, std::size_t n) {
+  auto& offers = r.out[r.partitions[partition].member];
   for (std::size_t i = r.next; i < r.next + n; ++i) {
     add(offers, r.spec().id, r.waiting[i]);
     offered_[{r.spec().id, r.waiting[i]}] = r.now;
@@ -261,11 +265,11 @@
 // Arrays are split by free room; a record's tasks stay together as far as that goes, so that parts
 // seldom write the same one.
 void Controller::offer_array(Routing& r) {
-  const std::size_t parts = r.parts.size(), room = r.room();
+  const std::size_t partitions = r.partitions.size(), room = r.room();
   const std::size_t n = std::min(r.waiting.size(), room);
-  std::vector<double> quota(parts);
-  std::vector<std::size_t> left(parts);
-  for (std::size_t p = 0; p < parts; ++p) {
+  std::vector<double> quota(partitions);
+  std::vector<std::size_t> left(partitions);
+  for (std::size_t p = 0; p < partitions; ++p) {
     left[p] = r.chances[p].room;
     quota[p] = static_cast<double>(n) * static_cast<double>(left[p]) / static_cast<double>(room);
   }
@@ -273,34 +277,34 @@
   while (r.next < n) {
     std::size_t run = 1;  // waiting tasks of one record
     while (r.next + run < n && record_of(r.next + run) == record_of(r.next)) ++run;
-    std::size_t best = parts;
-    for (std::size_t p = 0; p < parts; ++p) {
-      if (left[p] > 0 && (best == parts || quota[p] > quota[best])) best = p;
+    std::size_t best = partitions;
+    for (std::size_t p = 0; p < partitions; ++p) {
+      if (left[p] > 0 && (best == partitions || quota[p] > quota[best])) best = p;
     }
-    if (best == parts) break;
+    if (best == partitions) break;
     const std::size_t share = std::min(run, left[best]);
     offer(r, best, share);
-    r.parts[best].take(r.spec(), share);
+    r.partitions[best].take(r.spec(), share);
     left[best] -= share;
     quota[best] -= static_cast<double>(share);
   }
-  for (std::size_t p = 0; p < parts; ++p) look_at_part(r, p);
+  for (std::size_t p = 0; p < partitions; ++p) update_candidates(r, p);
 }
 
 // The part that suits one more task of the job best, if any can take it. A part where the image is
 // already beats a roomier one where it must be fetched, and so does one with room where controllers are.
-std::optional<std::size_t> Controller::best_part(const Routing& r) const {
+std::optional<std::size_t> Controller::best_partition(const Routing& r) const {
   const bool hurries =
       r.spec().rank <= protocol::Rank::kUrgent && priorities_.start_within(r.spec()).has_value();
   std::optional<std::size_t> best;
   int best_rank = 0;
-  for (std::size_t p = 0; p < r.parts.size(); ++p) {
+  for (std::size_t p = 0; p < r.partitions.size(); ++p) {
     const Chances& c = r.chances[p];
     const bool takes_place = hurries && c.displaces_has;
     if (c.room == 0 && !takes_place) continue;
     const int rank = c.has_near ? 4 : c.has ? 3 : takes_place ? 2 : c.near ? 1 : 0;
     if (!best || rank > best_rank ||
-        (rank == best_rank && r.parts[p].free_cores > r.parts[*best].free_cores)) {
+        (rank == best_rank && r.partitions[p].free_cores > r.partitions[*best].free_cores)) {
       best = p;
       best_rank = rank;
     }
@@ -311,42 +315,42 @@
 // Others than arrays go to the roomiest part that fits them.
 void Controller::offer_to_roomiest(Routing& r) {
   while (!r.done()) {
-    const auto best = best_part(r);
+    const auto best = best_partition(r);
     if (!best) return;
     const std::size_t room = r.chances[*best].room, left = r.waiting.size() - r.next;
     const std::size_t n = r.spec().one_zone ? std::clamp<std::size_t>(room, 1, left) : 1;
     offer(r, *best, n);
     if (room > 0) {
-      r.parts[*best].take(r.spec(), n);
+      r.partitions[*best].take(r.spec(), n);
     } else {
-      r.parts[*best].displace(r.spec());
+      r.partitions[*best].displace(r.spec());
     }
-    look_at_part(r, *best);
+    update_candidates(r, *best);
   }
 }
 
 // Without room anywhere, what may displace other work goes where that can be done.
 void Controller::offer_to_displace(Routing& r) {
-  const std::size_t parts = r.parts.size();
+  const std::size_t partitions = r.partitions.size();
   while (!r.done()) {
     // Now and then another part: what can give way there may be of a team that need not. Not
     // each time, or room would be made in all of them.
-    const std::size_t from = ++displacing_[r.spec().id] / kStayToDisplace;
+    const std::size_t from = ++displacing_[r.spec().id] / kOffersBeforeNextDisplacement;
     std::size_t i = 0;
-    while (i < parts && !r.chances[(from + i) % parts].displaces) ++i;
-    if (i == parts) return;
-    const std::size_t part = (from + i) % parts;
-    offer(r, part, 1);
-    r.parts[part].displace(r.spec());
-    look_at_part(r, part);
+    while (i < partitions && !r.chances[(from + i) % partitions].displaces) ++i;
+    if (i == partitions) return;
+    const std::size_t partition = (from + i) % partitions;
+    offer(r, partition, 1);
+    r.partitions[partition].displace(r.spec());
+    update_candidates(r, partition);
   }
 }
 
 void Controller::route_job(Routing& r, const Job& job) {
   r.job = &job;
   r.may_displace = may_displace(job, r.now);
-  r.chances.assign(r.parts.size(), {});
-  for (std::size_t p = 0; p < r.parts.size(); ++p) look_at_part(r, p);
+  r.chances.assign(r.partitions.size(), {});
+  for (std::size_t p = 0; p < r.partitions.size(); ++p) update_candidates(r, p);
   const bool gang = r.spec().kind == protocol::Kind::kGang;
   const std::size_t room = r.room();
   // A gang starts only if all its tasks find room in one round.
@@ -365,7 +369,7 @@
   }
   // A job that has waited too long is offered where there is no room as well: it is gathered there.
   if (!gang && ahead && r.room() == 0 && !r.done()) {
-    offer(r, (++displacing_[r.spec().id] / kStayWithPart) % r.parts.size(), 1);
+    offer(r, (++displacing_[r.spec().id] / kOffersBeforeNextReservation) % r.partitions.size(), 1);
   }
   if (!gang && r.may_displace) offer_to_displace(r);
 }
@@ -379,7 +383,7 @@
   sort_by_turn(jobs, now);
   Routing r;
   r.now = now;
-  r.parts = routing_parts(jobs, now);
+  r.partitions = routing_partitions(jobs, now);
   for (const Job* job : jobs) route_job(r, *job);
   for (auto& [member, offers] : r.out) {
     offers.from = self_;
--- a/src/coordination/upkeep.cpp
+++ b/src/coordination/upkeep.cpp
@@ -76,7 +76,7 @@
 }
 
 // Stops one service on a machine that is being emptied, if it finds room with its image elsewhere now.
-void Controller::move_service_away(Machine& m, const Parts& known, Time now) {
+void Controller::move_service_away(Machine& m, const Partitions& known, Time now) {
   const MachineId& id = m.last_heartbeat.machine;
   // One service at a time, and none that a user would still count as just started.
   const bool moving = std::any_of(m.evict.begin(), m.evict.end(),
@@ -95,8 +95,8 @@
       return r->open && r->id != id && r->tasks > 0 && r->free.fits(spec.need) &&
              may_run(spec, r->type, r->zone, r->spot) && r->has_image(spec.image);
     };
-    const bool fits = std::any_of(known.begin(), known.end(), [&](const auto& part) {
-      return std::any_of(part.second.begin(), part.second.end(), takes);
+    const bool fits = std::any_of(known.begin(), known.end(), [&](const auto& partition) {
+      return std::any_of(partition.second.begin(), partition.second.end(), takes);
     });
     if (!fits) continue;
     spdlog::info("{}/{} moves away from {}", task.job.get(), task.no, id.get());
@@ -117,11 +117,11 @@
   const Seconds unanswered = patience(2.5, Seconds(2.0));
   std::set<MachineId> mute;
   std::size_t owned = machines_.size(), late = 0;
-  std::optional<Parts> known;
+  std::optional<Partitions> known;
   for (auto& [id, m] : machines_) {
     m.give_back = m.closed && ledger_.held_by(id).empty() && !look(m).active;
     if (m.draining && is_schedulable(m, now)) {
-      if (!known) known = parts(now, kRoomToMove);
+      if (!known) known = partitions(now, kRoomToMove);
       move_service_away(m, *known, now);
     }
     const bool overdue = m.taken_at && now > *m.taken_at;
--- a/src/protocol/records.cpp
+++ b/src/protocol/records.cpp
@@ -75,12 +75,12 @@
 
 }  // namespace
 
-TaskNo chunk_size(TaskNo tasks, std::size_t parts, std::size_t most_bytes) {
+TaskNo chunk_size(TaskNo tasks, std::size_t partitions, std::size_t most_bytes) {
   constexpr TaskNo kLeast = 16;
   const std::size_t room = most_bytes > kFrameBytes ? most_bytes - kFrameBytes : 0;
   const std::size_t fit = room / kHeldBytes;
   const TaskNo most = static_cast<TaskNo>(std::clamp<std::size_t>(fit, 1, kMostChunk));
-  const auto n = static_cast<TaskNo>(std::max<std::size_t>(1, parts));
+  const auto n = static_cast<TaskNo>(std::max<std::size_t>(1, partitions));
   return std::clamp((tasks + n - 1) / n, std::min(kLeast, most), most);
 }
 
--- a/src/protocol/records.h
+++ b/src/protocol/records.h
@@ -137,7 +137,7 @@
 // So many tasks to a record that each part of the machines can have records of its own: two nodes
 // that write the same one get in each other's way. No more than fit into a value of so many bytes,
 // each held by a machine of its own.
-TaskNo chunk_size(TaskNo tasks, std::size_t parts, std::size_t most_bytes);
+TaskNo chunk_size(TaskNo tasks, std::size_t partitions, std::size_t most_bytes);
 Json to_json(const JobRecord& job);
 std::optional<JobRecord> parse_job(const Json& value);
 
--- a/src/users.cpp
+++ b/src/users.cpp
@@ -157,7 +157,7 @@
   }
   coordination::AcceptanceContext context;
   context.time_of_day = store_.wall();
-  context.parts = static_cast<std::size_t>(std::max(1, settings_.size));
+  context.partitions = static_cast<std::size_t>(std::max(1, settings_.size));
   context.value_bytes = settings_.value_bytes;
   context.need_cancelled = needs.cancelled;
   return accept(coordination::accepted_record(spec, context), now);
--- a/tests/scenario_trace.h
+++ b/tests/scenario_trace.h
@@ -13,11 +13,11 @@
   void open(const std::string& scenario);
   bool is_open() const { return out_.is_open(); }
   // The parts are separated by spaces.
-  template <class... Parts>
-  void write(double at, const Parts&... parts) {
+  template <class... Partitions>
+  void write(double at, const Partitions&... partitions) {
     if (!out_.is_open()) return;
     out_ << at;
-    ((out_ << ' ' << parts), ...);
+    ((out_ << ' ' << partitions), ...);
     out_ << '\n';
   }
   // For long texts: their length and a hash of them.
