--- a/bench/versions/records_tool.cpp
+++ b/bench/versions/records_tool.cpp
@@ -140,8 +140,8 @@
   }
 }
 
-void print_jobs(const bookkeeping::Ledger& ledger) {
-  for (const auto& [id, job] : ledger.jobs()) {
+void print_jobs(const bookkeeping::StateCache& cache) {
+  for (const auto& [id, job] : cache.jobs()) {
     const auto& spec = job.record.spec;
     std::cout << "job " << id.get() << " class " << spec.job_class << " tasks " << spec.tasks
               << " memory " << spec.need.memory() << " deadline " << spec.deadline->count()
@@ -160,7 +160,7 @@
 void read() {
   std::cout.precision(12);
   base::Settings settings;
-  bookkeeping::Ledger ledger(settings);
+  bookkeeping::StateCache cache(settings);
   std::uint64_t version = 0;
   for (std::string line; std::getline(std::cin, line);) {
     const auto tab = line.find('\t');
@@ -169,19 +169,19 @@
     if (key.starts_with("message/")) {
       read_message(key, value);
     } else {
-      ledger.apply({key, value, base::Version(++version)}, base::Time{});
+      cache.apply({key, value, base::Version(++version)}, base::Time{});
     }
   }
-  print_jobs(ledger);
+  print_jobs(cache);
   for (const char* id : {"run-000004", "run-000005"}) {
-    std::cout << "final " << id << ' ' << ledger.final_state(base::JobId(id)).has_value() << '\n';
+    std::cout << "final " << id << ' ' << cache.final_state(base::JobId(id)).has_value() << '\n';
   }
-  const auto& view = *ledger.view();
+  const auto& view = *cache.view();
   std::cout << "view " << view.epoch.get() << ' ' << view.members.size() << ' '
-            << view.overrides.size() << " leader " << ledger.leader()->incarnation.get()
-            << " members " << ledger.members().size() << " claims " << ledger.claims().size()
-            << " booting " << ledger.booting().size() << ' ' << ledger.booting()[0].type
-            << " types " << ledger.catalogue().size() << '\n';
+            << view.overrides.size() << " leader " << cache.leader()->incarnation.get()
+            << " members " << cache.members().size() << " claims " << cache.claims().size()
+            << " booting " << cache.booting().size() << ' ' << cache.booting()[0].type << " types "
+            << cache.catalogue().size() << '\n';
 }
 
 }  // namespace
--- a/src/bookkeeping/ledger.cpp
+++ b/src/bookkeeping/ledger.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-bool Ledger::apply(const Item& item, Time now) {
+bool StateCache::apply(const Item& item, Time now) {
   const std::string& key = item.key;
   if (key.starts_with(protocol::kFinals)) {
     if (const auto f = protocol::parse_final(item.value)) {
@@ -83,13 +83,13 @@
   return true;
 }
 
-void Ledger::apply(const protocol::Transaction& txn, Revision committed, Time now) {
+void StateCache::apply(const protocol::Transaction& txn, Revision committed, Time now) {
   for (const protocol::Put& w : txn.writes) {
     apply({w.key, w.value ? *w.value : protocol::Json(), Version(committed.get())}, now);
   }
 }
 
-void Ledger::count(const Job& job, TaskNo no, const Held& held, int sign) {
+void StateCache::count(const Job& job, TaskNo no, const Held& held, int sign) {
   const TaskId task{job.record.spec.id, no};
   if (sign > 0) {
     by_machine_[held.machine][task] = held;
@@ -107,13 +107,13 @@
   team_use_[job.record.spec.team] += job.record.spec.need * static_cast<double>(sign);
 }
 
-void Ledger::uncount(const Job& job) {
+void StateCache::remove_assignments(const Job& job) {
   for (const Chunk& c : job.chunks) {
     for (const auto& [no, held] : c.record.held) count(job, no, held, -1);
   }
 }
 
-void Ledger::put_job(const Item& item, Time now) {
+void StateCache::put_job(const Item& item, Time now) {
   ++job_changes_;
   const JobId id(item.key.substr(protocol::kJobs.size()));
   const auto at = jobs_.find(id);
@@ -121,7 +121,7 @@
   if (!record) {
     if (!item.value.is_null()) spdlog::error("job {} in the store can't be read", id.get());
     if (at == jobs_.end()) return;
-    uncount(at->second);
+    remove_assignments(at->second);
     dependencies_.remove(id);
     orphan_records_of(at->second);
     job_index_.erase(id);
@@ -158,7 +158,7 @@
   if (added.cancelled_on_record()) cancel_dependents(id);
 }
 
-void Ledger::orphan_records_of(const Job& job) {
+void StateCache::orphan_records_of(const Job& job) {
   const JobId& id = job.record.spec.id;
   std::vector<std::string> keys;
   for (std::size_t c = 0; c < job.chunks.size(); ++c)
@@ -176,7 +176,7 @@
   }
 }
 
-void Ledger::put_need_list(const Item& item) {
+void StateCache::put_need_list(const Item& item) {
   orphans_.erase(item.key);
   const auto id = protocol::job_of_need_key(item.key);
   // The record that only names the set tells nothing that the job's own does not.
@@ -195,7 +195,7 @@
   if (!job.waits) ++jobs_made_ready_;
 }
 
-bool Ledger::take_need_lists(Job& job) {
+bool StateCache::take_need_lists(Job& job) {
   const auto& lists = job.record.need_lists;
   if (!lists) return true;
   const JobId& id = job.record.spec.id;
@@ -212,7 +212,7 @@
   return true;
 }
 
-void Ledger::link_needs(Job& job) {
+void StateCache::link_needs(Job& job) {
   const JobId& id = job.record.spec.id;
   std::vector<JobId> open;
   for (const JobId& need : job.record.spec.needs) {
@@ -230,7 +230,7 @@
   dependencies_.add(id, open);
 }
 
-void Ledger::cancel_dependents(const JobId& id) {
+void StateCache::cancel_dependents(const JobId& id) {
   for (const JobId& dependent : dependencies_.all_dependents(id)) {
     const auto at = jobs_.find(dependent);
     if (at == jobs_.end() || at->second.need_cancelled) continue;
@@ -240,7 +240,7 @@
   }
 }
 
-void Ledger::count_ready(Job& job, double done_at) {
+void StateCache::mark_dependency_done(Job& job, double done_at) {
   job.ready_at = std::max(job.ready_at, done_at);
   if (!dependencies_.open_needs(job.record.spec.id).empty()) return;
   job.waits = false;
@@ -248,7 +248,7 @@
   ++jobs_made_ready_;
 }
 
-std::vector<JobId> Ledger::unresolved_needs() const {
+std::vector<JobId> StateCache::unresolved_needs() const {
   std::vector<JobId> out;
   for (const auto& [need, dependents] : dependencies_.waited_for()) {
     if (!job(need) && !final_state(need)) out.push_back(need);
@@ -256,7 +256,7 @@
   return out;
 }
 
-std::vector<JobId> Ledger::unresolved_needs(const JobId& id) const {
+std::vector<JobId> StateCache::unresolved_needs(const JobId& id) const {
   std::vector<JobId> out;
   for (const JobId& need : dependencies_.all_open_needs(id)) {
     if (!job(need) && !final_state(need)) out.push_back(need);
@@ -264,7 +264,7 @@
   return out;
 }
 
-void Ledger::told_cancelled(const JobId& id) {
+void StateCache::told_cancelled(const JobId& id) {
   const auto at = jobs_.find(id);
   if (at == jobs_.end() || at->second.cancelled()) return;
   at->second.told_cancelled = true;
@@ -273,13 +273,13 @@
 }
 
 // What is wanted on each machine that holds a task of the job has changed.
-void Ledger::stamp_holders(const Job& job) {
+void StateCache::stamp_holders(const Job& job) {
   for (const Chunk& c : job.chunks) {
     for (const auto& [no, held] : c.record.held) stamps_[held.machine] = ++last_stamp_;
   }
 }
 
-void Ledger::put_chunk(const Item& item, Time now) {
+void StateCache::put_chunk(const Item& item, Time now) {
   const auto name = protocol::parse_chunk_key(item.key);
   if (!name) return;
   orphans_.erase(item.key);
@@ -306,7 +306,7 @@
   }
 }
 
-void Ledger::divide(Job& job, Time now) {
+void StateCache::divide(Job& job, Time now) {
   job.whole = std::move(job.chunks);
   job.chunks.clear();
   job.chunks.resize(job.record.chunks());
@@ -320,7 +320,7 @@
   for (std::uint32_t c = 0; c < job.whole.size(); ++c) derive_pieces(job, c, now);
 }
 
-void Ledger::derive_pieces(Job& job, std::uint32_t chunk, Time now) {
+void StateCache::derive_pieces(Job& job, std::uint32_t chunk, Time now) {
   const ChunkRecord& whole = job.whole[chunk].record;
   const std::uint32_t pieces = job.record.pieces_of_chunk();
   for (std::uint32_t i = chunk * pieces; i < (chunk + 1) * pieces && i < job.chunks.size(); ++i) {
@@ -335,7 +335,8 @@
   }
 }
 
-void Ledger::replace(Job& job, std::size_t number, ChunkRecord record, Version version, Time now) {
+void StateCache::replace(Job& job, std::size_t number, ChunkRecord record, Version version,
+                         Time now) {
   Chunk& chunk = job.chunks[number];
   // Only the tasks whose holder changed: a record of many tasks is written for a few of them, and
   // each machine that is touched here is worked out anew.
@@ -361,13 +362,13 @@
   job.done += chunk.record.done_count();
 }
 
-void Ledger::caught_up(Revision revision) {
+void StateCache::advance_to(Revision revision) {
   if (revision <= revision_) return;
   revision_ = revision;
   std::erase_if(removed_, [&](const auto& r) { return r.second.get() <= revision.get(); });
 }
 
-void Ledger::clear() {
+void StateCache::clear() {
   jobs_.clear();
   job_index_.clear();
   ++last_stamp_;
@@ -388,25 +389,25 @@
   revision_ = Revision(0);
 }
 
-const Job* Ledger::job(const JobId& id) const {
+const Job* StateCache::job(const JobId& id) const {
   const auto it = job_index_.find(id);
   return it == job_index_.end() ? nullptr : it->second;
 }
 
-std::optional<FinalState> Ledger::final_state(const JobId& id) const {
+std::optional<FinalState> StateCache::final_state(const JobId& id) const {
   const auto it = finals_.find(id);
   if (it == finals_.end()) return {};
   return it->second;
 }
 
-void Ledger::remember_final(const JobId& id, const FinalState& state) {
+void StateCache::remember_final(const JobId& id, const FinalState& state) {
   if (!finals_.emplace(id, state).second) return;
   if (state.status == JobStatus::kCancelled) {
     cancel_dependents(id);
   } else {
     for (const JobId& dependent : dependencies_.mark_done(id)) {
       if (const auto at = jobs_.find(dependent); at != jobs_.end())
-        count_ready(at->second, state.at);
+        mark_dependency_done(at->second, state.at);
     }
   }
   finals_order_.push_back(id);
@@ -416,33 +417,33 @@
   }
 }
 
-const std::map<TaskId, Held>& Ledger::held_by(const MachineId& machine) const {
+const std::map<TaskId, Held>& StateCache::held_by(const MachineId& machine) const {
   static const std::map<TaskId, Held> kNone;
   const auto it = by_machine_.find(machine);
   return it == by_machine_.end() ? kNone : it->second;
 }
 
-std::uint64_t Ledger::stamp(const MachineId& machine) const {
+std::uint64_t StateCache::stamp(const MachineId& machine) const {
   const auto it = stamps_.find(machine);
   return it == stamps_.end() ? 0 : it->second;
 }
 
-Resources Ledger::team_use(const std::string& team) const {
+Resources StateCache::team_use(const std::string& team) const {
   const auto it = team_use_.find(team);
   return it == team_use_.end() ? Resources{} : it->second;
 }
 
-bool Ledger::limited(const std::string& team) const {
+bool StateCache::limited(const std::string& team) const {
   const auto it = settings_.teams.find(team);
   return it != settings_.teams.end() && (it->second.cores_max > 0 || it->second.gpus_max > 0);
 }
 
-Version Ledger::version(const std::string& key) const {
+Version StateCache::version(const std::string& key) const {
   const auto it = versions_.find(key);
   return it == versions_.end() ? Version(0) : it->second;
 }
 
-const MachineType* Ledger::type(const std::string& name) const {
+const MachineType* StateCache::type(const std::string& name) const {
   for (const MachineType& t : catalogue_) {
     if (t.name == name) return &t;
   }
--- a/src/bookkeeping/ledger.h
+++ b/src/bookkeeping/ledger.h
@@ -87,9 +87,9 @@
   }
 };
 
-class Ledger {
+class StateCache {
  public:
-  explicit Ledger(const base::Settings& settings) : settings_(settings) {}
+  explicit StateCache(const base::Settings& settings) : settings_(settings) {}
 
   // An item as listed, watched or committed. Returns false if it was known or older.
   bool apply(const Item& item, Time now);
@@ -99,7 +99,7 @@
   // starts, and is put on no record; what it names may be unknown here.
   void told_cancelled(const JobId& id);
   // The watch (or the first load) has told everything up to here.
-  void caught_up(Revision revision);
+  void advance_to(Revision revision);
   Revision revision() const { return revision_; }
   // Starts over, as after a watch that fell too far behind. Final states stay.
   void clear();
@@ -158,7 +158,7 @@
   // The job is cancelled on record: so is all that depends on it.
   void cancel_dependents(const JobId& id);
   // That job was done at that time of day: one that needs it may start once it was the last.
-  void count_ready(Job& job, double done_at);
+  void mark_dependency_done(Job& job, double done_at);
   void put_chunk(const Item& item, Time now);
   // The job's record says that its chunks are divided into pieces.
   void divide(Job& job, Time now);
@@ -168,7 +168,7 @@
   void replace(Job& job, std::size_t number, ChunkRecord record, Version version, Time now);
   // Takes a task's holder out of the books, or puts it in.
   void count(const Job& job, TaskNo no, const Held& held, int sign);
-  void uncount(const Job& job);
+  void remove_assignments(const Job& job);
   void stamp_holders(const Job& job);
 
   const base::Settings& settings_;
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -22,7 +22,7 @@
 }  // namespace
 
 Controller::Controller(const base::Settings& settings)
-    : settings_(settings), ledger_(settings), priorities_(settings_, ledger_) {}
+    : settings_(settings), cache_(settings), priorities_(settings_, cache_) {}
 
 // --- membership
 
@@ -50,27 +50,26 @@
   return base::after(sent, settings_.tuning.member_ttl * (1.0 - base::kDrift));
 }
 
-void Controller::lease_renewed(Time sent, std::uint64_t copy) {
-  if (copy != copy_) return;
+void Controller::lease_renewed(Time sent, std::uint64_t cache_generation) {
+  if (cache_generation != cache_generation_) return;
   authority_valid_until_ = ttl_after(sent);
-  authority_view_ = ledger_.version(protocol::kViewKey);
+  authority_view_ = cache_.version(protocol::kViewKey);
 }
 
 bool Controller::has_authority(Time now) const {
-  return has_incarnation_ && now < authority_valid_until_ && ledger_.view() &&
+  return has_incarnation_ && now < authority_valid_until_ && cache_.view() &&
          installed_view_.get() != 0 && authority_view_ == installed_view_ &&
-         installed_view_ == ledger_.version(protocol::kViewKey) &&
-         has_member(*ledger_.view(), self_);
+         installed_view_ == cache_.version(protocol::kViewKey) && has_member(*cache_.view(), self_);
 }
 
 bool Controller::is_leader(Time now) const {
-  return has_incarnation_ && has_lease(now) && ledger_.leader() && *ledger_.leader() == self_;
+  return has_incarnation_ && has_lease(now) && cache_.leader() && *cache_.leader() == self_;
 }
 
 const ControllerIncarnation* Controller::owner(const MachineId& machine) const {
-  const auto& view = ledger_.view();
+  const auto& view = cache_.view();
   if (!view || view->members.empty()) return nullptr;
-  const Version version = ledger_.version(protocol::kViewKey);
+  const Version version = cache_.version(protocol::kViewKey);
   if (owners_view_version_ != version || owners_.size() > kMostOwners) {
     owners_.clear();
     owners_view_version_ = version;
@@ -88,13 +87,13 @@
 }
 
 void Controller::install_view(Time now) {
-  for (const auto& [id, member] : ledger_.members()) member_since_.try_emplace(id, now);
-  std::erase_if(member_since_, [&](const auto& m) { return !ledger_.members().contains(m.first); });
+  for (const auto& [id, member] : cache_.members()) member_since_.try_emplace(id, now);
+  std::erase_if(member_since_, [&](const auto& m) { return !cache_.members().contains(m.first); });
   if (is_leader(now) != was_leader_) {
     was_leader_ = is_leader(now);
     if (was_leader_) {
       leader_since_ = now;
-      booting_ = ledger_.booting();
+      booting_ = cache_.booting();
       to_release_.clear();
       unheard_.clear();
       shunned_.clear();
@@ -103,12 +102,12 @@
       spdlog::info("no longer leading");
     }
   }
-  const Version version = ledger_.version(protocol::kViewKey);
+  const Version version = cache_.version(protocol::kViewKey);
   // Taking over needs all that was recorded before the view: the watch must have brought it.
-  if (!ledger_.view() || version == installed_view_ || ledger_.revision().get() < version.get()) {
+  if (!cache_.view() || version == installed_view_ || cache_.revision().get() < version.get()) {
     return;
   }
-  const FencingToken base = first_fencing_token(ledger_.view()->epoch);
+  const FencingToken base = first_fencing_token(cache_.view()->epoch);
   // Views that were skipped may have had other owners, who may have answered until lately.
   const bool in_a_row =
       base.get() == base_fencing_token_.get() + first_fencing_token(Epoch(1)).get();
@@ -135,7 +134,7 @@
           std::max(m.last_answered_at, base::after(now, settings_.tuning.member_ttl));
   }
   std::map<MachineId, std::pair<MemberId, Time>> overridden;
-  for (const auto& [id, member] : ledger_.view()->overrides) {
+  for (const auto& [id, member] : cache_.view()->overrides) {
     const auto before = override_since_.find(id);
     overridden[id] = before != override_since_.end() && before->second.first == member
                          ? before->second
@@ -145,19 +144,19 @@
   // Shares handed to members that are gone must find a new home at once.
   offered_.clear();
   std::string names;
-  for (const ControllerIncarnation& m : ledger_.view()->members) {
+  for (const ControllerIncarnation& m : cache_.view()->members) {
     names +=
         (names.empty() ? "" : ", ") + m.member.get() + "#" + std::to_string(m.incarnation.get());
   }
-  spdlog::info("view {} of [{}], {}", ledger_.view()->epoch.get(), names,
-               has_member(*ledger_.view(), self_) ? "a member" : "not a member");
+  spdlog::info("view {} of [{}], {}", cache_.view()->epoch.get(), names,
+               has_member(*cache_.view(), self_) ? "a member" : "not a member");
 }
 
 Transaction Controller::member_record(base::LeaseId lease, bool reaches_others) const {
   const std::string key = protocol::member_key(self_.member);
   Transaction txn;
   // Guarded: carried out late, it must not take the place of a later life's.
-  txn.guards[key] = ledger_.version(key);
+  txn.guards[key] = cache_.version(key);
   txn.writes.push_back(
       {key, to_json(protocol::Member{self_, reaches_others, protocol::kFormat}), lease});
   return txn;
@@ -165,7 +164,7 @@
 
 std::optional<Transaction> Controller::propose_membership_change(Time now, base::LeaseId lease) {
   if (!has_incarnation_ || !has_lease(now)) return {};
-  const auto& members = ledger_.members();
+  const auto& members = cache_.members();
   const auto me = members.find(self_.member);
   if (me == members.end() || me->second.incarnation != self_) {
     // Lost to a write of an earlier life, carried out late, and to the end of that life's lease: without
@@ -188,7 +187,7 @@
   }
   // A process that came back takes the place of its earlier life at once, leader or not: who owns
   // what stays the same, and workers' leases run on while it waits.
-  if (const auto& view = ledger_.view(); view && !has_member(*view, self_)) {
+  if (const auto& view = cache_.view(); view && !has_member(*view, self_)) {
     const auto old =
         std::find_if(view->members.begin(), view->members.end(),
                      [&](const ControllerIncarnation& m) { return m.member == self_.member; });
@@ -196,15 +195,15 @@
       View next = *view;
       next.epoch = Epoch(next.epoch.get() + 1);
       next.members[static_cast<std::size_t>(old - view->members.begin())] = self_;
-      txn.guards[protocol::kViewKey] = ledger_.version(protocol::kViewKey);
+      txn.guards[protocol::kViewKey] = cache_.version(protocol::kViewKey);
       txn.guards[protocol::member_key(self_.member)] =
-          ledger_.version(protocol::member_key(self_.member));
+          cache_.version(protocol::member_key(self_.member));
       txn.writes.push_back({protocol::kViewKey, to_json(next), {}});
       return txn;
     }
   }
-  txn.guards[protocol::kLeadKey] = ledger_.version(protocol::kLeadKey);
-  const auto& leader = ledger_.leader();
+  txn.guards[protocol::kLeadKey] = cache_.version(protocol::kLeadKey);
+  const auto& leader = cache_.leader();
   // A leader whose member has begun another life is no more.
   const auto present = leader ? members.find(leader->member) : members.end();
   const bool ended = leader && present != members.end() && present->second.incarnation != *leader;
@@ -213,7 +212,7 @@
     // not lead. Where nobody reaches anybody, any leader is better than none.
     if (others > 0 && reached == 0 && others_reach) return {};
     txn.guards[protocol::member_key(self_.member)] =
-        ledger_.version(protocol::member_key(self_.member));
+        cache_.version(protocol::member_key(self_.member));
     txn.writes.push_back({protocol::kLeadKey, to_json(self_), lease});
     return txn;
   }
@@ -239,16 +238,16 @@
     for (const auto& id : shun) spdlog::warn("{} can't be reached: left out of the view", id.get());
   }
   const auto next = next_view(
-      members, ledger_.view(), shunned_, heard_claims(now),
+      members, cache_.view(), shunned_, heard_claims(now),
       [this](const MachineId& id) { return gone_.contains(id); }, settings_.value_bytes);
   if (next) {
-    txn.guards[protocol::kViewKey] = ledger_.version(protocol::kViewKey);
+    txn.guards[protocol::kViewKey] = cache_.version(protocol::kViewKey);
     txn.writes.push_back({protocol::kViewKey, to_json(*next), {}});
   }
-  for (const auto& [machine, incarnation] : ledger_.claims()) {
+  for (const auto& [machine, incarnation] : cache_.claims()) {
     if (txn.writes.size() + 1 >= settings_.txn_ops) break;
     const std::string key = protocol::claim_key(machine);
-    txn.guards[key] = ledger_.version(key);
+    txn.guards[key] = cache_.version(key);
     txn.writes.push_back({key, {}, {}});
   }
   if (txn.writes.empty()) return {};
@@ -258,14 +257,14 @@
 // New formats begin once every controller that is configured has said, under its present incarnation, that it
 // reads them: one that is away may come back as the version before.
 std::optional<Transaction> Controller::propose_format_upgrade() const {
-  if (ledger_.format() >= protocol::kFormat) return {};
+  if (cache_.format() >= protocol::kFormat) return {};
   Transaction txn;
-  txn.guards[protocol::kFormatKey] = ledger_.version(protocol::kFormatKey);
+  txn.guards[protocol::kFormatKey] = cache_.version(protocol::kFormatKey);
   const auto reads_format = [&](const MemberId& id) {
-    const auto at = ledger_.members().find(id);
-    if (at == ledger_.members().end() || at->second.format < protocol::kFormat) return false;
+    const auto at = cache_.members().find(id);
+    if (at == cache_.members().end() || at->second.format < protocol::kFormat) return false;
     const std::string key = protocol::member_key(id);
-    txn.guards[key] = ledger_.version(key);
+    txn.guards[key] = cache_.version(key);
     return true;
   };
   if (!reads_format(self_.member)) return {};
@@ -296,7 +295,7 @@
 
 WorkerReply Controller::handle_heartbeat(const Heartbeat& heartbeat, Time now) {
   note_running(now);
-  if (!ledger_.view() || ledger_.view()->members.empty()) {
+  if (!cache_.view() || cache_.view()->members.empty()) {
     return {503, protocol::error_body("no view yet")};
   }
   const ControllerIncarnation* of = owner(heartbeat.machine);
@@ -384,13 +383,13 @@
                  heartbeat.notice->count());
   }
   std::map<TaskId, Time> ran;
-  const auto* type = ledger_.type(heartbeat.type);
+  const auto* type = cache_.type(heartbeat.type);
   m.pulling.clear();
-  bool busy = !ledger_.held_by(heartbeat.machine).empty();
+  bool busy = !cache_.held_by(heartbeat.machine).empty();
   for (const auto& [task, attempts] : heartbeat.tasks) {
     for (const auto& t : attempts) {
       if (t.state != protocol::TaskState::kEnded) busy = true;
-      if (const Job* job = ledger_.job(task.job); job && type) {
+      if (const Job* job = cache_.job(task.job); job && type) {
         const auto& spec = job->record.spec;
         if (t.state == protocol::TaskState::kPulling) {
           m.pulling.insert(spec.image);
@@ -414,12 +413,12 @@
   m.ran = std::move(ran);
   if (busy) m.idle_since = now;
   std::erase_if(m.evict,
-                [&](const TaskId& t) { return !ledger_.held_by(heartbeat.machine).contains(t); });
+                [&](const TaskId& t) { return !cache_.held_by(heartbeat.machine).contains(t); });
   // A start that the worker hasn't heard of can't reach it any more: every answer that carried it
   // was taken or dropped before this report was sent, and direct orders are fenced by the token.
   if (renews_lease && m.is_fenced()) {
-    for (const auto& [task, held] : ledger_.held_by(heartbeat.machine)) {
-      const Job* job = ledger_.job(task.job);
+    for (const auto& [task, held] : cache_.held_by(heartbeat.machine)) {
+      const Job* job = cache_.job(task.job);
       // Nor is it started any more: not wanted, or stopped before it began. Without this the latter
       // would be held for ever by a machine that has never heard of it.
       const bool unwanted = job && (job->cancelled() || m.evict.contains(task));
@@ -433,10 +432,10 @@
 
 std::vector<Command> Controller::stops_for(const Machine& m) const {
   std::vector<Command> out;
-  const auto& held = ledger_.held_by(m.last_heartbeat.machine);
+  const auto& held = cache_.held_by(m.last_heartbeat.machine);
   for (const auto& [task, attempts] : m.last_heartbeat.tasks) {
     const auto h = held.find(task);
-    const Job* job = ledger_.job(task.job);
+    const Job* job = cache_.job(task.job);
     for (const auto& t : attempts) {
       if (t.state == protocol::TaskState::kEnded) continue;
       const bool ours = h != held.end() && h->second.attempt == t.attempt;
@@ -454,7 +453,7 @@
 std::vector<Command> Controller::reconcile(const Machine& m) const {
   std::vector<Command> out;
   if (look(m).stops) out = stops_for(m);
-  const auto& held = ledger_.held_by(m.last_heartbeat.machine);
+  const auto& held = cache_.held_by(m.last_heartbeat.machine);
   if (m.is_fenced()) {
     for (const auto& [task, attempts] : m.last_heartbeat.tasks) {
       const auto h = held.find(task);
@@ -471,7 +470,7 @@
   for (const auto& [task, h] : held) {
     if (h.agent_incarnation != m.last_heartbeat.agent_incarnation || m.evict.contains(task))
       continue;
-    const Job* job = ledger_.job(task.job);
+    const Job* job = cache_.job(task.job);
     if (!job || job->cancelled()) continue;
     const base::Attempt attempt = h.attempt;
     const auto reported_attempt = m.last_heartbeat.tasks.find(task);
@@ -486,7 +485,7 @@
 bool Controller::still_due(Order& order, Time now) const {
   if (!has_authority(now)) return false;
   std::erase_if(order.commands, [this](const Command& c) {
-    const Job* job = ledger_.job(c.task.job);
+    const Job* job = cache_.job(c.task.job);
     return c.op == Command::Op::kRun && (!job || job->cancelled());
   });
   return !order.commands.empty();
@@ -507,14 +506,14 @@
     spdlog::info("machine {} is gone (the cloud's word)", id.get());
   }
   std::erase_if(gone_, [&](const auto& g) {
-    return base::between(g.second, now) > kGoneKept && !ledger_.held().contains(g.first);
+    return base::between(g.second, now) > kGoneKept && !cache_.held().contains(g.first);
   });
 }
 
 void Controller::close_idle(const std::vector<MachineId>& machines) {
   for (const MachineId& id : machines) {
     const auto at = machines_.find(id);
-    if (at == machines_.end() || at->second.closed || !ledger_.held_by(id).empty()) continue;
+    if (at == machines_.end() || at->second.closed || !cache_.held_by(id).empty()) continue;
     at->second.closed = true;
     spdlog::info("machine {} is idle: closed", id.get());
   }
@@ -544,25 +543,25 @@
   bookkeeping::Outlook& o = m.outlook;
   const bool same = o.known && o.agent_incarnation == m.last_heartbeat.agent_incarnation &&
                     o.sequence == m.last_heartbeat.sequence && o.evicted == m.evict.size();
-  if (same && o.checked == ledger_.last_stamp()) return o;
-  const std::uint64_t stamp = ledger_.stamp(m.last_heartbeat.machine);
+  if (same && o.checked == cache_.last_stamp()) return o;
+  const std::uint64_t stamp = cache_.stamp(m.last_heartbeat.machine);
   if (same && o.stamp == stamp) {
-    o.checked = ledger_.last_stamp();
+    o.checked = cache_.last_stamp();
     return o;
   }
   o = {};
-  o.checked = ledger_.last_stamp();
-  const auto* type = ledger_.type(m.last_heartbeat.type);
+  o.checked = cache_.last_stamp();
+  const auto* type = cache_.type(m.last_heartbeat.type);
   o.known = type != nullptr;
   o.stamp = stamp;
   o.agent_incarnation = m.last_heartbeat.agent_incarnation;
   o.sequence = m.last_heartbeat.sequence;
   o.evicted = m.evict.size();
   if (type) o.free = type->size;
-  const auto& held = ledger_.held_by(m.last_heartbeat.machine);
+  const auto& held = cache_.held_by(m.last_heartbeat.machine);
   o.held = static_cast<std::uint32_t>(held.size());
   for (const auto& [task, h] : held) {
-    const Job* job = ledger_.job(task.job);
+    const Job* job = cache_.job(task.job);
     if (!job) continue;
     const auto& spec = job->record.spec;
     if (h.agent_incarnation < m.last_heartbeat.agent_incarnation) {
@@ -589,7 +588,7 @@
       if (t.state == protocol::TaskState::kEnded) continue;
       o.active = true;
       if (h != held.end() && h->second.attempt == t.attempt) continue;
-      const Job* job = ledger_.job(task.job);
+      const Job* job = cache_.job(task.job);
       strange = strange || !job;
       if (job) o.free -= job->record.spec.need;
     }
@@ -692,7 +691,7 @@
   s.contact = worker_contact(now);
   s.suspects = failures_.suspects();
   if (s.suspects.size() > kMostSuspects) s.suspects.resize(kMostSuspects);
-  if (ledger_.leader() && ledger_.leader()->member == to) s.claims = claims(now);
+  if (cache_.leader() && cache_.leader()->member == to) s.claims = claims(now);
   return s;
 }
 
@@ -749,8 +748,8 @@
     update_room(m, now);
     out.back().second.push_back(&m.room);
   }
-  if (!ledger_.view()) return out;
-  for (const ControllerIncarnation& member : ledger_.view()->members) {
+  if (!cache_.view()) return out;
+  for (const ControllerIncarnation& member : cache_.view()->members) {
     const auto s = siblings_.find(member.member);
     if (member == self_ || s == siblings_.end() || s->second.from != member ||
         base::between(s->second.last_heartbeat_at, now) > remembered) {
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -27,8 +27,8 @@
 using base::TaskNo;
 using base::Version;
 using bookkeeping::Job;
-using bookkeeping::Ledger;
 using bookkeeping::Machine;
+using bookkeeping::StateCache;
 using protocol::Command;
 using protocol::Heartbeat;
 using protocol::Item;
@@ -94,8 +94,8 @@
  public:
   explicit Controller(const base::Settings& settings);
 
-  Ledger& ledger() { return ledger_; }
-  const Ledger& ledger() const { return ledger_; }
+  StateCache& cache() { return cache_; }
+  const StateCache& cache() const { return cache_; }
 
   // --- membership
   // A lease was taken: a new life. Until the view names it, nothing may be done.
@@ -104,16 +104,16 @@
   // The lease of this life was taken by a call sent at `sent`.
   void lease_acquired(Time sent);
   // The lease was renewed by a call sent at `sent`, and the ledger was proved current after that: it
-  // holds all that was committed before the call, cancellations and views. `copy` is copy_number() as
+  // holds all that was committed before the call, cancellations and views. `copy` is cache_generation() as
   // of before that proof: a copy that was read anew meanwhile was not proved current.
-  void lease_renewed(Time sent, std::uint64_t copy);
-  std::uint64_t copy_number() const { return copy_; }
+  void lease_renewed(Time sent, std::uint64_t cache_generation);
+  std::uint64_t cache_generation() const { return cache_generation_; }
   void end_incarnation();
   // The ledger was read anew, page by page: parts of it are older than what was proved before, so that
   // nothing may be commanded until a renewal has proved it current again.
-  void ledger_replaced() {
+  void cache_replaced() {
     authority_valid_until_ = Time{};
-    ++copy_;
+    ++cache_generation_;
   }
   // May this process answer workers and give them orders now?
   bool has_authority(Time now) const;
@@ -144,7 +144,7 @@
   // Another controller's word that this job's cancellation is committed, ahead of the watch, which may
   // be silent here: the state service may refuse this node alone, and its authority, that lasts for a
   // moment yet, must not be used to start the job's tasks.
-  void told_cancelled(const JobId& id) { ledger_.told_cancelled(id); }
+  void told_cancelled(const JobId& id) { cache_.told_cancelled(id); }
   // May the order still go out? Takes out the starts of what was cancelled since it was made.
   bool still_due(Order& order, Time now) const;
 
@@ -363,7 +363,7 @@
   Partitions partitions(Time now, Seconds remembered);
 
   const base::Settings& settings_;
-  Ledger ledger_;
+  StateCache cache_;
   JobPriorities priorities_;
   ControllerIncarnation self_;
   bool has_incarnation_ = false;
@@ -371,7 +371,7 @@
   Time lease_valid_until_{};
   Time authority_valid_until_{};
   Version authority_view_;
-  std::uint64_t copy_ = 0;  // counts the times that the ledger was read anew
+  std::uint64_t cache_generation_ = 0;  // counts the times that the ledger was read anew
   Version installed_view_;
   FencingToken base_fencing_token_;
   Time view_installed_at_{};
--- a/src/coordination/ends.cpp
+++ b/src/coordination/ends.cpp
@@ -19,7 +19,7 @@
 void Controller::collect_ends(Time now, std::vector<RoundPlan::End>& ends) {
   const Seconds lease = settings_.worker_lease * (1.0 + base::kDrift) + Seconds(0.2);
   const auto collect = [&](const MachineId& machine, Machine* m) {
-    const auto& tasks = ledger_.held_by(machine);
+    const auto& tasks = cache_.held_by(machine);
     if (tasks.empty()) return;
     if (gone_.contains(machine)) {
       for (const auto& [task, held] : tasks)
@@ -76,14 +76,14 @@
 // this part's share of the record is complete: the room is free already, and a task whose machine is lost before then ends
 // at once where it is started again, since its result is kept.
 bool Controller::can_wait(const RoundPlan::End& end, const std::set<TaskId>& ended, Time now) {
-  const Job* job = ledger_.job(end.task.job);
+  const Job* job = cache_.job(end.task.job);
   if (!end.done || !job || job->cancelled()) return false;
   const Time seen = end_seen_.try_emplace(end.task, now).first->second;
   if (base::between(seen, now) > settings_.tuning.record_within) return false;
   // A team near its limit waits for the room that the record still counts.
-  if (ledger_.limited(job->record.spec.team)) {
+  if (cache_.limited(job->record.spec.team)) {
     const base::Team& team = settings_.teams.at(job->record.spec.team);
-    const Resources use = ledger_.team_use(job->record.spec.team);
+    const Resources use = cache_.team_use(job->record.spec.team);
     if ((team.cores_max > 0 && use.cores() > team.cores_max * kNearLimit) ||
         (team.gpus_max > 0 && use.gpus() > team.gpus_max * kNearLimit)) {
       return false;
@@ -111,7 +111,7 @@
   };
   std::map<std::pair<JobId, std::uint32_t>, LargeRecord> large;
   for (const RoundPlan::End& end : ends) {
-    const Job* job = ledger_.job(end.task.job);
+    const Job* job = cache_.job(end.task.job);
     if (!job) continue;
     const std::uint32_t chunk = job->record.chunk_of(end.task.no);
     const auto& record = job->chunks[chunk].record;
@@ -129,7 +129,7 @@
     }
   }
   std::erase_if(ends, [&](const RoundPlan::End& end) {
-    const Job* job = ledger_.job(end.task.job);
+    const Job* job = cache_.job(end.task.job);
     if (!job) return false;
     const auto at = large.find({end.task.job, job->record.chunk_of(end.task.no)});
     return at != large.end() && !at->second.fits;
@@ -147,7 +147,7 @@
   std::map<int, std::vector<RoundPlan::End>> due;  // by tier
   std::vector<RoundPlan::End> later;
   for (RoundPlan::End& end : ends) {
-    const Job* job = ledger_.job(end.task.job);
+    const Job* job = cache_.job(end.task.job);
     const bool urgent = job && priorities_.is_urgent(*job);
     const bool waits = can_wait(end, ended, now) && !together.contains(end.task);
     if (waits || (pace == Pace::kUrgent && !urgent)) {
@@ -173,7 +173,7 @@
   std::stable_sort(ends.begin(), ends.end(),
                    [&](const auto& a, const auto& b) { return seen(a) < seen(b); });
   for (RoundPlan::End& end : ends) {
-    const Job* job = ledger_.job(end.task.job);
+    const Job* job = cache_.job(end.task.job);
     if (job && (pace == Pace::kSpare || batch.writes_record_of(*job, end.task.no)))
       record_end(std::move(end), batch, plan);
   }
@@ -188,7 +188,7 @@
 
 void Controller::learn_run_time(const RoundPlan::End& end) {
   const auto at = machines_.find(end.machine);
-  const Job* job = ledger_.job(end.task.job);
+  const Job* job = cache_.job(end.task.job);
   if (at == machines_.end() || !job) return;
   priorities_.learn_run_time(job->record.spec, run_before_end(end));
   at->second.ran_before.erase(end.task);
--- a/src/coordination/fleet_control.cpp
+++ b/src/coordination/fleet_control.cpp
@@ -25,13 +25,13 @@
 }  // namespace
 
 void Controller::count_arrivals(Time now) {
-  for (const auto& [id, job] : ledger_.jobs()) {
+  for (const auto& [id, job] : cache_.jobs()) {
     if (job.record.spec.kind != protocol::Kind::kService || !counted_.insert(id).second) continue;
     Arrivals& a = arrivals_[job.record.spec.job_class];
     a.spec = job.record.spec;
     a.recent.emplace_back(job.seen, job.record.spec.tasks);
   }
-  std::erase_if(counted_, [&](const JobId& id) { return !ledger_.job(id); });
+  std::erase_if(counted_, [&](const JobId& id) { return !cache_.job(id); });
   for (auto& [name, a] : arrivals_) {
     while (!a.recent.empty() && base::between(a.recent.front().first, now) > kArrivalWindow) {
       a.recent.pop_front();
@@ -45,7 +45,7 @@
 // that all arrays together must have.
 std::map<JobId, std::size_t> Controller::timely_share(Time now, double boot) const {
   std::vector<std::pair<double, const Job*>> jobs;
-  for (const auto& [id, job] : ledger_.jobs()) {
+  for (const auto& [id, job] : cache_.jobs()) {
     const auto& spec = job.record.spec;
     if (spec.kind != protocol::Kind::kArray || !spec.deadline || job.cancelled() ||
         job.done >= spec.tasks || is_suspect(id, now)) {
@@ -87,13 +87,13 @@
 
 Controller::FleetActions Controller::plan_fleet(Time now, double wall_now) {
   FleetActions actions;
-  if (!is_leader(now) || !has_authority(now) || ledger_.catalogue().empty()) return actions;
+  if (!is_leader(now) || !has_authority(now) || cache_.catalogue().empty()) return actions;
   count_arrivals(now);
   const Partitions known = partitions(now, kRoomRemembered);
   actions.release = releases_due(known, now);
   // Renting while a part's machines are unknown would pay for them twice.
   const Seconds settle = settings_.heartbeat_interval * 2.0 + Seconds(1.0);
-  if (known.size() < ledger_.view()->members.size() ||
+  if (known.size() < cache_.view()->members.size() ||
       base::between(std::max(leader_since_, view_installed_at_), now) < settle) {
     return actions;
   }
@@ -121,7 +121,7 @@
   std::set<MachineId> well(own_knocked.begin(), own_knocked.end());
   for (const auto& [member, s] : siblings_) {
     if (base::between(s.last_heartbeat_at, now) > kStatusFresh ||
-        !has_member(*ledger_.view(), s.from)) {
+        !has_member(*cache_.view(), s.from)) {
       continue;
     }
     release.insert(s.give_back.begin(), s.give_back.end());
@@ -141,7 +141,7 @@
 FleetInput Controller::fleet_input(const Partitions& known, Time now) const {
   FleetInput in;
   in.now = now;
-  in.catalogue = &ledger_.catalogue();
+  in.catalogue = &cache_.catalogue();
   in.refused = refused_;
   in.idle_return = settings_.tuning.idle_return;
   in.controller_zones = settings_.controller_zones;
@@ -185,13 +185,13 @@
 }
 
 Seconds Controller::boot_time(const std::string& type_name) const {
-  const auto* type = ledger_.type(type_name);
+  const auto* type = cache_.type(type_name);
   return type ? type->boot : kUnknownBoot;
 }
 
 double Controller::soonest_boot() const {
   double soonest = 0;
-  for (const auto& t : ledger_.catalogue()) {
+  for (const auto& t : cache_.catalogue()) {
     if (soonest == 0 || t.boot.count() < soonest) soonest = t.boot.count();
   }
   return soonest;
@@ -200,12 +200,12 @@
 // How many of the job's waiting tasks its team's limit lets start; takes them from the team's room.
 std::size_t Controller::within_limit(const protocol::JobSpec& spec, std::size_t waiting,
                                      std::map<std::string, Resources>& team_room) const {
-  if (!ledger_.limited(spec.team)) return waiting;
+  if (!cache_.limited(spec.team)) return waiting;
   const base::Team& team = settings_.teams.at(spec.team);
   auto [room, is_new] = team_room.try_emplace(spec.team);
   if (is_new) {
     room->second.v = {team.cores_max, team.gpus_max, 0};
-    room->second -= ledger_.team_use(spec.team);
+    room->second -= cache_.team_use(spec.team);
   }
   std::size_t n = waiting;
   if (team.cores_max > 0 && spec.need.cores() > 0) {
@@ -220,7 +220,7 @@
   std::map<JobId, std::size_t> share = timely_share(now, soonest_boot());
   std::map<std::string, Resources> team_room;
   bool waiting = false;
-  for (const auto& [id, job] : ledger_.jobs()) {
+  for (const auto& [id, job] : cache_.jobs()) {
     const auto& spec = job.record.spec;
     if (job.pending() == 0 || is_suspect(id, now)) continue;
     std::size_t n = within_limit(spec, job.pending(), team_room);
@@ -265,9 +265,9 @@
 }
 
 void Controller::add_movable_services(FleetInput& in) const {
-  for (const auto& [machine, tasks] : ledger_.held()) {
+  for (const auto& [machine, tasks] : cache_.held()) {
     for (const auto& [task, held] : tasks) {
-      const Job* job = ledger_.job(task.job);
+      const Job* job = cache_.job(task.job);
       if (job && job->record.spec.kind == protocol::Kind::kService && !job->cancelled()) {
         in.movable[machine].push_back(&job->record.spec);
       }
@@ -316,7 +316,7 @@
 
 std::optional<Transaction> Controller::fleet_record() const {
   Transaction txn;
-  txn.guards[protocol::kLeadKey] = ledger_.version(protocol::kLeadKey);
+  txn.guards[protocol::kLeadKey] = cache_.version(protocol::kLeadKey);
   txn.writes.push_back({protocol::kFleetKey, to_json(booting_, settings_.value_bytes - 1024), {}});
   return txn;
 }
--- a/src/coordination/handover.cpp
+++ b/src/coordination/handover.cpp
@@ -73,7 +73,7 @@
 }
 
 std::optional<Transaction> Controller::claim(Time now) {
-  const auto& leader = ledger_.leader();
+  const auto& leader = cache_.leader();
   if (!leader || *leader == self_) return {};
   const auto reached = reached_.find(leader->member);
   if (reached != reached_.end() && base::between(reached->second, now) < kReachable) return {};
@@ -81,7 +81,7 @@
   txn.guards[protocol::kViewKey] = installed_view_;
   for (const MachineId& id : claims(now)) {
     const std::string key = protocol::claim_key(id);
-    if (ledger_.version(key).get() != 0) continue;
+    if (cache_.version(key).get() != 0) continue;
     if (txn.writes.size() >= settings_.txn_ops) break;
     txn.guards[key] = Version(0);
     txn.writes.push_back({key, to_json(self_), {}});
@@ -129,7 +129,7 @@
     if (is_overdue(m, now)) ++overdue;
   }
   for (const auto& [id, since] : owned_since_) {
-    if (machines_.contains(id) || gone_.contains(id) || ledger_.held_by(id).empty()) continue;
+    if (machines_.contains(id) || gone_.contains(id) || cache_.held_by(id).empty()) continue;
     ++owned;
     const Seconds missed = base::between(std::max(since, listening_since()), now);
     if (missed > settings_.heartbeat_interval + kWorkerRetry) ++overdue;
@@ -163,7 +163,7 @@
       if (room.late) out.push_back(id);
     }
   }
-  for (const auto& [id, tasks] : ledger_.held()) {
+  for (const auto& [id, tasks] : cache_.held()) {
     const ControllerIncarnation* of = owner(id);
     const bool reports =
         member == self_ ? machines_.contains(id) : siblings_.at(member.member).rooms.contains(id);
@@ -173,10 +173,10 @@
 }
 
 bool Controller::hand_over_unheard(Time now, std::map<MachineId, ControllerIncarnation>& to) const {
-  if (!ledger_.view()) return false;
+  if (!cache_.view()) return false;
   View hearing;  // the members that may take over
   std::vector<const ControllerIncarnation*> lost;
-  for (const ControllerIncarnation& member : ledger_.view()->members) {
+  for (const ControllerIncarnation& member : cache_.view()->members) {
     const auto contact = contact_of(member, now);
     if (contact == protocol::WorkerContact::kGood) hearing.members.push_back(member);
     if (contact == protocol::WorkerContact::kLost) lost.push_back(&member);
@@ -195,9 +195,9 @@
 // Each new view fences all that is under way: one that follows claims carries as many as come within
 // a moment, since a node that loses its workers loses all of them.
 std::map<MachineId, ControllerIncarnation> Controller::heard_claims(Time now) {
-  std::map<MachineId, ControllerIncarnation> all = ledger_.claims();
+  std::map<MachineId, ControllerIncarnation> all = cache_.claims();
   const bool stored = !all.empty();
-  const auto& view = ledger_.view();
+  const auto& view = cache_.view();
   const auto take = [&](const ControllerIncarnation& by, const std::vector<MachineId>& machines) {
     for (const MachineId& id : machines) {
       const ControllerIncarnation* of = owner(id);
--- a/src/coordination/job_priorities.cpp
+++ b/src/coordination/job_priorities.cpp
@@ -35,9 +35,9 @@
 
 void JobPriorities::update(Time now) {
   // A job that comes must be known at once.
-  if (updated_for_ == ledger_.job_changes() && base::between(updated_at_, now) < kUpdateEvery)
+  if (updated_for_ == cache_.job_changes() && base::between(updated_at_, now) < kUpdateEvery)
     return;
-  updated_for_ = ledger_.job_changes();
+  updated_for_ = cache_.job_changes();
   updated_at_ = now;
   update_guarantees();
   update_inherited(now);
@@ -51,7 +51,7 @@
     return;
   }
   std::map<std::string, std::vector<const Job*>> by_team;
-  for (const auto& [id, job] : ledger_.jobs()) {
+  for (const auto& [id, job] : cache_.jobs()) {
     // What waits for other jobs takes no part of the guarantee yet.
     if (!job.cancelled() && !job.waits) by_team[job.record.spec.team].push_back(&job);
   }
@@ -63,20 +63,20 @@
 }
 
 std::vector<const Job*> JobPriorities::jobs_in_order_of_need() const {
-  const auto& dependencies = ledger_.dependencies();
+  const auto& dependencies = cache_.dependencies();
   std::map<base::JobId, std::size_t> live_needs;  // that are not in the order yet
   std::vector<const Job*> order;
   for (const auto& [need, dependents] : dependencies.waited_for()) {
-    const Job* job = ledger_.job(need);
+    const Job* job = cache_.job(need);
     if (job && !job->waits) order.push_back(job);
   }
   for (const auto& [id, needs] : dependencies.waiting()) {
     live_needs[id] = static_cast<std::size_t>(std::count_if(
-        needs.begin(), needs.end(), [this](const auto& n) { return ledger_.job(n) != nullptr; }));
+        needs.begin(), needs.end(), [this](const auto& n) { return cache_.job(n) != nullptr; }));
   }
   for (std::size_t i = 0; i < order.size(); ++i) {
     for (const base::JobId& id : dependencies.dependents(order[i]->record.spec.id)) {
-      const Job* job = ledger_.job(id);
+      const Job* job = cache_.job(id);
       if (--live_needs[id] == 0 && job) order.push_back(job);
     }
   }
@@ -85,7 +85,7 @@
 
 void JobPriorities::update_inherited(Time now) {
   inherited_.clear();
-  const auto& dependencies = ledger_.dependencies();
+  const auto& dependencies = cache_.dependencies();
   const std::vector<const Job*> order = jobs_in_order_of_need();
   // Forwards: when each can be complete at the soonest.
   std::map<base::JobId, double> soonest_start, soonest_end;
@@ -107,7 +107,7 @@
     Inherited own{job.record.spec.rank, own_due(job, soonest_end[id])};
     for (const base::JobId& dependent : dependencies.dependents(id)) {
       const auto after = inherited_.find(dependent);
-      const Job* next = ledger_.job(dependent);
+      const Job* next = cache_.job(dependent);
       if (after == inherited_.end() || next->cancelled()) continue;
       own.rank = std::min(own.rank, after->second.rank);
       own.due = std::min(own.due,
--- a/src/coordination/job_priorities.h
+++ b/src/coordination/job_priorities.h
@@ -15,8 +15,8 @@
 
 class JobPriorities {
  public:
-  JobPriorities(const base::Settings& settings, const bookkeeping::Ledger& ledger)
-      : settings_(settings), ledger_(ledger) {}
+  JobPriorities(const base::Settings& settings, const bookkeeping::StateCache& cache)
+      : settings_(settings), cache_(cache) {}
 
   // Relates the steady clock to the time of day, by which submissions are dated.
   void set_time_of_day(base::Time now, double seconds);
@@ -65,7 +65,7 @@
   void guarantee_jobs_of(const base::Team& team, std::vector<const bookkeeping::Job*>& jobs);
 
   const base::Settings& settings_;
-  const bookkeeping::Ledger& ledger_;
+  const bookkeeping::StateCache& cache_;
   double time_of_day_offset_ = 0;
   std::set<base::JobId> guaranteed_;
   std::map<base::JobId, Inherited> inherited_;
--- a/src/coordination/preemption.cpp
+++ b/src/coordination/preemption.cpp
@@ -20,7 +20,7 @@
   std::map<std::string, double> stopping;
   for (const auto& [id, m] : machines_) {
     for (const TaskId& t : m.evict) {
-      const Job* job = ledger_.job(t.job);
+      const Job* job = cache_.job(t.job);
       if (job && job->holder(t.no)) {
         stopping[job->record.spec.team] += job->record.spec.need.cores();
       }
@@ -31,9 +31,9 @@
 
 // By how many cores one more task of the job would exceed its team's limit.
 double Controller::over_team_limit(const protocol::JobSpec& spec) const {
-  if (!ledger_.limited(spec.team)) return 0;
+  if (!cache_.limited(spec.team)) return 0;
   const base::Team& team = settings_.teams.at(spec.team);
-  Resources use = ledger_.team_use(spec.team);
+  Resources use = cache_.team_use(spec.team);
   use += spec.need;
   return team.cores_max > 0 ? std::max(0.0, use.cores() - team.cores_max) : 0;
 }
@@ -57,15 +57,15 @@
   const auto stopping = p.stopping.find(o.team);
   const double ends = stopping == p.stopping.end() ? 0 : stopping->second;
   return team != settings_.teams.end() &&
-         ledger_.team_use(o.team).cores() - ends > team->second.cores + kNoCores;
+         cache_.team_use(o.team).cores() - ends > team->second.cores + kNoCores;
 }
 
 // The tasks on the machine that the job may have stopped, what loses the least first.
 std::vector<Controller::Victim> Controller::candidates(const Preemption& p, const Machine& m,
                                                        Time now) const {
   std::vector<Victim> out;
-  for (const auto& [task, held] : ledger_.held_by(m.last_heartbeat.machine)) {
-    const Job* other = ledger_.job(task.job);
+  for (const auto& [task, held] : cache_.held_by(m.last_heartbeat.machine)) {
+    const Job* other = cache_.job(task.job);
     if (!other || other->cancelled() || m.evict.contains(task) || reported_ended(m, task, held) ||
         !may_stop(p, *other)) {
       continue;
@@ -136,7 +136,7 @@
     spdlog::info("{}/{} on {} is stopped to make room for {}", v.job.get(), v.no,
                  best->last_heartbeat.machine.get(), spec.id.get());
     best->evict.insert(v);
-    if (const Job* other = ledger_.job(v.job))
+    if (const Job* other = cache_.job(v.job))
       p.stopping[other->record.spec.team] += other->record.spec.need.cores();
   }
   preempting_[spec.id] = now;
@@ -145,7 +145,7 @@
 
 void Controller::preempt(const std::vector<std::pair<const Job*, std::size_t>>& waiting, Time now) {
   std::erase_if(preempting_, [&](const auto& p) {
-    return base::between(p.second, now) > kPreemptRepeat || !ledger_.job(p.first);
+    return base::between(p.second, now) > kPreemptRepeat || !cache_.job(p.first);
   });
   std::map<std::string, double> stopping;
   if (std::any_of(waiting.begin(), waiting.end(),
--- a/src/coordination/record_batch.cpp
+++ b/src/coordination/record_batch.cpp
@@ -66,7 +66,7 @@
 }
 
 bool RecordBatch::add_end(const TaskId& task, bool done) {
-  const Job* job = ledger_.job(task.job);
+  const Job* job = cache_.job(task.job);
   Edit* e = job ? edit(*job, task.no) : nullptr;
   if (!e) return false;
   e->record.held.erase(task.no);
@@ -75,13 +75,13 @@
 }
 
 std::optional<Attempt> RecordBatch::add_start(const TaskId& task, Held held) {
-  const Job* job = ledger_.job(task.job);
+  const Job* job = cache_.job(task.job);
   // The one gate that all starts pass, whoever offered the task: not before all jobs that it needs are
   // done on record, and nothing that is cancelled.
   if (!job || job->waits || job->cancelled()) return {};
   if (!has_room_for_start(*job, task.no, held)) return {};
   const auto& spec = job->record.spec;
-  const bool limited = ledger_.limited(spec.team);
+  const bool limited = cache_.limited(spec.team);
   const std::string team = limited ? protocol::team_key(spec.team) : "";
   const std::string row = starts_in_a_row(*job) ? protocol::row_key(spec.id) : "";
   std::size_t more = writes_record_of(*job, task.no) ? 0 : 1;
@@ -135,9 +135,9 @@
   std::size_t all_writes = writes();
   std::set<JobId> finished;
   for (const auto& [id, counts] : after) {
-    const Job& job = *ledger_.job(id);
+    const Job& job = *cache_.job(id);
     const bool over = job.cancelled_on_record() || counts.done >= job.record.spec.tasks;
-    if (counts.held > 0 || !over || !ledger_.is_settled(job)) continue;
+    if (counts.held > 0 || !over || !cache_.is_settled(job)) continue;
     if (all_writes + kWritesOfFinish > settings_.txn_ops) continue;
     all_writes += kWritesOfFinish;
     finished.insert(id);
@@ -163,9 +163,9 @@
     txn.writes.push_back({key, to_json(record, e.job->chunk_first(id.chunk)), {}});
   }
   add_rows(txn, self);
-  for (const JobId& id : finished) add_finish(txn, *ledger_.job(id), time_of_day);
+  for (const JobId& id : finished) add_finish(txn, *cache_.job(id), time_of_day);
   // Last: they take only what room for conditions is left.
-  for (const JobId& id : finished) guard_task_records(txn, *ledger_.job(id), settings_.txn_ops);
+  for (const JobId& id : finished) guard_task_records(txn, *cache_.job(id), settings_.txn_ops);
   return txn;
 }
 
@@ -182,7 +182,7 @@
 void RecordBatch::add_rows(Transaction& txn, const protocol::ControllerIncarnation& self) const {
   for (const auto& keys : {teams_, serialized_}) {
     for (const std::string& key : keys) {
-      txn.guards[key] = ledger_.version(key);
+      txn.guards[key] = cache_.version(key);
       txn.writes.push_back({key, to_json(self), {}});
     }
   }
--- a/src/coordination/record_batch.h
+++ b/src/coordination/record_batch.h
@@ -14,8 +14,8 @@
 
 class RecordBatch {
  public:
-  RecordBatch(const base::Settings& settings, const bookkeeping::Ledger& ledger)
-      : settings_(settings), ledger_(ledger) {}
+  RecordBatch(const base::Settings& settings, const bookkeeping::StateCache& cache)
+      : settings_(settings), cache_(cache) {}
 
   // The state of a task with what this batch changes.
   bool is_held(const bookkeeping::Job& job, base::TaskNo no) const;
@@ -68,7 +68,7 @@
   void add_rows(protocol::Transaction& txn, const protocol::ControllerIncarnation& self) const;
 
   const base::Settings& settings_;
-  const bookkeeping::Ledger& ledger_;
+  const bookkeeping::StateCache& cache_;
   std::map<ChunkId, Edit> edits_;
   std::set<std::string> teams_;       // keys of the rows of teams with a limit that start tasks
   std::set<std::string> serialized_;  // ... of jobs whose starts stand in a row
--- a/src/coordination/rounds.cpp
+++ b/src/coordination/rounds.cpp
@@ -39,8 +39,8 @@
     }
     // What it will have once the tasks that end by themselves have ended.
     Resources later = look(m).free;
-    for (const auto& [task, held] : ledger_.held_by(id)) {
-      const Job* other = ledger_.job(task.job);
+    for (const auto& [task, held] : cache_.held_by(id)) {
+      const Job* other = cache_.job(task.job);
       if (other && other->record.spec.kind != Kind::kService && !reported_ended(m, task, held)) {
         later += other->record.spec.need;
       }
@@ -56,7 +56,7 @@
 
 Seconds Controller::fetch_time(const Machine& m, const protocol::JobSpec& spec) const {
   if (m.has_image(spec.image)) return Seconds(0);
-  const auto* type = ledger_.type(m.last_heartbeat.type);
+  const auto* type = cache_.type(m.last_heartbeat.type);
   if (!type || type->fetch_gb_per_s <= 0) return Seconds(0);
   // Images fetched at the same time share the rate.
   const double sharing = 1.0 + static_cast<double>(m.pulling.size() - m.pulling.count(spec.image));
@@ -66,10 +66,10 @@
 // The room of tasks that were told to stop and have not ended yet.
 Resources Controller::being_stopped(const Machine& m) const {
   Resources room;
-  const auto& held = ledger_.held_by(m.last_heartbeat.machine);
+  const auto& held = cache_.held_by(m.last_heartbeat.machine);
   for (const TaskId& t : m.evict) {
     const auto h = held.find(t);
-    const Job* job = ledger_.job(t.job);
+    const Job* job = cache_.job(t.job);
     if (job && h != held.end() && !reported_ended(m, t, h->second)) room += job->record.spec.need;
   }
   return room;
@@ -119,7 +119,7 @@
   housekeeping(now);
   priorities_.update(now);
 
-  RecordBatch batch(settings_, ledger_);
+  RecordBatch batch(settings_, cache_);
   std::vector<RoundPlan::End> ends;
   collect_ends(now, ends);
   std::vector<RoundPlan::End> later = record_ends(std::move(ends), pace, now, batch, plan);
@@ -139,7 +139,7 @@
   std::vector<WaitingJob> waiting;
   std::map<JobId, std::size_t> index;
   for (const PoolEntry& p : pool_) {
-    const Job* job = ledger_.job(p.job);
+    const Job* job = cache_.job(p.job);
     if (!job || job->cancelled() || job->waits) continue;
     if (pace == Pace::kUrgent && !priorities_.is_urgent(*job)) continue;
     if (!failures_.may_retry(p.job, now)) continue;
@@ -175,7 +175,7 @@
 Controller::OpenMachines Controller::open_machines(Time now) {
   OpenMachines open;
   for (auto& [id, m] : machines_) {
-    const auto* type = ledger_.type(m.last_heartbeat.type);
+    const auto* type = cache_.type(m.last_heartbeat.type);
     if (!type) continue;
     for (std::size_t i = 0; i < open.scale.v.size(); ++i) {
       open.scale.v[i] = std::max(open.scale.v[i], type->size.v[i]);
@@ -260,9 +260,9 @@
       return false;
     }
   }
-  if (ledger_.limited(spec.team)) {
+  if (cache_.limited(spec.team)) {
     const base::Team& team = settings_.teams.at(spec.team);
-    Resources use = ledger_.team_use(spec.team);
+    Resources use = cache_.team_use(spec.team);
     use += planned;
     use += spec.need;
     if ((team.cores_max > 0 && use.cores() > team.cores_max + 1e-6) ||
@@ -315,7 +315,7 @@
     if (g != gathered_.end() && g->second.job == s.task.job) gathered_.erase(g);
   }
   std::erase_if(gathered_, [&](const auto& g) {
-    const Job* job = ledger_.job(g.second.job);
+    const Job* job = cache_.job(g.second.job);
     return g.second.until < now || !job || job->pending() == 0;
   });
   std::vector<std::pair<const Job*, std::size_t>> left;
@@ -335,7 +335,7 @@
   for (const RoundPlan::End& end : plan.ends) {
     if (end.done) learn_run_time(end);  // a job that is over leaves with the record of its last end
   }
-  ledger_.apply(plan.txn, base::Revision(version.get()), now);
+  cache_.apply(plan.txn, base::Revision(version.get()), now);
   for (const RoundPlan::End& end : plan.ends) {
     absent_.erase(end.task);
     end_seen_.erase(end.task);
@@ -362,7 +362,7 @@
     o.agent_incarnation = m.last_heartbeat.agent_incarnation;
     o.commands.push_back({Command::Op::kRun, s.task, s.held.attempt, {}});
     m.idle_since = now;
-    const Job* job = ledger_.job(s.task.job);
+    const Job* job = cache_.job(s.task.job);
     spdlog::debug("{}/{} goes to {} as attempt {}{}", s.task.job.get(), s.task.no,
                   s.held.machine.get(), s.held.attempt.get(),
                   job && m.has_image(job->record.spec.image) ? "" : ", image to be fetched");
--- a/src/coordination/routing.cpp
+++ b/src/coordination/routing.cpp
@@ -161,15 +161,15 @@
   if (base::between(tidied_, now) <= patience) return;
   tidied_ = now;
   std::erase_if(offered_, [&](const auto& o) { return base::between(o.second, now) > patience; });
-  std::erase_if(displacing_, [&](const auto& d) { return !ledger_.job(d.first); });
-  std::erase_if(accepted_, [&](const JobId& id) { return !ledger_.job(id); });
+  std::erase_if(displacing_, [&](const auto& d) { return !cache_.job(d.first); });
+  std::erase_if(accepted_, [&](const JobId& id) { return !cache_.job(id); });
 }
 
 std::vector<const Job*> Controller::jobs_to_route(Time now) const {
   std::vector<const Job*> jobs;
-  for (const auto& [id, job] : ledger_.jobs()) {
+  for (const auto& [id, job] : cache_.jobs()) {
     if (job.pending() == 0 || !failures_.may_retry(id, now)) continue;
-    const ControllerIncarnation* home = home_of(*ledger_.view(), id);
+    const ControllerIncarnation* home = home_of(*cache_.view(), id);
     const bool at_home = home && *home == self_;
     const bool is_new = base::between(job.seen, now) < kFirstOffers;
     if (accepted_.contains(id) ? at_home || is_new : at_home && !is_new) jobs.push_back(&job);
@@ -387,7 +387,7 @@
   for (const Job* job : jobs) route_job(r, *job);
   for (auto& [member, offers] : r.out) {
     offers.from = self_;
-    offers.epoch = ledger_.view()->epoch;
+    offers.epoch = cache_.view()->epoch;
   }
   return std::move(r.out);
 }
--- a/src/coordination/upkeep.cpp
+++ b/src/coordination/upkeep.cpp
@@ -37,8 +37,8 @@
 
 void Controller::judge_failures(Time now) {
   for (const JobId& id : failures_.unproven()) {
-    const Job* job = ledger_.job(id);
-    const bool completed = job ? job->done > 0 : is_done(ledger_.final_state(id));
+    const Job* job = cache_.job(id);
+    const bool completed = job ? job->done > 0 : is_done(cache_.final_state(id));
     if (completed || (job && runs_for_long(*job, now))) {
       failures_.mark_sound(id);
     } else if (!job || job->cancelled()) {
@@ -54,7 +54,7 @@
 
 bool Controller::is_suspect(const JobId& id, Time now) const {
   if (failures_.is_suspect(id)) return true;
-  const Job* job = ledger_.job(id);
+  const Job* job = cache_.job(id);
   if (job && job->done > 0) return false;
   return std::any_of(siblings_.begin(), siblings_.end(), [&](const auto& s) {
     return base::between(s.second.last_heartbeat_at, now) < kSuspicionFresh &&
@@ -69,7 +69,7 @@
   }
   unheard_owned_at_ = now;
   unheard_owned_.clear();
-  for (const auto& [id, tasks] : ledger_.held()) {
+  for (const auto& [id, tasks] : cache_.held()) {
     if (!machines_.contains(id) && owns(id)) unheard_owned_.push_back(id);
   }
   return unheard_owned_;
@@ -80,10 +80,10 @@
   const MachineId& id = m.last_heartbeat.machine;
   // One service at a time, and none that a user would still count as just started.
   const bool moving = std::any_of(m.evict.begin(), m.evict.end(),
-                                  [&](const TaskId& t) { return ledger_.held_by(id).contains(t); });
+                                  [&](const TaskId& t) { return cache_.held_by(id).contains(t); });
   if (moving) return;
   for (const auto& [task, since] : m.ran) {
-    const Job* job = ledger_.job(task.job);
+    const Job* job = cache_.job(task.job);
     if (!job || job->record.spec.kind != Kind::kService || m.evict.contains(task) ||
         base::between(since, now) < kSettled) {
       continue;
@@ -119,7 +119,7 @@
   std::size_t owned = machines_.size(), late = 0;
   std::optional<Partitions> known;
   for (auto& [id, m] : machines_) {
-    m.give_back = m.closed && ledger_.held_by(id).empty() && !look(m).active;
+    m.give_back = m.closed && cache_.held_by(id).empty() && !look(m).active;
     if (m.draining && is_schedulable(m, now)) {
       if (!known) known = partitions(now, kRoomToMove);
       move_service_away(m, *known, now);
@@ -138,7 +138,7 @@
       ++late;
   }
   for (const MachineId& id : unheard_owned(now)) {
-    if (machines_.contains(id) || gone_.contains(id) || ledger_.held_by(id).empty()) continue;
+    if (machines_.contains(id) || gone_.contains(id) || cache_.held_by(id).empty()) continue;
     ++owned;
     const Time since = owned_since_.try_emplace(id, now).first->second;
     // Workers whose node is gone need a while to find their new one.
@@ -170,24 +170,24 @@
   mute_ = std::move(next);
   judge_failures(now);
   watch_contact(now);
-  std::erase_if(absent_, [&](const auto& a) { return !ledger_.job(a.first.job); });
+  std::erase_if(absent_, [&](const auto& a) { return !cache_.job(a.first.job); });
 }
 
 std::optional<Transaction> Controller::finish_one(Time now) {
-  if (!has_incarnation_ || !ledger_.view()) return {};
-  for (const auto& [id, job] : ledger_.jobs()) {
+  if (!has_incarnation_ || !cache_.view()) return {};
+  for (const auto& [id, job] : cache_.jobs()) {
     if (!may_finish(job)) continue;
-    const ControllerIncarnation* home = home_of(*ledger_.view(), id);
-    if (!home || *home != self_ || !ledger_.is_settled(job)) continue;
+    const ControllerIncarnation* home = home_of(*cache_.view(), id);
+    if (!home || *home != self_ || !cache_.is_settled(job)) continue;
     return finish(job, settings_.txn_ops, priorities_.time_of_day(now));
   }
   return {};
 }
 
 std::optional<Transaction> Controller::divide_one(Time now) {
-  if (!has_authority(now) || ledger_.format() < protocol::kFormatWithPieces) return {};
-  for (const auto& [id, job] : ledger_.jobs()) {
-    const ControllerIncarnation* home = home_of(*ledger_.view(), id);
+  if (!has_authority(now) || cache_.format() < protocol::kFormatWithPieces) return {};
+  for (const auto& [id, job] : cache_.jobs()) {
+    const ControllerIncarnation* home = home_of(*cache_.view(), id);
     if (!home || *home != self_ || job.cancelled_on_record()) continue;
     if (auto txn = divide_chunks(job, installed_view_, settings_)) return txn;
   }
@@ -195,10 +195,10 @@
 }
 
 std::optional<Transaction> Controller::sweep_orphans() {
-  if (!has_incarnation_ || !ledger_.view() || ledger_.orphans().empty()) return {};
+  if (!has_incarnation_ || !cache_.view() || cache_.orphans().empty()) return {};
   Transaction txn;
-  for (const auto& [key, version] : ledger_.orphans()) {
-    const ControllerIncarnation* home = home_of(*ledger_.view(), JobId(key));
+  for (const auto& [key, version] : cache_.orphans()) {
+    const ControllerIncarnation* home = home_of(*cache_.view(), JobId(key));
     if (!home || *home != self_) continue;
     if (txn.writes.size() >= settings_.txn_ops) break;
     txn.guards[key] = version;
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -153,7 +153,7 @@
 Node::Reply Node::ready() {
   const Time t = now();
   const bool ok = loaded_ && locked([&](coordination::Controller& c) {
-                    if (c.ledger().catalogue().empty()) return false;
+                    if (c.cache().catalogue().empty()) return false;
                     // In an outage of the state service all are alike, and being passed over would
                     // only outlast it. A node that alone is refused should be passed over.
                     return c.has_lease(t) || (was_ready_ && !c.others_have_state(t));
@@ -314,7 +314,7 @@
       }
       const std::lock_guard lock(mutex_);
       lease_ = lease;
-      controller_.ledger().apply(txn, done.revision, now());
+      controller_.cache().apply(txn, done.revision, now());
       controller_.lease_acquired(sent);
       spdlog::info("member {} begins life {}", incarnation.member.get(),
                    incarnation.incarnation.get());
@@ -335,16 +335,17 @@
       // Authority to command needs more than the present view: a copy of the jobs that is as new as
       // the renewal. After an outage the renewal is answered before the watch has said anything, and
       // a job that was cancelled elsewhere meanwhile would be started again.
-      const auto copy = locked([](coordination::Controller& c) { return c.copy_number(); });
+      const auto cache_generation =
+          locked([](coordination::Controller& c) { return c.cache_generation(); });
       if (catch_up(timeout))
-        locked([&](coordination::Controller& c) { c.lease_renewed(sent, copy); });
+        locked([&](coordination::Controller& c) { c.lease_renewed(sent, cache_generation); });
     }
     const auto txn = locked([&](auto& c) { return c.propose_membership_change(now(), *lease); });
     if (txn) {
       const auto done = state_.commit(*txn, kStateCall);
       if (done.outcome == Outcome::kDone) {
         locked([&](coordination::Controller& c) {
-          c.ledger().apply(*txn, done.revision, now());
+          c.cache().apply(*txn, done.revision, now());
           c.install_view(now());
         });
         round_bell_.ring();
@@ -386,10 +387,10 @@
     if (got.item.version.get() != 0) items.push_back(std::move(got.item));
   }
   locked([&](coordination::Controller& c) {
-    c.ledger().clear();
-    for (const auto& item : items) c.ledger().apply(item, now());
-    c.ledger().caught_up(from);
-    c.ledger_replaced();
+    c.cache().clear();
+    for (const auto& item : items) c.cache().apply(item, now());
+    c.cache().advance_to(from);
+    c.cache_replaced();
   });
   return true;
 }
@@ -404,7 +405,7 @@
       }
       ready = true;
     }
-    const auto after = locked([](auto& c) { return c.ledger().revision(); });
+    const auto after = locked([](auto& c) { return c.cache().revision(); });
     // The first look after a load must not wait: it brings the copy up to the load's end.
     const auto w = state_.watch(protocol::kAll, after, loaded_ ? Seconds(10.0) : Seconds(0));
     using What = StateClient::Watched::What;
@@ -456,7 +457,7 @@
 
 bool Node::catch_up(Seconds timeout) {
   if (!loaded_) return false;
-  const auto after = locked([](auto& c) { return c.ledger().revision(); });
+  const auto after = locked([](auto& c) { return c.cache().revision(); });
   const auto w = state_.changes(protocol::kAll, after, timeout);
   return w.what == StateClient::Watched::What::kEvents && take_in(w);
 }
@@ -466,15 +467,15 @@
   locked([&](coordination::Controller& c) {
     // A copy that was begun anew meanwhile is not brought up to date by what came after the old, nor
     // does that prove it current.
-    if (w.after > c.ledger().revision()) return;
+    if (w.after > c.cache().revision()) return;
     current = true;
     for (const auto& e : w.events) {
-      if (!c.ledger().apply(e, now())) continue;
+      if (!c.cache().apply(e, now())) continue;
       changed = true;
       members = members || e.key == protocol::kViewKey || e.key == protocol::kLeadKey ||
                 e.key.starts_with(protocol::kMembers) || e.key.starts_with(protocol::kClaims);
     }
-    c.ledger().caught_up(w.revision);
+    c.cache().advance_to(w.revision);
     c.install_view(now());
   });
   if (!current) return false;
@@ -498,14 +499,14 @@
     auto got = state_.get(key, kUserCall);
     if (!got.answered) return;
     if (got.item.version.get() == 0) continue;
-    locked([&](coordination::Controller& c) { c.ledger().apply(got.item, now()); });
+    locked([&](coordination::Controller& c) { c.cache().apply(got.item, now()); });
   }
 }
 
 bool Node::commit(const Transaction& txn, Seconds timeout) {
   const auto done = state_.commit(txn, timeout);
   if (done.outcome == Outcome::kDone) {
-    locked([&](coordination::Controller& c) { c.ledger().apply(txn, done.revision, now()); });
+    locked([&](coordination::Controller& c) { c.cache().apply(txn, done.revision, now()); });
     return true;
   }
   if (done.outcome == Outcome::kConflict) refresh(done.failed);
@@ -523,7 +524,7 @@
 
 double Node::write_rate() {
   const auto members = locked([](coordination::Controller& c) {
-    return c.ledger().view() ? c.ledger().view()->members.size() : std::size_t{0};
+    return c.cache().view() ? c.cache().view()->members.size() : std::size_t{0};
   });
   return settings_.state_write_rps * 0.85 / static_cast<double>(std::max<std::size_t>(1, members));
 }
@@ -600,7 +601,7 @@
   // Records of jobs that are over: when there are writes to spare, or too many of them.
   const bool plenty = await_writes() == coordination::Pace::kSpare;
   const auto orphans = locked([&](coordination::Controller& c) {
-    const bool due = plenty || c.ledger().orphans().size() > kMostOrphans;
+    const bool due = plenty || c.cache().orphans().size() > kMostOrphans;
     return due ? c.sweep_orphans() : std::nullopt;
   });
   if (orphans) {
@@ -609,7 +610,7 @@
   }
   read_unresolved_needs();
   // What this node's own records made ready waits for no other event.
-  const std::uint64_t ready = locked([](auto& c) { return c.ledger().jobs_made_ready(); });
+  const std::uint64_t ready = locked([](auto& c) { return c.cache().jobs_made_ready(); });
   if (ready != jobs_made_ready_) round_bell_.ring();
   jobs_made_ready_ = ready;
 }
@@ -617,13 +618,13 @@
 // Jobs may wait for others that were over before this copy was read: their final states are not among
 // what is read and watched from then on.
 void Node::read_unresolved_needs() {
-  auto ids = locked([](auto& c) { return c.ledger().unresolved_needs(); });
+  auto ids = locked([](auto& c) { return c.cache().unresolved_needs(); });
   if (ids.size() > kMostFinalsRead) ids.resize(kMostFinalsRead);
   for (const JobId& id : ids) {
     const auto got = state_.get(protocol::final_key(id), kUserCall);
     if (!got.answered) return;
     const auto state = protocol::parse_final(got.item.value);
-    if (state) locked([&](auto& c) { c.ledger().remember_final(id, *state); });
+    if (state) locked([&](auto& c) { c.cache().remember_final(id, *state); });
   }
 }
 
--- a/src/node_fleet.cpp
+++ b/src/node_fleet.cpp
@@ -59,9 +59,9 @@
   if (!types || types->empty()) return;
   const Json value = to_json(*types);
   const auto txn = locked([&](Controller& c) -> std::optional<Transaction> {
-    if (to_json(c.ledger().catalogue()) == value) return {};
+    if (to_json(c.cache().catalogue()) == value) return {};
     Transaction x;
-    x.guards[protocol::kLeadKey] = c.ledger().version(protocol::kLeadKey);
+    x.guards[protocol::kLeadKey] = c.cache().version(protocol::kLeadKey);
     x.writes.push_back({protocol::kCatalogueKey, value, {}});
     return x;
   });
--- a/src/users.cpp
+++ b/src/users.cpp
@@ -37,8 +37,8 @@
 
 Users::Known Users::look_up(const JobId& id, Reply& reply) {
   const auto known_here = [&](coordination::Controller& c) -> std::optional<Reply> {
-    if (const auto f = c.ledger().final_state(id)) return known_final(id, f->status);
-    const auto* job = c.ledger().job(id);
+    if (const auto f = c.cache().final_state(id)) return known_final(id, f->status);
+    const auto* job = c.cache().job(id);
     if (!job) return {};
     if (job->cancelled_on_record()) return known_final(id, protocol::JobStatus::kCancelled);
     const auto status =
@@ -46,7 +46,7 @@
     return Reply{200, protocol::user_status(id, status, job->done, job->held), 0};
   };
   const auto cached =
-      locked([&](coordination::Controller& c) { return c.ledger().final_state(id); });
+      locked([&](coordination::Controller& c) { return c.cache().final_state(id); });
   if (cached) {
     reply = known_final(id, cached->status);
     return Known::kYes;
@@ -58,7 +58,7 @@
   // It is cancelled with any job that it depends on: another node may have told so, and this one must not
   // say "queued" for want of a final state that it has not read.
   const auto unresolved =
-      locked([&](coordination::Controller& c) { return c.ledger().unresolved_needs(id); });
+      locked([&](coordination::Controller& c) { return c.cache().unresolved_needs(id); });
   for (const JobId& need : unresolved) {
     if (read_final(need) == Known::kCantTell) return Known::kCantTell;
   }
@@ -81,7 +81,7 @@
   if (over.item.version.get() == 0) return Known::kNo;
   const auto final_state = protocol::parse_final(over.item.value);
   if (!final_state) return Known::kCantTell;
-  locked([&](coordination::Controller& c) { c.ledger().remember_final(id, *final_state); });
+  locked([&](coordination::Controller& c) { c.cache().remember_final(id, *final_state); });
   return Known::kYes;
 }
 
@@ -90,7 +90,7 @@
   const auto not_known = [&](coordination::Controller& c) {
     std::vector<JobId> ids;
     for (const JobId& need : spec.needs) {
-      if (!c.ledger().job(need) && !c.ledger().final_state(need)) ids.push_back(need);
+      if (!c.cache().job(need) && !c.cache().final_state(need)) ids.push_back(need);
     }
     return ids;
   };
@@ -106,9 +106,9 @@
   return locked([&](coordination::Controller& c) {
     const bool cancelled =
         std::any_of(spec.needs.begin(), spec.needs.end(), [&](const JobId& need) {
-          const auto over = c.ledger().final_state(need);
+          const auto over = c.cache().final_state(need);
           if (over) return over->status == protocol::JobStatus::kCancelled;
-          const auto* live = c.ledger().job(need);
+          const auto* live = c.cache().job(need);
           return live && live->cancelled_on_record();
         });
     return Needs{Known::kYes, {}, cancelled};
@@ -135,9 +135,9 @@
     std::optional<std::string> never;
   };
   const View v = locked([&](coordination::Controller& c) {
-    const auto& ledger = c.ledger();
-    return View{ledger.job(spec.id) || ledger.final_state(spec.id), ledger.catalogue().empty(),
-                coordination::never_runs(spec, settings_, ledger.catalogue())};
+    const auto& cache = c.cache();
+    return View{cache.job(spec.id) || cache.final_state(spec.id), cache.catalogue().empty(),
+                coordination::never_runs(spec, settings_, cache.catalogue())};
   });
   if (v.known || v.undecided || v.never) {
     const auto known = look_up(spec.id, reply);
@@ -198,7 +198,7 @@
   switch (done.outcome) {
     case Outcome::kDone:
       locked([&](coordination::Controller& c) {
-        c.ledger().apply(txn, done.revision, now);
+        c.cache().apply(txn, done.revision, now);
         c.accepted(spec.id);
       });
       store_.changed();
@@ -230,7 +230,7 @@
 
 Reply Users::cancel(const JobId& id, Time now) {
   for (int i = 0; i < 3; ++i) {
-    if (const auto f = locked([&](auto& c) { return c.ledger().final_state(id); })) {
+    if (const auto f = locked([&](auto& c) { return c.cache().final_state(id); })) {
       return known_final(id, f->status);
     }
     auto live = store_.get(protocol::job_key(id));
@@ -249,7 +249,7 @@
     const auto done = store_.commit(txn);
     if (done.outcome == Outcome::kRefused) break;
     if (done.outcome != Outcome::kDone) continue;  // changed meanwhile, or no answer: look again
-    locked([&](coordination::Controller& c) { c.ledger().apply(txn, done.revision, now); });
+    locked([&](coordination::Controller& c) { c.cache().apply(txn, done.revision, now); });
     spdlog::info("{} cancelled", id.get());
     store_.cancelled(id);
     store_.changed();
--- a/tests/job_priorities_test.cpp
+++ b/tests/job_priorities_test.cpp
@@ -16,7 +16,7 @@
 
 class Priorities : public ::testing::Test {
  protected:
-  Priorities() : ledger_(settings_), priorities_(settings_, ledger_) {
+  Priorities() : cache_(settings_), priorities_(settings_, cache_) {
     settings_.teams["t"].cores = 10;
     priorities_.set_time_of_day(now_, 1000);
   }
@@ -37,13 +37,13 @@
     spec.needs = std::move(needs);
     record.submitted = 1000;
     record.cancelled = cancelled;
-    ledger_.apply({protocol::job_key(id), to_json(record), base::Version(++revision_)}, now_);
+    cache_.apply({protocol::job_key(id), to_json(record), base::Version(++revision_)}, now_);
     priorities_.update(now_);
   }
-  const bookkeeping::Job& job(const JobId& id) const { return *ledger_.job(id); }
+  const bookkeeping::Job& job(const JobId& id) const { return *cache_.job(id); }
 
   base::Settings settings_;
-  bookkeeping::Ledger ledger_;
+  bookkeeping::StateCache cache_;
   JobPriorities priorities_;
   Time now_ = base::after(Time{}, Seconds(50));
   std::uint64_t revision_ = 0;
@@ -91,8 +91,8 @@
   EXPECT_TRUE(priorities_.is_guaranteed(job(kFirst)));
   EXPECT_FALSE(priorities_.is_guaranteed(job(kMiddle)));
   add(kLast, Rank::kStandard, {});
-  ledger_.apply({protocol::job_key(kFirst), protocol::Json(), base::Version(++revision_)}, now_);
-  ledger_.remember_final(kFirst, {protocol::JobStatus::kDone, 1050});
+  cache_.apply({protocol::job_key(kFirst), protocol::Json(), base::Version(++revision_)}, now_);
+  cache_.remember_final(kFirst, {protocol::JobStatus::kDone, 1050});
   priorities_.update(now_);
   EXPECT_FALSE(job(kMiddle).waits);
   EXPECT_DOUBLE_EQ(job(kMiddle).startable_since(), 1050);
@@ -107,7 +107,7 @@
   const Time later = base::after(now_, Seconds(500));
   EXPECT_TRUE(priorities_.overdue_tasks(job(kFirst), later));
   EXPECT_FALSE(priorities_.overdue_tasks(job(kMiddle), later));
-  ledger_.remember_final(kFirst, {protocol::JobStatus::kDone, 1480});
+  cache_.remember_final(kFirst, {protocol::JobStatus::kDone, 1480});
   EXPECT_FALSE(priorities_.overdue_tasks(job(kMiddle), later));
   EXPECT_TRUE(priorities_.overdue_tasks(job(kMiddle), base::after(later, Seconds(110))));
 }
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -27,69 +27,69 @@
 
 }  // namespace
 
-TEST(Ledger, AReadOvertakenByARemovalBringsNothingBack) {
+TEST(StateCache, AReadOvertakenByARemovalBringsNothingBack) {
   const base::Settings settings;
-  Ledger ledger(settings);
+  StateCache cache(settings);
   const auto j = job("run-000001", 4);
-  ledger.apply(item(j, 5), Time{});
-  ledger.apply({protocol::job_key(j.spec.id), protocol::Json(), Version(8)}, Time{});
-  ledger.caught_up(Revision(9));
+  cache.apply(item(j, 5), Time{});
+  cache.apply({protocol::job_key(j.spec.id), protocol::Json(), Version(8)}, Time{});
+  cache.advance_to(Revision(9));
   // Answered before the removal, taken in after it.
-  EXPECT_FALSE(ledger.apply(item(j, 5), Time{}));
-  EXPECT_EQ(ledger.job(j.spec.id), nullptr);
+  EXPECT_FALSE(cache.apply(item(j, 5), Time{}));
+  EXPECT_EQ(cache.job(j.spec.id), nullptr);
 }
 
 // Jobs are read before the records of their tasks: a job that is accepted in between comes with the
 // watch, and its record, which was read already, must not be lost with it.
-TEST(Ledger, ARecordReadBeforeItsJobIsTakenWithTheWatch) {
+TEST(StateCache, ARecordReadBeforeItsJobIsTakenWithTheWatch) {
   const base::Settings settings;
-  Ledger ledger(settings);
+  StateCache cache(settings);
   const auto j = job("run-000001", 4);
   ChunkRecord r;
   r.done.assign(4, false);
   r.held = {{0, {MachineId("i-1"), Attempt(1), base::AgentIncarnation(1)}}};
   const Item record{protocol::chunk_key(j.spec.id, 0), to_json(r, 0), Version(7)};
-  ledger.apply(record, Time{});
-  EXPECT_EQ(ledger.orphans().size(), 1u);
-  ledger.caught_up(Revision(4));
-  ledger.apply(item(j, 5), Time{});
-  EXPECT_TRUE(ledger.orphans().empty());
-  EXPECT_TRUE(ledger.apply(record, Time{}));
-  EXPECT_EQ(ledger.job(j.spec.id)->held, 1u);
+  cache.apply(record, Time{});
+  EXPECT_EQ(cache.orphans().size(), 1u);
+  cache.advance_to(Revision(4));
+  cache.apply(item(j, 5), Time{});
+  EXPECT_TRUE(cache.orphans().empty());
+  EXPECT_TRUE(cache.apply(record, Time{}));
+  EXPECT_EQ(cache.job(j.spec.id)->held, 1u);
 }
 
-TEST(Ledger, KeepsItsFiguresWithTheRecords) {
+TEST(StateCache, KeepsItsFiguresWithTheRecords) {
   const base::Settings settings;
-  Ledger ledger(settings);
+  StateCache cache(settings);
   const auto j = job("run-000001", 40);
-  ledger.apply(item(j, 1), Time{});
-  ASSERT_EQ(ledger.job(j.spec.id)->chunks.size(), 3u);
+  cache.apply(item(j, 1), Time{});
+  ASSERT_EQ(cache.job(j.spec.id)->chunks.size(), 3u);
   const auto chunk = [&](std::uint32_t c, std::map<TaskNo, Held> held, std::uint64_t version) {
     ChunkRecord r;
-    r.done.assign(ledger.job(j.spec.id)->chunk_size(c), false);
+    r.done.assign(cache.job(j.spec.id)->chunk_size(c), false);
     r.held = std::move(held);
-    ledger.apply({protocol::chunk_key(j.spec.id, c), to_json(r, c * 16), Version(version)}, Time{});
+    cache.apply({protocol::chunk_key(j.spec.id, c), to_json(r, c * 16), Version(version)}, Time{});
   };
   const Held one{MachineId("i-1"), Attempt(1), base::AgentIncarnation(1)};
   const Held two{MachineId("i-2"), Attempt(1), base::AgentIncarnation(1)};
-  EXPECT_EQ(ledger.stamp(one.machine), 0u);
+  EXPECT_EQ(cache.stamp(one.machine), 0u);
   chunk(0, {{0, one}, {1, one}}, 2);
   chunk(2, {{33, two}}, 3);
-  EXPECT_EQ(ledger.job(j.spec.id)->held, 3u);
-  EXPECT_EQ(ledger.team_use("t").cores(), 6);
-  EXPECT_EQ(ledger.held_by(one.machine).size(), 2u);
-  const auto before = ledger.stamp(one.machine), other = ledger.stamp(two.machine);
+  EXPECT_EQ(cache.job(j.spec.id)->held, 3u);
+  EXPECT_EQ(cache.team_use("t").cores(), 6);
+  EXPECT_EQ(cache.held_by(one.machine).size(), 2u);
+  const auto before = cache.stamp(one.machine), other = cache.stamp(two.machine);
   chunk(0, {{1, one}}, 4);
-  EXPECT_NE(ledger.stamp(one.machine), before);
-  EXPECT_EQ(ledger.stamp(two.machine), other);
+  EXPECT_NE(cache.stamp(one.machine), before);
+  EXPECT_EQ(cache.stamp(two.machine), other);
   // A cancellation changes what is wanted on each machine that holds a task.
   auto cancelled = j;
   cancelled.cancelled = true;
-  ledger.apply(item(cancelled, 5), Time{});
-  EXPECT_NE(ledger.stamp(two.machine), other);
+  cache.apply(item(cancelled, 5), Time{});
+  EXPECT_NE(cache.stamp(two.machine), other);
   chunk(0, {}, 6);
-  EXPECT_EQ(ledger.stamp(one.machine), 0u);
-  EXPECT_EQ(ledger.team_use("t").cores(), 2);
+  EXPECT_EQ(cache.stamp(one.machine), 0u);
+  EXPECT_EQ(cache.team_use("t").cores(), 2);
 }
 
 // Hundreds of machines boot at once; the state service refuses a value over its limit, and did.
@@ -159,15 +159,15 @@
 
 }  // namespace
 
-TEST(Ledger, ADividedChunkIsReadByPieces) {
+TEST(StateCache, ADividedChunkIsReadByPieces) {
   base::Settings settings;
-  Ledger ledger(settings);
+  StateCache cache(settings);
   const JobId id("run-000077");
-  ledger.apply(large_job(false, 1), Time{});
-  ledger.apply(tasks_record(protocol::chunk_key(id, 0), 0, 100, 5, {39, 40, 99}, 2), Time{});
-  ledger.apply(tasks_record(protocol::chunk_key(id, 1), 100, 50, 6, {149}, 3), Time{});
-  ledger.apply(large_job(true, 4), Time{});
-  const Job* job = ledger.job(id);
+  cache.apply(large_job(false, 1), Time{});
+  cache.apply(tasks_record(protocol::chunk_key(id, 0), 0, 100, 5, {39, 40, 99}, 2), Time{});
+  cache.apply(tasks_record(protocol::chunk_key(id, 1), 100, 50, 6, {149}, 3), Time{});
+  cache.apply(large_job(true, 4), Time{});
+  const Job* job = cache.job(id);
   ASSERT_EQ(job->chunks.size(), 5u);  // 40 + 40 + 20, 40 + 10
   EXPECT_EQ(job->chunk_first(2), 80u);
   EXPECT_EQ(job->chunk_size(2), 20u);
@@ -178,33 +178,33 @@
   EXPECT_TRUE(job->is_done(100));
   EXPECT_EQ(job->chunks[1].record.next, base::Attempt(5));
   EXPECT_EQ(job->chunks[4].record.next, base::Attempt(6));
-  EXPECT_EQ(ledger.held_by(MachineId("i-40")).size(), 1u);
+  EXPECT_EQ(cache.held_by(MachineId("i-40")).size(), 1u);
   // A piece of its own record; the others are still as the chunk's record says.
-  ledger.apply(tasks_record(protocol::piece_key(id, 1), 40, 40, 7, {}, 5), Time{});
-  EXPECT_TRUE(ledger.held_by(MachineId("i-40")).empty());
-  ledger.apply(tasks_record(protocol::chunk_key(id, 0), 0, 100, 5, {40}, 6), Time{});
-  EXPECT_TRUE(ledger.held_by(MachineId("i-40")).empty()) << "an older record than the piece's";
-  EXPECT_TRUE(ledger.held_by(MachineId("i-39")).empty());
+  cache.apply(tasks_record(protocol::piece_key(id, 1), 40, 40, 7, {}, 5), Time{});
+  EXPECT_TRUE(cache.held_by(MachineId("i-40")).empty());
+  cache.apply(tasks_record(protocol::chunk_key(id, 0), 0, 100, 5, {40}, 6), Time{});
+  EXPECT_TRUE(cache.held_by(MachineId("i-40")).empty()) << "an older record than the piece's";
+  EXPECT_TRUE(cache.held_by(MachineId("i-39")).empty());
   EXPECT_EQ(job->held, 1u);
   // All of its records go once it is over.
-  ledger.apply({protocol::job_key(id), protocol::Json(), Version(7)}, Time{});
-  EXPECT_EQ(ledger.orphans().size(), 3u);
-  EXPECT_TRUE(ledger.held().empty());
+  cache.apply({protocol::job_key(id), protocol::Json(), Version(7)}, Time{});
+  EXPECT_EQ(cache.orphans().size(), 3u);
+  EXPECT_TRUE(cache.held().empty());
 }
 
 // All is read page by page: a chunk that is divided meanwhile must not lose its pieces' records.
-TEST(Ledger, APieceThatIsReadBeforeItsChunkIsDividedComesAgain) {
+TEST(StateCache, APieceThatIsReadBeforeItsChunkIsDividedComesAgain) {
   base::Settings settings;
-  Ledger ledger(settings);
+  StateCache cache(settings);
   const JobId id("run-000077");
-  ledger.apply(large_job(false, 1), Time{});
+  cache.apply(large_job(false, 1), Time{});
   const Item piece = tasks_record(protocol::piece_key(id, 0), 0, 40, 9, {3}, 6);
-  ledger.apply(piece, Time{});
-  EXPECT_EQ(ledger.job(id)->held, 0u);
-  ledger.apply(large_job(true, 5), Time{});
-  EXPECT_TRUE(ledger.apply(piece, Time{}));
-  EXPECT_EQ(ledger.job(id)->chunks[0].version, Version(6));
-  EXPECT_EQ(ledger.job(id)->held, 1u);
+  cache.apply(piece, Time{});
+  EXPECT_EQ(cache.job(id)->held, 0u);
+  cache.apply(large_job(true, 5), Time{});
+  EXPECT_TRUE(cache.apply(piece, Time{}));
+  EXPECT_EQ(cache.job(id)->chunks[0].version, Version(6));
+  EXPECT_EQ(cache.job(id)->held, 1u);
 }
 
 }  // namespace saddleslip::bookkeeping
--- a/tests/users_test.cpp
+++ b/tests/users_test.cpp
@@ -50,7 +50,7 @@
   }
 
   void apply(const std::string& key, const Json& value) {
-    controller_.ledger().apply({key, value, base::Version(++revision_)}, base::Time{});
+    controller_.cache().apply({key, value, base::Version(++revision_)}, base::Time{});
   }
   void add_job(const protocol::JobSpec& s) {
     protocol::JobRecord record;
@@ -187,14 +187,14 @@
   std::vector<JobId> needs;
   for (int i = 0; i < 4500; ++i) {
     needs.emplace_back("run-" + std::to_string(200000 + i));
-    controller_.ledger().remember_final(needs.back(), {});
+    controller_.cache().remember_final(needs.back(), {});
   }
   const auto s = spec(kJob, needs);
   ASSERT_LT(to_json(s).dump().size(), 64u << 10);
   EXPECT_EQ(submit(s).status, 201);
   EXPECT_EQ(written_.back(), protocol::job_key(kJob)) << "accepted before all lists are written";
   for (const bool job_first : {false, true}) {
-    bookkeeping::Ledger other(settings_);
+    bookkeeping::StateCache other(settings_);
     std::vector<std::string> keys = written_;
     if (job_first) std::reverse(keys.begin(), keys.end());
     std::uint64_t version = 0;
@@ -218,7 +218,7 @@
   std::vector<JobId> needs;
   for (int i = 0; i < 1000; ++i) {
     needs.emplace_back("run-" + std::to_string(200000 + i));
-    controller_.ledger().remember_final(needs.back(), {});
+    controller_.cache().remember_final(needs.back(), {});
   }
   commits_left_ = 2;
   EXPECT_EQ(submit(spec(kJob, needs)).status, 503);
--- a/tests/world_controllers.cpp
+++ b/tests/world_controllers.cpp
@@ -64,12 +64,12 @@
 void World::load(std::size_t n) {
   if (!state_reachable(n)) return;
   NodeSim& node = nodes_[n];
-  auto& ledger = node.controller->ledger();
+  auto& cache = node.controller->cache();
   const auto read = [&](bool records) {
     for (const auto& [key, k] : store_) {
       if (key.starts_with(protocol::kFinals) || key.starts_with(protocol::kChunks) != records)
         continue;
-      ledger.apply({key, k.value, base::Version(k.version)}, now());
+      cache.apply({key, k.value, base::Version(k.version)}, now());
     }
   };
   if (node.records_at < 0) {
@@ -79,23 +79,23 @@
   }
   if (t_ < node.records_at) return;
   read(true);
-  ledger.caught_up(base::Revision(node.load_from));
+  cache.advance_to(base::Revision(node.load_from));
   node.records_at = -1;
   node.loaded = true;
 }
 
 void World::take_in(std::size_t n, double lag) {
   NodeSim& node = nodes_[n];
-  auto& ledger = node.controller->ledger();
-  std::uint64_t upto = ledger.revision().get();
+  auto& cache = node.controller->cache();
+  std::uint64_t upto = cache.revision().get();
   for (const Change& change : changes_) {
-    if (change.revision <= ledger.revision().get() || change.at + lag > t_) continue;
-    if (ledger.apply(change.item, now())) node.rung = true;
+    if (change.revision <= cache.revision().get() || change.at + lag > t_) continue;
+    if (cache.apply(change.item, now())) node.rung = true;
     if (change.item.key == protocol::kViewKey || change.item.key == protocol::kLeadKey)
       node.beat_now = true;
     upto = std::max(upto, change.revision);
   }
-  ledger.caught_up(base::Revision(upto));
+  cache.advance_to(base::Revision(upto));
   node.controller->install_view(now());
 }
 
@@ -113,7 +113,7 @@
     }
     const auto got = get(n, key);
     if (got.answered && got.item.version.get() != 0)
-      nodes_[n].controller->ledger().apply(got.item, now());
+      nodes_[n].controller->cache().apply(got.item, now());
   }
 }
 
@@ -136,7 +136,7 @@
       node.lease.reset();
       return;
     }
-    node.controller->ledger().apply(txn, done.revision, now());
+    node.controller->cache().apply(txn, done.revision, now());
   }
   const auto lease = leases_.find(node.lease->get());
   if (lease == leases_.end()) {
@@ -148,13 +148,13 @@
   node.controller->tell_time(now(), 1000 + t_);
   lease->second.until = t_ + ttl.count();
   node.controller->lease_acquired(now());
-  const std::uint64_t copy = node.controller->copy_number();
-  if (catch_up(n)) node.controller->lease_renewed(now(), copy);
+  const std::uint64_t cache_generation = node.controller->cache_generation();
+  if (catch_up(n)) node.controller->lease_renewed(now(), cache_generation);
   if (const auto txn = node.controller->claim(now())) commit(n, *txn);
   if (const auto txn = node.controller->propose_membership_change(now(), *node.lease)) {
     const auto done = commit(n, *txn);
     if (done.outcome == Outcome::kDone) {
-      node.controller->ledger().apply(*txn, done.revision, now());
+      node.controller->cache().apply(*txn, done.revision, now());
       node.controller->install_view(now());
       node.beat_now = true;
       node.rung = true;
@@ -163,11 +163,11 @@
 }
 
 void World::read_unresolved_needs(std::size_t n) {
-  auto& ledger = nodes_[n].controller->ledger();
-  for (const JobId& id : ledger.unresolved_needs()) {
+  auto& cache = nodes_[n].controller->cache();
+  for (const JobId& id : cache.unresolved_needs()) {
     const auto got = get(n, protocol::final_key(id));
     const auto state = got.answered ? protocol::parse_final(got.item.value) : std::nullopt;
-    if (state) ledger.remember_final(id, *state);
+    if (state) cache.remember_final(id, *state);
   }
 }
 
@@ -239,7 +239,7 @@
     if (!txn) continue;
     const auto done = commit(n, *txn);
     if (done.outcome == Outcome::kDone) {
-      c.ledger().apply(*txn, done.revision, now());
+      c.cache().apply(*txn, done.revision, now());
       node.rung = true;
     }
   }
@@ -251,7 +251,7 @@
   auto& c = *node.controller;
   node.next_fleet = t_ + 1;
   if (!c.is_leader(now())) return;
-  if (c.ledger().catalogue().empty()) {
+  if (c.cache().catalogue().empty()) {
     Json types = Json::array();
     for (const auto& [type, cores] : {std::pair("small", 4), std::pair("big", 8)}) {
       types.push_back({{"sku", type},
