--- a/bench/versions/records_tool.cpp
+++ b/bench/versions/records_tool.cpp
@@ -79,9 +79,12 @@
   chunk.next = base::Attempt(7);
   chunk.done.assign(size, false);
   chunk.done[0] = chunk.done[1] = chunk.done[9] = true;
-  chunk.held[size + 2] = {base::MachineId("i-000231"), base::Attempt(5), base::AgentIncarnation(2)};
-  chunk.held[size + 3] = {base::MachineId("i-000232"), base::Attempt(6), base::AgentIncarnation(1)};
-  chunk.held[size + 4] = {base::MachineId("i-000232"), base::Attempt(6), base::AgentIncarnation(1)};
+  chunk.assigned[size + 2] = {base::MachineId("i-000231"), base::Attempt(5),
+                              base::AgentIncarnation(2)};
+  chunk.assigned[size + 3] = {base::MachineId("i-000232"), base::Attempt(6),
+                              base::AgentIncarnation(1)};
+  chunk.assigned[size + 4] = {base::MachineId("i-000232"), base::Attempt(6),
+                              base::AgentIncarnation(1)};
   print(protocol::chunk_key(many.id, 1), to_json(chunk, size));
   print(protocol::final_key(base::JobId("run-000004")), final_state(protocol::JobStatus::kDone));
   print(protocol::final_key(base::JobId("run-000005")),
@@ -146,12 +149,13 @@
     std::cout << "job " << id.get() << " class " << spec.job_class << " tasks " << spec.tasks
               << " memory " << spec.need.memory() << " deadline " << spec.deadline->count()
               << " submitted " << job.record.submitted << " cancelled " << job.cancelled()
-              << " done " << job.done << " held " << job.held << '\n';
+              << " done " << job.done << " held " << job.assigned << '\n';
     for (const auto& chunk : job.chunks) {
-      for (const auto& [no, held] : chunk.record.held) {
+      for (const auto& [no, assignment] : chunk.record.assigned) {
         std::cout << "held " << id.get() << ' ' << (no - job.chunk_first(1)) << " of record 1 by "
-                  << held.machine.get() << " attempt " << held.attempt.get() << " session "
-                  << held.agent_incarnation.get() << " next " << chunk.record.next.get() << '\n';
+                  << assignment.machine.get() << " attempt " << assignment.attempt.get()
+                  << " session " << assignment.agent_incarnation.get() << " next "
+                  << chunk.record.next.get() << '\n';
       }
     }
   }
--- a/src/bookkeeping/ledger.cpp
+++ b/src/bookkeeping/ledger.cpp
@@ -89,19 +89,20 @@
   }
 }
 
-void StateCache::count(const Job& job, TaskNo no, const Held& held, int sign) {
+void StateCache::count(const Job& job, TaskNo no, const Assignment& assignment, int sign) {
   const TaskId task{job.record.spec.id, no};
   if (sign > 0) {
-    by_machine_[held.machine][task] = held;
-    stamps_[held.machine] = ++last_stamp_;
-  } else if (const auto on = by_machine_.find(held.machine); on != by_machine_.end()) {
+    assignments_by_machine_[assignment.machine][task] = assignment;
+    stamps_[assignment.machine] = ++last_stamp_;
+  } else if (const auto on = assignments_by_machine_.find(assignment.machine);
+             on != assignments_by_machine_.end()) {
     on->second.erase(task);
     if (on->second.empty()) {
-      by_machine_.erase(on);
-      stamps_.erase(held.machine);
+      assignments_by_machine_.erase(on);
+      stamps_.erase(assignment.machine);
       ++last_stamp_;
     } else {
-      stamps_[held.machine] = ++last_stamp_;
+      stamps_[assignment.machine] = ++last_stamp_;
     }
   }
   team_use_[job.record.spec.team] += job.record.spec.need * static_cast<double>(sign);
@@ -109,7 +110,7 @@
 
 void StateCache::remove_assignments(const Job& job) {
   for (const Chunk& c : job.chunks) {
-    for (const auto& [no, held] : c.record.held) count(job, no, held, -1);
+    for (const auto& [no, assignment] : c.record.assigned) count(job, no, assignment, -1);
   }
 }
 
@@ -133,7 +134,7 @@
     at->second.record = std::move(*record);
     at->second.version = item.version;
     if (at->second.record.piece != 0 && at->second.whole.empty()) divide(at->second, now);
-    stamp_holders(at->second);
+    stamp_assigned_machines(at->second);
     if (at->second.record.cancelled) cancel_dependents(id);
     return;
   }
@@ -236,7 +237,7 @@
     if (at == jobs_.end() || at->second.need_cancelled) continue;
     at->second.need_cancelled = true;
     ++job_changes_;
-    stamp_holders(at->second);
+    stamp_assigned_machines(at->second);
   }
 }
 
@@ -269,13 +270,14 @@
   if (at == jobs_.end() || at->second.cancelled()) return;
   at->second.told_cancelled = true;
   ++job_changes_;
-  stamp_holders(at->second);
+  stamp_assigned_machines(at->second);
 }
 
 // What is wanted on each machine that holds a task of the job has changed.
-void StateCache::stamp_holders(const Job& job) {
+void StateCache::stamp_assigned_machines(const Job& job) {
   for (const Chunk& c : job.chunks) {
-    for (const auto& [no, held] : c.record.held) stamps_[held.machine] = ++last_stamp_;
+    for (const auto& [no, assignment] : c.record.assigned)
+      stamps_[assignment.machine] = ++last_stamp_;
   }
 }
 
@@ -313,9 +315,9 @@
   for (std::size_t c = 0; c < job.chunks.size(); ++c)
     job.chunks[c].record.done.assign(job.chunk_size(c), false);
   for (const Chunk& c : job.whole) {
-    for (const auto& [no, held] : c.record.held) count(job, no, held, -1);
+    for (const auto& [no, assignment] : c.record.assigned) count(job, no, assignment, -1);
   }
-  job.held = 0;
+  job.assigned = 0;
   job.done = 0;
   for (std::uint32_t c = 0; c < job.whole.size(); ++c) derive_pieces(job, c, now);
 }
@@ -330,7 +332,8 @@
     ChunkRecord piece;
     piece.next = whole.next;
     piece.done.assign(whole.done.begin() + offset, whole.done.begin() + offset + count);
-    piece.held.insert(whole.held.lower_bound(first), whole.held.lower_bound(first + count));
+    piece.assigned.insert(whole.assigned.lower_bound(first),
+                          whole.assigned.lower_bound(first + count));
     replace(job, i, std::move(piece), Version(0), now);
   }
 }
@@ -340,25 +343,25 @@
   Chunk& chunk = job.chunks[number];
   // Only the tasks whose holder changed: a record of many tasks is written for a few of them, and
   // each machine that is touched here is worked out anew.
-  auto was = chunk.record.held.begin();
-  const auto was_end = chunk.record.held.end();
-  for (const auto& [no, held] : record.held) {
+  auto was = chunk.record.assigned.begin();
+  const auto was_end = chunk.record.assigned.end();
+  for (const auto& [no, assignment] : record.assigned) {
     for (; was != was_end && was->first < no; ++was) count(job, was->first, was->second, -1);
     if (was != was_end && was->first == no) {
-      const bool same = was->second == held;
+      const bool same = was->second == assignment;
       if (!same) count(job, no, was->second, -1);
       ++was;
       if (same) continue;
     }
-    count(job, no, held, +1);
+    count(job, no, assignment, +1);
   }
   for (; was != was_end; ++was) count(job, was->first, was->second, -1);
-  job.held -= static_cast<TaskNo>(chunk.record.held.size());
+  job.assigned -= static_cast<TaskNo>(chunk.record.assigned.size());
   job.done -= chunk.record.done_count();
   chunk.record = std::move(record);
   chunk.version = version;
   job.moved = now;
-  job.held += static_cast<TaskNo>(chunk.record.held.size());
+  job.assigned += static_cast<TaskNo>(chunk.record.assigned.size());
   job.done += chunk.record.done_count();
 }
 
@@ -373,7 +376,7 @@
   job_index_.clear();
   ++last_stamp_;
   ++job_changes_;
-  by_machine_.clear();
+  assignments_by_machine_.clear();
   stamps_.clear();
   team_use_.clear();
   versions_.clear();
@@ -417,10 +420,10 @@
   }
 }
 
-const std::map<TaskId, Held>& StateCache::held_by(const MachineId& machine) const {
-  static const std::map<TaskId, Held> kNone;
-  const auto it = by_machine_.find(machine);
-  return it == by_machine_.end() ? kNone : it->second;
+const std::map<TaskId, Assignment>& StateCache::assignments_on(const MachineId& machine) const {
+  static const std::map<TaskId, Assignment> kNone;
+  const auto it = assignments_by_machine_.find(machine);
+  return it == assignments_by_machine_.end() ? kNone : it->second;
 }
 
 std::uint64_t StateCache::stamp(const MachineId& machine) const {
--- a/src/bookkeeping/ledger.h
+++ b/src/bookkeeping/ledger.h
@@ -25,10 +25,10 @@
 using base::TaskNo;
 using base::Time;
 using base::Version;
+using protocol::Assignment;
 using protocol::ChunkRecord;
 using protocol::ControllerIncarnation;
 using protocol::FinalState;
-using protocol::Held;
 using protocol::Item;
 using protocol::JobRecord;
 using protocol::JobStatus;
@@ -49,7 +49,7 @@
   // record is as they say.
   std::vector<Chunk> whole;
   TaskNo done = 0;
-  TaskNo held = 0;
+  TaskNo assigned = 0;
   Time seen{};   // when this process first saw it
   Time moved{};  // when a task of it last began or ended, as far as this process saw
   // Another controller has told that its cancellation is committed; the copy does not show it yet.
@@ -75,15 +75,15 @@
   }
   TaskNo chunk_size(std::size_t c) const { return record.tasks_of(static_cast<std::uint32_t>(c)); }
   // Tasks that could start now.
-  TaskNo pending() const { return cancelled() || waits ? 0 : record.spec.tasks - done - held; }
+  TaskNo pending() const { return cancelled() || waits ? 0 : record.spec.tasks - done - assigned; }
   bool is_done(TaskNo no) const {
     const auto number = record.chunk_of(no);
     return chunks[number].record.done[no - record.first_task(number)];
   }
-  const Held* holder(TaskNo no) const {
-    const auto& held_by = chunks[record.chunk_of(no)].record.held;
-    const auto it = held_by.find(no);
-    return it == held_by.end() ? nullptr : &it->second;
+  const Assignment* assignment(TaskNo no) const {
+    const auto& assignments_on = chunks[record.chunk_of(no)].record.assigned;
+    const auto it = assignments_on.find(no);
+    return it == assignments_on.end() ? nullptr : &it->second;
   }
 };
 
@@ -123,8 +123,10 @@
   std::vector<JobId> unresolved_needs() const;
   std::vector<JobId> unresolved_needs(const JobId& job) const;
 
-  const std::map<TaskId, Held>& held_by(const MachineId& machine) const;
-  const std::map<MachineId, std::map<TaskId, Held>>& held() const { return by_machine_; }
+  const std::map<TaskId, Assignment>& assignments_on(const MachineId& machine) const;
+  const std::map<MachineId, std::map<TaskId, Assignment>>& assigned() const {
+    return assignments_by_machine_;
+  }
   // Changes whenever what is held by the machine does, or whether it is still wanted; 0: nothing is.
   std::uint64_t stamp(const MachineId& machine) const;
   std::uint64_t last_stamp() const { return last_stamp_; }  // of any machine
@@ -167,14 +169,14 @@
   // What the record of some tasks says now takes the place of what it said before.
   void replace(Job& job, std::size_t number, ChunkRecord record, Version version, Time now);
   // Takes a task's holder out of the books, or puts it in.
-  void count(const Job& job, TaskNo no, const Held& held, int sign);
+  void count(const Job& job, TaskNo no, const Assignment& assigned, int sign);
   void remove_assignments(const Job& job);
-  void stamp_holders(const Job& job);
+  void stamp_assigned_machines(const Job& job);
 
   const base::Settings& settings_;
   std::map<JobId, Job> jobs_;
   std::unordered_map<JobId, Job*> job_index_;  // the same: looked up by every task of every report
-  std::map<MachineId, std::map<TaskId, Held>> by_machine_;
+  std::map<MachineId, std::map<TaskId, Assignment>> assignments_by_machine_;
   std::unordered_map<MachineId, std::uint64_t> stamps_;
   std::uint64_t last_stamp_ = 0, job_changes_ = 0;
   std::map<std::string, Resources> team_use_;
--- a/src/bookkeeping/machines.h
+++ b/src/bookkeeping/machines.h
@@ -25,9 +25,9 @@
 // What follows from a machine's report and the record, worked out once while neither changes.
 struct Outlook {
   bool known = false;
-  std::uint64_t stamp = 0;    // of the record
-  std::uint64_t checked = 0;  // the last stamp of any machine when this one's was looked at
-  std::uint32_t held = 0;     // tasks that the record has on it
+  std::uint64_t stamp = 0;     // of the record
+  std::uint64_t checked = 0;   // the last stamp of any machine when this one's was looked at
+  std::uint32_t assigned = 0;  // tasks that the record has on it
   AgentIncarnation agent_incarnation;
   Sequence sequence;
   std::size_t evicted = 0;
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -385,7 +385,7 @@
   std::map<TaskId, Time> ran;
   const auto* type = cache_.type(heartbeat.type);
   m.pulling.clear();
-  bool busy = !cache_.held_by(heartbeat.machine).empty();
+  bool busy = !cache_.assignments_on(heartbeat.machine).empty();
   for (const auto& [task, attempts] : heartbeat.tasks) {
     for (const auto& t : attempts) {
       if (t.state != protocol::TaskState::kEnded) busy = true;
@@ -412,19 +412,20 @@
   std::erase_if(m.ran_before, [&](const auto& r) { return !heartbeat.tasks.contains(r.first); });
   m.ran = std::move(ran);
   if (busy) m.idle_since = now;
-  std::erase_if(m.evict,
-                [&](const TaskId& t) { return !cache_.held_by(heartbeat.machine).contains(t); });
+  std::erase_if(m.evict, [&](const TaskId& t) {
+    return !cache_.assignments_on(heartbeat.machine).contains(t);
+  });
   // A start that the worker hasn't heard of can't reach it any more: every answer that carried it
   // was taken or dropped before this report was sent, and direct orders are fenced by the token.
   if (renews_lease && m.is_fenced()) {
-    for (const auto& [task, held] : cache_.held_by(heartbeat.machine)) {
+    for (const auto& [task, assignment] : cache_.assignments_on(heartbeat.machine)) {
       const Job* job = cache_.job(task.job);
       // Nor is it started any more: not wanted, or stopped before it began. Without this the latter
       // would be held for ever by a machine that has never heard of it.
       const bool unwanted = job && (job->cancelled() || m.evict.contains(task));
-      if (unwanted && held.agent_incarnation == heartbeat.agent_incarnation &&
+      if (unwanted && assignment.agent_incarnation == heartbeat.agent_incarnation &&
           !heartbeat.tasks.contains(task)) {
-        absent_[task] = held.attempt;
+        absent_[task] = assignment.attempt;
       }
     }
   }
@@ -432,13 +433,13 @@
 
 std::vector<Command> Controller::stops_for(const Machine& m) const {
   std::vector<Command> out;
-  const auto& held = cache_.held_by(m.last_heartbeat.machine);
+  const auto& assignment = cache_.assignments_on(m.last_heartbeat.machine);
   for (const auto& [task, attempts] : m.last_heartbeat.tasks) {
-    const auto h = held.find(task);
+    const auto h = assignment.find(task);
     const Job* job = cache_.job(task.job);
     for (const auto& t : attempts) {
       if (t.state == protocol::TaskState::kEnded) continue;
-      const bool ours = h != held.end() && h->second.attempt == t.attempt;
+      const bool ours = h != assignment.end() && h->second.attempt == t.attempt;
       const bool wanted = ours && job && !job->cancelled() && !m.evict.contains(task);
       if (wanted) continue;
       const bool save = ours && job && !job->cancelled() && job->record.spec.checkpoint.count() > 0;
@@ -453,21 +454,21 @@
 std::vector<Command> Controller::reconcile(const Machine& m) const {
   std::vector<Command> out;
   if (look(m).stops) out = stops_for(m);
-  const auto& held = cache_.held_by(m.last_heartbeat.machine);
+  const auto& assignment = cache_.assignments_on(m.last_heartbeat.machine);
   if (m.is_fenced()) {
     for (const auto& [task, attempts] : m.last_heartbeat.tasks) {
-      const auto h = held.find(task);
+      const auto h = assignment.find(task);
       for (const auto& t : attempts) {
         // Forgotten only once its end is on record and no copy of its start can arrive any more:
         // the worker would run it again.
-        const bool ours = h != held.end() && h->second.attempt == t.attempt;
+        const bool ours = h != assignment.end() && h->second.attempt == t.attempt;
         if (t.state == protocol::TaskState::kEnded && !ours) {
           out.push_back({Command::Op::kForget, task, t.attempt, {}});
         }
       }
     }
   }
-  for (const auto& [task, h] : held) {
+  for (const auto& [task, h] : assignment) {
     if (h.agent_incarnation != m.last_heartbeat.agent_incarnation || m.evict.contains(task))
       continue;
     const Job* job = cache_.job(task.job);
@@ -506,14 +507,14 @@
     spdlog::info("machine {} is gone (the cloud's word)", id.get());
   }
   std::erase_if(gone_, [&](const auto& g) {
-    return base::between(g.second, now) > kGoneKept && !cache_.held().contains(g.first);
+    return base::between(g.second, now) > kGoneKept && !cache_.assigned().contains(g.first);
   });
 }
 
 void Controller::close_idle(const std::vector<MachineId>& machines) {
   for (const MachineId& id : machines) {
     const auto at = machines_.find(id);
-    if (at == machines_.end() || at->second.closed || !cache_.held_by(id).empty()) continue;
+    if (at == machines_.end() || at->second.closed || !cache_.assignments_on(id).empty()) continue;
     at->second.closed = true;
     spdlog::info("machine {} is idle: closed", id.get());
   }
@@ -558,9 +559,9 @@
   o.sequence = m.last_heartbeat.sequence;
   o.evicted = m.evict.size();
   if (type) o.free = type->size;
-  const auto& held = cache_.held_by(m.last_heartbeat.machine);
-  o.held = static_cast<std::uint32_t>(held.size());
-  for (const auto& [task, h] : held) {
+  const auto& assignment = cache_.assignments_on(m.last_heartbeat.machine);
+  o.assigned = static_cast<std::uint32_t>(assignment.size());
+  for (const auto& [task, h] : assignment) {
     const Job* job = cache_.job(task.job);
     if (!job) continue;
     const auto& spec = job->record.spec;
@@ -583,11 +584,11 @@
   }
   bool strange = false;
   for (const auto& [task, attempts] : m.last_heartbeat.tasks) {
-    const auto h = held.find(task);
+    const auto h = assignment.find(task);
     for (const auto& t : attempts) {
       if (t.state == protocol::TaskState::kEnded) continue;
       o.active = true;
-      if (h != held.end() && h->second.attempt == t.attempt) continue;
+      if (h != assignment.end() && h->second.attempt == t.attempt) continue;
       const Job* job = cache_.job(task.job);
       strange = strange || !job;
       if (job) o.free -= job->record.spec.need;
@@ -608,7 +609,7 @@
   const bool soon = !m.closed && !m.is_confirmed() && !m.deaf() && has_recent_heartbeat(m, now);
   const bool unsure = m.lost_answers > 0 && base::between(m.last_heartbeat_at, now) < kDeafRound;
   const bool open = !m.closed && !silent;
-  const Time idle = o.held > 0 ? Time{} : m.idle_since;
+  const Time idle = o.assigned > 0 ? Time{} : m.idle_since;
   const std::pair heartbeat(m.last_heartbeat.agent_incarnation, m.last_heartbeat.sequence);
   const bool is_new = m.room_changed == 0;
   // A report later than any that is well: no reason yet to leave the machine alone, but with its
@@ -616,7 +617,7 @@
   const bool late = base::between(m.last_heartbeat_at, now) >
                     settings_.heartbeat_interval * bookkeeping::kOverdue;
   if (!is_new && r.silent == silent && r.late == late && r.soon == soon && r.unsure == unsure &&
-      r.open == open && r.idle_since == idle && r.tasks == o.held && r.free == o.free &&
+      r.open == open && r.idle_since == idle && r.tasks == o.assigned && r.free == o.free &&
       r.lower == o.lower &&
       (m.room_report == heartbeat ||
        std::equal(r.images.begin(), r.images.end(), m.images.begin(), m.images.end(),
@@ -637,7 +638,7 @@
   r.open = open;
   r.free = o.free;
   r.lower = o.lower;
-  r.tasks = o.held;
+  r.tasks = o.assigned;
   r.idle_since = idle;
   if (is_new || m.room_report != heartbeat) {
     r.images.clear();
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -58,7 +58,7 @@
   Transaction txn;
   struct Start {
     TaskId task;
-    protocol::Held held;
+    protocol::Assignment assignment;
   };
   std::vector<Start> starts;
   struct End {
@@ -249,9 +249,10 @@
   std::map<MachineId, ControllerIncarnation> heard_claims(Time now);
   std::string zone_of(const MachineId& machine) const;
   static const protocol::ReportedAttempt* reported_attempt(const Machine& m, const TaskId& task,
-                                                           const protocol::Held& held);
+                                                           const protocol::Assignment& assignment);
   // Has the machine reported the end of this attempt? Its room is free then, on record or not.
-  static bool reported_ended(const Machine& m, const TaskId& task, const protocol::Held& held);
+  static bool reported_ended(const Machine& m, const TaskId& task,
+                             const protocol::Assignment& assignment);
   // A job that was offered to this part, and which of its tasks wait here.
   struct WaitingJob {
     const Job* job;
--- a/src/coordination/ends.cpp
+++ b/src/coordination/ends.cpp
@@ -19,10 +19,10 @@
 void Controller::collect_ends(Time now, std::vector<RoundPlan::End>& ends) {
   const Seconds lease = settings_.worker_lease * (1.0 + base::kDrift) + Seconds(0.2);
   const auto collect = [&](const MachineId& machine, Machine* m) {
-    const auto& tasks = cache_.held_by(machine);
+    const auto& tasks = cache_.assignments_on(machine);
     if (tasks.empty()) return;
     if (gone_.contains(machine)) {
-      for (const auto& [task, held] : tasks)
+      for (const auto& [task, assignment] : tasks)
         ends.push_back({task, machine, "machine released", false});
       return;
     }
@@ -38,7 +38,7 @@
       }
     }
     if (!expired) return;
-    for (const auto& [task, held] : tasks) {
+    for (const auto& [task, assignment] : tasks) {
       if (!told.contains(task)) {
         ends.push_back({task, machine, "worker's lease is certainly gone", false});
       }
@@ -57,18 +57,19 @@
   }
 }
 
-const protocol::ReportedAttempt* Controller::reported_attempt(const Machine& m, const TaskId& task,
-                                                              const protocol::Held& held) {
-  if (held.agent_incarnation != m.last_heartbeat.agent_incarnation) return nullptr;
+const protocol::ReportedAttempt* Controller::reported_attempt(
+    const Machine& m, const TaskId& task, const protocol::Assignment& assignment) {
+  if (assignment.agent_incarnation != m.last_heartbeat.agent_incarnation) return nullptr;
   const auto at = m.last_heartbeat.tasks.find(task);
   if (at == m.last_heartbeat.tasks.end()) return nullptr;
   const auto t = std::find_if(at->second.begin(), at->second.end(),
-                              [&](const auto& r) { return r.attempt == held.attempt; });
+                              [&](const auto& r) { return r.attempt == assignment.attempt; });
   return t == at->second.end() ? nullptr : &*t;
 }
 
-bool Controller::reported_ended(const Machine& m, const TaskId& task, const protocol::Held& held) {
-  const auto* t = reported_attempt(m, task, held);
+bool Controller::reported_ended(const Machine& m, const TaskId& task,
+                                const protocol::Assignment& assignment) {
+  const auto* t = reported_attempt(m, task, assignment);
   return t && t->state == TaskState::kEnded;
 }
 
@@ -89,8 +90,8 @@
       return false;
     }
   }
-  const auto& held = job->chunks[job->record.chunk_of(end.task.no)].record.held;
-  return std::any_of(held.begin(), held.end(), [&](const auto& h) {
+  const auto& assignment = job->chunks[job->record.chunk_of(end.task.no)].record.assigned;
+  return std::any_of(assignment.begin(), assignment.end(), [&](const auto& h) {
     return owns(h.second.machine) && !ended.contains(TaskId{end.task.job, h.first});
   });
 }
--- a/src/coordination/fleet_control.cpp
+++ b/src/coordination/fleet_control.cpp
@@ -70,8 +70,8 @@
     const double left = by - priorities_.time_of_day(now) - boot * 1.5;
     // Whole runs, one after the other.
     const double waves = std::clamp(std::floor(left / (each * 1.3)), 1.0, 3.0);
-    work += (job->pending() + 0.6 * job->held) * each * cores;
-    running += job->held * cores;
+    work += (job->pending() + 0.6 * job->assigned) * each * cores;
+    running += job->assigned * cores;
     needed = std::max(needed, work / (waves * each));
   }
   double more = std::max(0.0, needed - running);
@@ -265,8 +265,8 @@
 }
 
 void Controller::add_movable_services(FleetInput& in) const {
-  for (const auto& [machine, tasks] : cache_.held()) {
-    for (const auto& [task, held] : tasks) {
+  for (const auto& [machine, tasks] : cache_.assigned()) {
+    for (const auto& [task, assignment] : tasks) {
       const Job* job = cache_.job(task.job);
       if (job && job->record.spec.kind == protocol::Kind::kService && !job->cancelled()) {
         in.movable[machine].push_back(&job->record.spec);
--- a/src/coordination/handover.cpp
+++ b/src/coordination/handover.cpp
@@ -129,7 +129,7 @@
     if (is_overdue(m, now)) ++overdue;
   }
   for (const auto& [id, since] : owned_since_) {
-    if (machines_.contains(id) || gone_.contains(id) || cache_.held_by(id).empty()) continue;
+    if (machines_.contains(id) || gone_.contains(id) || cache_.assignments_on(id).empty()) continue;
     ++owned;
     const Seconds missed = base::between(std::max(since, listening_since()), now);
     if (missed > settings_.heartbeat_interval + kWorkerRetry) ++overdue;
@@ -163,7 +163,7 @@
       if (room.late) out.push_back(id);
     }
   }
-  for (const auto& [id, tasks] : cache_.held()) {
+  for (const auto& [id, tasks] : cache_.assigned()) {
     const ControllerIncarnation* of = owner(id);
     const bool reports =
         member == self_ ? machines_.contains(id) : siblings_.at(member.member).rooms.contains(id);
--- a/src/coordination/intake.cpp
+++ b/src/coordination/intake.cpp
@@ -97,7 +97,7 @@
 
 bool may_finish(const bookkeeping::Job& job) {
   // A cancelled job stays until nothing of it is on a machine: its tasks count for the team.
-  if (job.held > 0) return false;
+  if (job.assigned > 0) return false;
   return job.cancelled_on_record() || job.done == job.record.spec.tasks;
 }
 
--- a/src/coordination/job_priorities.cpp
+++ b/src/coordination/job_priorities.cpp
@@ -198,7 +198,7 @@
 std::optional<std::size_t> JobPriorities::overdue_tasks(const Job& job, Time now) const {
   if (job.pending() == 0) return {};
   // What never began has waited since it was submitted, whichever process saw it.
-  const bool began = job.held > 0 || job.done > 0;
+  const bool began = job.assigned > 0 || job.done > 0;
   const double waited =
       began ? base::between(job.moved, now).count() : time_of_day(now) - job.startable_since();
   if (waited < settings_.tuning.longest_wait.count()) return {};
--- a/src/coordination/preemption.cpp
+++ b/src/coordination/preemption.cpp
@@ -21,7 +21,7 @@
   for (const auto& [id, m] : machines_) {
     for (const TaskId& t : m.evict) {
       const Job* job = cache_.job(t.job);
-      if (job && job->holder(t.no)) {
+      if (job && job->assignment(t.no)) {
         stopping[job->record.spec.team] += job->record.spec.need.cores();
       }
     }
@@ -64,10 +64,10 @@
 std::vector<Controller::Victim> Controller::candidates(const Preemption& p, const Machine& m,
                                                        Time now) const {
   std::vector<Victim> out;
-  for (const auto& [task, held] : cache_.held_by(m.last_heartbeat.machine)) {
+  for (const auto& [task, assignment] : cache_.assignments_on(m.last_heartbeat.machine)) {
     const Job* other = cache_.job(task.job);
-    if (!other || other->cancelled() || m.evict.contains(task) || reported_ended(m, task, held) ||
-        !may_stop(p, *other)) {
+    if (!other || other->cancelled() || m.evict.contains(task) ||
+        reported_ended(m, task, assignment) || !may_stop(p, *other)) {
       continue;
     }
     const auto ran = m.ran.find(task);
--- a/src/coordination/record_batch.cpp
+++ b/src/coordination/record_batch.cpp
@@ -10,7 +10,7 @@
 using base::TaskNo;
 using base::Version;
 using bookkeeping::Job;
-using protocol::Held;
+using protocol::Assignment;
 using protocol::Transaction;
 
 namespace {
@@ -38,9 +38,9 @@
   return at == edits_.end() ? nullptr : &at->second;
 }
 
-bool RecordBatch::is_held(const Job& job, TaskNo no) const {
+bool RecordBatch::is_assigned(const Job& job, TaskNo no) const {
   const Edit* e = find(job, no);
-  return e ? e->record.held.contains(no) : job.holder(no) != nullptr;
+  return e ? e->record.assigned.contains(no) : job.assignment(no) != nullptr;
 }
 
 bool RecordBatch::is_done(const Job& job, TaskNo no) const {
@@ -57,7 +57,7 @@
   const ChunkId id{job.record.spec.id, chunk};
   if (const auto at = edits_.find(id); at != edits_.end()) return &at->second;
   const bool full = writes() + 1 > settings_.txn_ops;
-  if (!full) bytes_ += kBytesOfRecord + job.chunks[chunk].record.held.size() * kBytesOfHeld;
+  if (!full) bytes_ += kBytesOfRecord + job.chunks[chunk].record.assigned.size() * kBytesOfHeld;
   if (full || (bytes_ > kMaxBytes && !edits_.empty())) {
     turned_away_ = true;
     return nullptr;
@@ -69,17 +69,17 @@
   const Job* job = cache_.job(task.job);
   Edit* e = job ? edit(*job, task.no) : nullptr;
   if (!e) return false;
-  e->record.held.erase(task.no);
+  e->record.assigned.erase(task.no);
   if (done) e->record.done[place_in_record(*job, task.no)] = true;
   return true;
 }
 
-std::optional<Attempt> RecordBatch::add_start(const TaskId& task, Held held) {
+std::optional<Attempt> RecordBatch::add_start(const TaskId& task, Assignment assignment) {
   const Job* job = cache_.job(task.job);
   // The one gate that all starts pass, whoever offered the task: not before all jobs that it needs are
   // done on record, and nothing that is cancelled.
   if (!job || job->waits || job->cancelled()) return {};
-  if (!has_room_for_start(*job, task.no, held)) return {};
+  if (!has_room_for_start(*job, task.no, assignment)) return {};
   const auto& spec = job->record.spec;
   const bool limited = cache_.limited(spec.team);
   const std::string team = limited ? protocol::team_key(spec.team) : "";
@@ -93,20 +93,21 @@
   }
   Edit* e = edit(*job, task.no);
   if (!e) return {};
-  held.attempt = e->record.next;
+  assignment.attempt = e->record.next;
   e->has_starts = true;
-  e->record.held[task.no] = held;
+  e->record.assigned[task.no] = assignment;
   if (!team.empty()) teams_.insert(team);
   if (!row.empty()) serialized_.insert(row);
-  return held.attempt;
+  return assignment.attempt;
 }
 
 // Does the record, with one more task held, fit into a value of the store? One that was written under a
 // larger limit takes starts again once enough of its tasks have ended.
-bool RecordBatch::has_room_for_start(const Job& job, TaskNo no, const Held& held) const {
+bool RecordBatch::has_room_for_start(const Job& job, TaskNo no,
+                                     const Assignment& assignment) const {
   const Edit* e = find(job, no);
   const auto& record = e ? e->record : job.chunks[job.record.chunk_of(no)].record;
-  return protocol::encoded_size_bound(record) + protocol::encoded_size_bound(held) <=
+  return protocol::encoded_size_bound(record) + protocol::encoded_size_bound(assignment) <=
          settings_.value_bytes;
 }
 
@@ -114,7 +115,7 @@
                                  const std::vector<TaskEnd>& ends) const {
   protocol::ChunkRecord record = job.chunks[chunk].record;
   for (const TaskEnd& end : ends) {
-    record.held.erase(end.no);
+    record.assigned.erase(end.no);
     if (end.done) record.done[place_in_record(job, end.no)] = true;
   }
   return protocol::encoded_size_bound(record) <= settings_.value_bytes;
@@ -122,22 +123,22 @@
 
 std::set<JobId> RecordBatch::finished_jobs() const {
   struct Counts {
-    TaskNo done = 0, held = 0;
+    TaskNo done = 0, assigned = 0;
   };
   std::map<JobId, Counts> after;  // with what is written here
   for (const auto& [id, e] : edits_) {
-    auto& counts = after.try_emplace(id.job, Counts{e.job->done, e.job->held}).first->second;
+    auto& counts = after.try_emplace(id.job, Counts{e.job->done, e.job->assigned}).first->second;
     const auto& before = e.job->chunks[id.chunk].record;
     counts.done += e.record.done_count() - before.done_count();
-    counts.held +=
-        static_cast<TaskNo>(e.record.held.size()) - static_cast<TaskNo>(before.held.size());
+    counts.assigned +=
+        static_cast<TaskNo>(e.record.assigned.size()) - static_cast<TaskNo>(before.assigned.size());
   }
   std::size_t all_writes = writes();
   std::set<JobId> finished;
   for (const auto& [id, counts] : after) {
     const Job& job = *cache_.job(id);
     const bool over = job.cancelled_on_record() || counts.done >= job.record.spec.tasks;
-    if (counts.held > 0 || !over || !cache_.is_settled(job)) continue;
+    if (counts.assigned > 0 || !over || !cache_.is_settled(job)) continue;
     if (all_writes + kWritesOfFinish > settings_.txn_ops) continue;
     all_writes += kWritesOfFinish;
     finished.insert(id);
--- a/src/coordination/record_batch.h
+++ b/src/coordination/record_batch.h
@@ -18,7 +18,7 @@
       : settings_(settings), cache_(cache) {}
 
   // The state of a task with what this batch changes.
-  bool is_held(const bookkeeping::Job& job, base::TaskNo no) const;
+  bool is_assigned(const bookkeeping::Job& job, base::TaskNo no) const;
   bool is_done(const bookkeeping::Job& job, base::TaskNo no) const;
   // Does the batch write the record of this task already?
   bool writes_record_of(const bookkeeping::Job& job, base::TaskNo no) const;
@@ -35,7 +35,7 @@
   // A task is over, completed or to be started again. False: the transaction has no room for it.
   bool add_end(const base::TaskId& task, bool done);
   // A task starts. None: the transaction has no room for it; else the attempt's number.
-  std::optional<base::Attempt> add_start(const base::TaskId& task, protocol::Held held);
+  std::optional<base::Attempt> add_start(const base::TaskId& task, protocol::Assignment assignment);
 
   // Was something turned away for want of room?
   bool turned_away() const { return turned_away_; }
@@ -61,7 +61,7 @@
   Edit* edit(const bookkeeping::Job& job, base::TaskNo no);
   std::size_t writes() const { return edits_.size() + teams_.size() + serialized_.size(); }
   bool has_room_for_start(const bookkeeping::Job& job, base::TaskNo no,
-                          const protocol::Held& held) const;
+                          const protocol::Assignment& assignment) const;
   std::set<base::JobId> finished_jobs() const;
   static void guard_whole_chunk(protocol::Transaction& txn, const bookkeeping::Job& job,
                                 std::uint32_t piece);
--- a/src/coordination/rounds.cpp
+++ b/src/coordination/rounds.cpp
@@ -39,9 +39,10 @@
     }
     // What it will have once the tasks that end by themselves have ended.
     Resources later = look(m).free;
-    for (const auto& [task, held] : cache_.held_by(id)) {
+    for (const auto& [task, assignment] : cache_.assignments_on(id)) {
       const Job* other = cache_.job(task.job);
-      if (other && other->record.spec.kind != Kind::kService && !reported_ended(m, task, held)) {
+      if (other && other->record.spec.kind != Kind::kService &&
+          !reported_ended(m, task, assignment)) {
         later += other->record.spec.need;
       }
     }
@@ -66,11 +67,12 @@
 // The room of tasks that were told to stop and have not ended yet.
 Resources Controller::being_stopped(const Machine& m) const {
   Resources room;
-  const auto& held = cache_.held_by(m.last_heartbeat.machine);
+  const auto& assignment = cache_.assignments_on(m.last_heartbeat.machine);
   for (const TaskId& t : m.evict) {
-    const auto h = held.find(t);
+    const auto h = assignment.find(t);
     const Job* job = cache_.job(t.job);
-    if (job && h != held.end() && !reported_ended(m, t, h->second)) room += job->record.spec.need;
+    if (job && h != assignment.end() && !reported_ended(m, t, h->second))
+      room += job->record.spec.need;
   }
   return room;
 }
@@ -148,7 +150,7 @@
     WaitingJob& w = waiting[at->second];
     for (const auto& [first, count] : p.ranges) {
       for (TaskNo no = first; no - first < count && no < job->record.spec.tasks; ++no) {
-        if (!batch.is_held(*job, no) && !batch.is_done(*job, no)) w.tasks.push_back(no);
+        if (!batch.is_assigned(*job, no) && !batch.is_done(*job, no)) w.tasks.push_back(no);
       }
     }
     std::sort(w.tasks.begin(), w.tasks.end());
@@ -164,8 +166,8 @@
   const auto& spec = w.job->record.spec;
   if (!spec.one_zone && !spec.spread) return;
   for (const auto& chunk : w.job->chunks) {
-    for (const auto& [no, held] : chunk.record.held) {
-      const std::string zone = zone_of(held.machine);
+    for (const auto& [no, assignment] : chunk.record.assigned) {
+      const std::string zone = zone_of(assignment.machine);
       if (zone.empty()) w.zones_known = false;  // somewhere, and nobody said where: wait
       ++w.zones[zone];
     }
@@ -299,9 +301,9 @@
 void Controller::record_starts(RecordBatch& batch, RoundPlan& plan) {
   std::vector<RoundPlan::Start> kept;
   for (RoundPlan::Start& s : plan.starts) {
-    const auto attempt = batch.add_start(s.task, s.held);
+    const auto attempt = batch.add_start(s.task, s.assignment);
     if (!attempt) continue;
-    s.held.attempt = *attempt;
+    s.assignment.attempt = *attempt;
     kept.push_back(std::move(s));
   }
   plan.starts = std::move(kept);
@@ -311,7 +313,7 @@
 void Controller::make_room(const std::vector<WaitingJob>& waiting, const RoundPlan& plan,
                            Time now) {
   for (const RoundPlan::Start& s : plan.starts) {
-    const auto g = gathered_.find(s.held.machine);
+    const auto g = gathered_.find(s.assignment.machine);
     if (g != gathered_.end() && g->second.job == s.task.job) gathered_.erase(g);
   }
   std::erase_if(gathered_, [&](const auto& g) {
@@ -350,21 +352,21 @@
   }
   std::map<MachineId, Order> by_machine;
   for (const RoundPlan::Start& s : plan.starts) {
-    const auto at = machines_.find(s.held.machine);
+    const auto at = machines_.find(s.assignment.machine);
     if (at == machines_.end() ||
-        at->second.last_heartbeat.agent_incarnation != s.held.agent_incarnation)
+        at->second.last_heartbeat.agent_incarnation != s.assignment.agent_incarnation)
       continue;
     Machine& m = at->second;
-    Order& o = by_machine[s.held.machine];
-    o.machine = s.held.machine;
+    Order& o = by_machine[s.assignment.machine];
+    o.machine = s.assignment.machine;
     o.address = m.last_heartbeat.address;
     o.fencing_token = m.fencing_token;
     o.agent_incarnation = m.last_heartbeat.agent_incarnation;
-    o.commands.push_back({Command::Op::kRun, s.task, s.held.attempt, {}});
+    o.commands.push_back({Command::Op::kRun, s.task, s.assignment.attempt, {}});
     m.idle_since = now;
     const Job* job = cache_.job(s.task.job);
     spdlog::debug("{}/{} goes to {} as attempt {}{}", s.task.job.get(), s.task.no,
-                  s.held.machine.get(), s.held.attempt.get(),
+                  s.assignment.machine.get(), s.assignment.attempt.get(),
                   job && m.has_image(job->record.spec.image) ? "" : ", image to be fetched");
   }
   for (auto& [id, o] : by_machine) {
--- a/src/coordination/routing.cpp
+++ b/src/coordination/routing.cpp
@@ -243,7 +243,8 @@
     const auto& record = job.chunks[c].record;
     const TaskNo first = job.chunk_first(c);
     for (TaskNo i = 0; i < job.chunk_size(c) && waiting.size() < most; ++i) {
-      if (record.done[i] || record.held.contains(first + i) || is_offered({id, first + i}, now)) {
+      if (record.done[i] || record.assigned.contains(first + i) ||
+          is_offered({id, first + i}, now)) {
         continue;
       }
       waiting.push_back(first + i);
--- a/src/coordination/upkeep.cpp
+++ b/src/coordination/upkeep.cpp
@@ -69,7 +69,7 @@
   }
   unheard_owned_at_ = now;
   unheard_owned_.clear();
-  for (const auto& [id, tasks] : cache_.held()) {
+  for (const auto& [id, tasks] : cache_.assigned()) {
     if (!machines_.contains(id) && owns(id)) unheard_owned_.push_back(id);
   }
   return unheard_owned_;
@@ -79,8 +79,9 @@
 void Controller::move_service_away(Machine& m, const Partitions& known, Time now) {
   const MachineId& id = m.last_heartbeat.machine;
   // One service at a time, and none that a user would still count as just started.
-  const bool moving = std::any_of(m.evict.begin(), m.evict.end(),
-                                  [&](const TaskId& t) { return cache_.held_by(id).contains(t); });
+  const bool moving = std::any_of(m.evict.begin(), m.evict.end(), [&](const TaskId& t) {
+    return cache_.assignments_on(id).contains(t);
+  });
   if (moving) return;
   for (const auto& [task, since] : m.ran) {
     const Job* job = cache_.job(task.job);
@@ -119,7 +120,7 @@
   std::size_t owned = machines_.size(), late = 0;
   std::optional<Partitions> known;
   for (auto& [id, m] : machines_) {
-    m.give_back = m.closed && cache_.held_by(id).empty() && !look(m).active;
+    m.give_back = m.closed && cache_.assignments_on(id).empty() && !look(m).active;
     if (m.draining && is_schedulable(m, now)) {
       if (!known) known = partitions(now, kRoomToMove);
       move_service_away(m, *known, now);
@@ -138,7 +139,7 @@
       ++late;
   }
   for (const MachineId& id : unheard_owned(now)) {
-    if (machines_.contains(id) || gone_.contains(id) || cache_.held_by(id).empty()) continue;
+    if (machines_.contains(id) || gone_.contains(id) || cache_.assignments_on(id).empty()) continue;
     ++owned;
     const Time since = owned_since_.try_emplace(id, now).first->second;
     // Workers whose node is gone need a while to find their new one.
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -445,9 +445,9 @@
     const std::uint64_t n = ++proofs_begun_;
     proof_at_ = now();
     lock.unlock();
-    const bool held = catch_up(kUserCall);
+    const bool assignment = catch_up(kUserCall);
     lock.lock();
-    proof_held_ = held;
+    proof_held_ = assignment;
     proofs_done_ = n;
     proving_ = false;
     proved_.notify_all();
--- a/src/protocol/records.cpp
+++ b/src/protocol/records.cpp
@@ -84,14 +84,14 @@
   return std::clamp((tasks + n - 1) / n, std::min(kLeast, most), most);
 }
 
-std::size_t encoded_size_bound(const Held& held) {
-  return kHeldPunctuation + kPlaceDigits + 1 + held.machine.get().size() +
-         digits(held.attempt.get()) + digits(held.agent_incarnation.get());
+std::size_t encoded_size_bound(const Assignment& assignment) {
+  return kHeldPunctuation + kPlaceDigits + 1 + assignment.machine.get().size() +
+         digits(assignment.attempt.get()) + digits(assignment.agent_incarnation.get());
 }
 
 std::size_t encoded_size_bound(const ChunkRecord& chunk) {
   std::size_t bytes = kFrameBytes;
-  for (const auto& [no, held] : chunk.held) bytes += encoded_size_bound(held);
+  for (const auto& [no, assignment] : chunk.assigned) bytes += encoded_size_bound(assignment);
   bool in_run = false;
   for (const bool done : chunk.done) {
     if (done && !in_run) bytes += kDonePunctuation + 2 * kPlaceDigits;
@@ -201,19 +201,20 @@
     done.push_back({i, n});
     i += n;
   }
-  Json held = Json::array();
-  for (auto it = chunk.held.begin(); it != chunk.held.end();) {
+  Json assignment = Json::array();
+  for (auto it = chunk.assigned.begin(); it != chunk.assigned.end();) {
     TaskNo n = 1;
     auto next = std::next(it);
-    while (next != chunk.held.end() && next->first == it->first + n && next->second == it->second) {
+    while (next != chunk.assigned.end() && next->first == it->first + n &&
+           next->second == it->second) {
       ++n;
       ++next;
     }
-    held.push_back({it->first - first, n, it->second.machine.get(), it->second.attempt.get(),
-                    it->second.agent_incarnation.get()});
+    assignment.push_back({it->first - first, n, it->second.machine.get(), it->second.attempt.get(),
+                          it->second.agent_incarnation.get()});
     it = next;
   }
-  return Json{{"n", chunk.next.get()}, {"d", std::move(done)}, {"h", std::move(held)}};
+  return Json{{"n", chunk.next.get()}, {"d", std::move(done)}, {"h", std::move(assignment)}};
 }
 
 std::optional<ChunkRecord> parse_chunk(const Json& value, TaskNo first, TaskNo count) {
@@ -230,9 +231,10 @@
     for (const Json& h : value.at("h")) {
       const auto at = h.at(0).get<TaskNo>(), n = h.at(1).get<TaskNo>();
       if (at > count || n > count - at) return {};
-      const Held held{MachineId(h.at(2).get<std::string>()), Attempt(h.at(3).get<std::uint64_t>()),
-                      AgentIncarnation(h.at(4).get<std::uint64_t>())};
-      for (TaskNo i = 0; i < n; ++i) chunk.held[first + at + i] = held;
+      const Assignment assignment{MachineId(h.at(2).get<std::string>()),
+                                  Attempt(h.at(3).get<std::uint64_t>()),
+                                  AgentIncarnation(h.at(4).get<std::uint64_t>())};
+      for (TaskNo i = 0; i < n; ++i) chunk.assigned[first + at + i] = assignment;
     }
     return chunk;
   } catch (const Json::exception&) {
--- a/src/protocol/records.h
+++ b/src/protocol/records.h
@@ -142,22 +142,22 @@
 std::optional<JobRecord> parse_job(const Json& value);
 
 // Where a task is, or may be.
-struct Held {
+struct Assignment {
   MachineId machine;
   Attempt attempt;
   AgentIncarnation agent_incarnation;
-  bool operator==(const Held&) const = default;
+  bool operator==(const Assignment&) const = default;
 };
 struct ChunkRecord {
   Attempt next{1};  // no attempt of this chunk has had this number or a higher one
   std::vector<bool> done;
-  std::map<TaskNo, Held> held;
+  std::map<TaskNo, Assignment> assigned;
   TaskNo done_count() const;
 };
 // At least as many bytes as the record takes in the store.
 std::size_t encoded_size_bound(const ChunkRecord& chunk);
 // ... and what one more task that is held adds to it.
-std::size_t encoded_size_bound(const Held& held);
+std::size_t encoded_size_bound(const Assignment& assigned);
 Json to_json(const ChunkRecord& chunk, TaskNo first);
 std::optional<ChunkRecord> parse_chunk(const Json& value, TaskNo first, TaskNo count);
 
--- a/src/users.cpp
+++ b/src/users.cpp
@@ -42,8 +42,8 @@
     if (!job) return {};
     if (job->cancelled_on_record()) return known_final(id, protocol::JobStatus::kCancelled);
     const auto status =
-        job->held > 0 ? protocol::JobStatus::kRunning : protocol::JobStatus::kQueued;
-    return Reply{200, protocol::user_status(id, status, job->done, job->held), 0};
+        job->assigned > 0 ? protocol::JobStatus::kRunning : protocol::JobStatus::kQueued;
+    return Reply{200, protocol::user_status(id, status, job->done, job->assigned), 0};
   };
   const auto cached =
       locked([&](coordination::Controller& c) { return c.cache().final_state(id); });
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -47,7 +47,7 @@
   const auto j = job("run-000001", 4);
   ChunkRecord r;
   r.done.assign(4, false);
-  r.held = {{0, {MachineId("i-1"), Attempt(1), base::AgentIncarnation(1)}}};
+  r.assigned = {{0, {MachineId("i-1"), Attempt(1), base::AgentIncarnation(1)}}};
   const Item record{protocol::chunk_key(j.spec.id, 0), to_json(r, 0), Version(7)};
   cache.apply(record, Time{});
   EXPECT_EQ(cache.orphans().size(), 1u);
@@ -55,7 +55,7 @@
   cache.apply(item(j, 5), Time{});
   EXPECT_TRUE(cache.orphans().empty());
   EXPECT_TRUE(cache.apply(record, Time{}));
-  EXPECT_EQ(cache.job(j.spec.id)->held, 1u);
+  EXPECT_EQ(cache.job(j.spec.id)->assigned, 1u);
 }
 
 TEST(StateCache, KeepsItsFiguresWithTheRecords) {
@@ -64,20 +64,21 @@
   const auto j = job("run-000001", 40);
   cache.apply(item(j, 1), Time{});
   ASSERT_EQ(cache.job(j.spec.id)->chunks.size(), 3u);
-  const auto chunk = [&](std::uint32_t c, std::map<TaskNo, Held> held, std::uint64_t version) {
+  const auto chunk = [&](std::uint32_t c, std::map<TaskNo, Assignment> assignment,
+                         std::uint64_t version) {
     ChunkRecord r;
     r.done.assign(cache.job(j.spec.id)->chunk_size(c), false);
-    r.held = std::move(held);
+    r.assigned = std::move(assignment);
     cache.apply({protocol::chunk_key(j.spec.id, c), to_json(r, c * 16), Version(version)}, Time{});
   };
-  const Held one{MachineId("i-1"), Attempt(1), base::AgentIncarnation(1)};
-  const Held two{MachineId("i-2"), Attempt(1), base::AgentIncarnation(1)};
+  const Assignment one{MachineId("i-1"), Attempt(1), base::AgentIncarnation(1)};
+  const Assignment two{MachineId("i-2"), Attempt(1), base::AgentIncarnation(1)};
   EXPECT_EQ(cache.stamp(one.machine), 0u);
   chunk(0, {{0, one}, {1, one}}, 2);
   chunk(2, {{33, two}}, 3);
-  EXPECT_EQ(cache.job(j.spec.id)->held, 3u);
+  EXPECT_EQ(cache.job(j.spec.id)->assigned, 3u);
   EXPECT_EQ(cache.team_use("t").cores(), 6);
-  EXPECT_EQ(cache.held_by(one.machine).size(), 2u);
+  EXPECT_EQ(cache.assignments_on(one.machine).size(), 2u);
   const auto before = cache.stamp(one.machine), other = cache.stamp(two.machine);
   chunk(0, {{1, one}}, 4);
   EXPECT_NE(cache.stamp(one.machine), before);
@@ -145,14 +146,14 @@
 
 // The record of tasks from `first` on, with these held by a machine each.
 Item tasks_record(const std::string& key, TaskNo first, TaskNo count, std::uint64_t next,
-                  const std::vector<TaskNo>& held, std::uint64_t version) {
+                  const std::vector<TaskNo>& assignment, std::uint64_t version) {
   ChunkRecord record;
   record.next = base::Attempt(next);
   record.done.assign(count, false);
   record.done[0] = true;
-  for (const TaskNo no : held) {
-    record.held[no] = {MachineId("i-" + std::to_string(no)), base::Attempt(1),
-                       base::AgentIncarnation(1)};
+  for (const TaskNo no : assignment) {
+    record.assigned[no] = {MachineId("i-" + std::to_string(no)), base::Attempt(1),
+                           base::AgentIncarnation(1)};
   }
   return {key, to_json(record, first), Version(version)};
 }
@@ -173,23 +174,24 @@
   EXPECT_EQ(job->chunk_size(2), 20u);
   EXPECT_EQ(job->chunk_first(4), 140u);
   EXPECT_EQ(job->chunk_size(4), 10u);
-  EXPECT_EQ(job->held, 4u);
+  EXPECT_EQ(job->assigned, 4u);
   EXPECT_EQ(job->done, 2u);
   EXPECT_TRUE(job->is_done(100));
   EXPECT_EQ(job->chunks[1].record.next, base::Attempt(5));
   EXPECT_EQ(job->chunks[4].record.next, base::Attempt(6));
-  EXPECT_EQ(cache.held_by(MachineId("i-40")).size(), 1u);
+  EXPECT_EQ(cache.assignments_on(MachineId("i-40")).size(), 1u);
   // A piece of its own record; the others are still as the chunk's record says.
   cache.apply(tasks_record(protocol::piece_key(id, 1), 40, 40, 7, {}, 5), Time{});
-  EXPECT_TRUE(cache.held_by(MachineId("i-40")).empty());
+  EXPECT_TRUE(cache.assignments_on(MachineId("i-40")).empty());
   cache.apply(tasks_record(protocol::chunk_key(id, 0), 0, 100, 5, {40}, 6), Time{});
-  EXPECT_TRUE(cache.held_by(MachineId("i-40")).empty()) << "an older record than the piece's";
-  EXPECT_TRUE(cache.held_by(MachineId("i-39")).empty());
-  EXPECT_EQ(job->held, 1u);
+  EXPECT_TRUE(cache.assignments_on(MachineId("i-40")).empty())
+      << "an older record than the piece's";
+  EXPECT_TRUE(cache.assignments_on(MachineId("i-39")).empty());
+  EXPECT_EQ(job->assigned, 1u);
   // All of its records go once it is over.
   cache.apply({protocol::job_key(id), protocol::Json(), Version(7)}, Time{});
   EXPECT_EQ(cache.orphans().size(), 3u);
-  EXPECT_TRUE(cache.held().empty());
+  EXPECT_TRUE(cache.assigned().empty());
 }
 
 // All is read page by page: a chunk that is divided meanwhile must not lose its pieces' records.
@@ -200,11 +202,11 @@
   cache.apply(large_job(false, 1), Time{});
   const Item piece = tasks_record(protocol::piece_key(id, 0), 0, 40, 9, {3}, 6);
   cache.apply(piece, Time{});
-  EXPECT_EQ(cache.job(id)->held, 0u);
+  EXPECT_EQ(cache.job(id)->assigned, 0u);
   cache.apply(large_job(true, 5), Time{});
   EXPECT_TRUE(cache.apply(piece, Time{}));
   EXPECT_EQ(cache.job(id)->chunks[0].version, Version(6));
-  EXPECT_EQ(cache.job(id)->held, 1u);
+  EXPECT_EQ(cache.job(id)->assigned, 1u);
 }
 
 }  // namespace saddleslip::bookkeeping
