--- a/src/bookkeeping/ledger.cpp
+++ b/src/bookkeeping/ledger.cpp
@@ -265,10 +265,10 @@
   return out;
 }
 
-void StateCache::told_cancelled(const JobId& id) {
+void StateCache::notify_cancelled(const JobId& id) {
   const auto at = jobs_.find(id);
   if (at == jobs_.end() || at->second.cancelled()) return;
-  at->second.told_cancelled = true;
+  at->second.notify_cancelled = true;
   ++job_changes_;
   stamp_assigned_machines(at->second);
 }
--- a/src/bookkeeping/ledger.h
+++ b/src/bookkeeping/ledger.h
@@ -53,7 +53,7 @@
   Time seen{};   // when this process first saw it
   Time moved{};  // when a task of it last began or ended, as far as this process saw
   // Another controller has told that its cancellation is committed; the copy does not show it yet.
-  bool told_cancelled = false;
+  bool notify_cancelled = false;
   // A job that it needs, directly or through others, is cancelled on record: so is this one, whatever
   // its own record says.
   bool need_cancelled = false;
@@ -66,7 +66,7 @@
   // is written goes by this.
   bool cancelled_on_record() const { return record.cancelled || need_cancelled; }
   // Nothing of it is to run any more.
-  bool cancelled() const { return cancelled_on_record() || told_cancelled; }
+  bool cancelled() const { return cancelled_on_record() || notify_cancelled; }
   // Since when its tasks could have started, by the time of day.
   double startable_since() const { return std::max(record.submitted, ready_at); }
 
@@ -97,7 +97,7 @@
   void apply(const protocol::Transaction& txn, Revision committed, Time now);
   // Another controller's word that the job's cancellation is committed. It stops and holds back
   // starts, and is put on no record; what it names may be unknown here.
-  void told_cancelled(const JobId& id);
+  void notify_cancelled(const JobId& id);
   // The watch (or the first load) has told everything up to here.
   void advance_to(Revision revision);
   Revision revision() const { return revision_; }
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -116,7 +116,7 @@
   view_installed_at_ = now;
   std::erase_if(machines_, [&](const auto& m) {
     if (owns(m.first)) return false;
-    left_[m.first] = ++told_;
+    left_[m.first] = ++status_revision_;
     return true;
   });
   std::erase_if(owned_since_, [&](const auto& m) { return !in_a_row || !owns(m.first); });
@@ -499,7 +499,7 @@
 void Controller::machines_gone(const std::vector<MachineId>& machines, Time now) {
   for (const MachineId& id : machines) {
     if (!gone_.emplace(id, now).second) continue;
-    if (machines_.erase(id) > 0) left_[id] = ++told_;
+    if (machines_.erase(id) > 0) left_[id] = ++status_revision_;
     unheard_owned_at_ = Time{};  // its tasks are over: at once
     mute_.erase(id);
     zones_.erase(id);
@@ -645,7 +645,7 @@
     for (const auto& [image, gb] : m.images) r.images.push_back(image);
     m.room_report = heartbeat;
   }
-  m.room_changed = ++told_;
+  m.room_changed = ++status_revision_;
 }
 
 std::string Controller::zone_of(const MachineId& machine) const {
@@ -670,7 +670,7 @@
   MemberStatus s;
   s.from = self_;
   s.has_state = has_lease(now);
-  s.since = taken_[to];
+  s.since = acknowledged_revisions_[to];
   for (auto& [id, m] : machines_) {
     update_room(m, now);
     if (m.room_changed > s.since) s.machines.push_back(m.room);
@@ -678,12 +678,12 @@
   for (const auto& [id, at] : left_) {
     if (at > s.since && s.since > 0) s.left.push_back(id);
   }
-  s.upto = told_;
+  s.upto = status_revision_;
   // What every sibling knows to have left need not be kept.
-  std::uint64_t least = told_;
+  std::uint64_t least = status_revision_;
   for (const base::Sibling& sibling : settings_.siblings) {
     // One that has nothing is told all.
-    if (const std::uint64_t taken = taken_[sibling.member]; taken > 0)
+    if (const std::uint64_t taken = acknowledged_revisions_[sibling.member]; taken > 0)
       least = std::min(least, taken);
   }
   std::erase_if(left_, [&](const auto& l) { return l.second <= least; });
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -144,7 +144,7 @@
   // Another controller's word that this job's cancellation is committed, ahead of the watch, which may
   // be silent here: the state service may refuse this node alone, and its authority, that lasts for a
   // moment yet, must not be used to start the job's tasks.
-  void told_cancelled(const JobId& id) { cache_.told_cancelled(id); }
+  void notify_cancelled(const JobId& id) { cache_.notify_cancelled(id); }
   // May the order still go out? Takes out the starts of what was cancelled since it was made.
   bool still_due(Order& order, Time now) const;
 
@@ -171,7 +171,9 @@
   MemberStatus status(const MemberId& to, Time now);
   Instructions heard_status(const MemberStatus& status, Time now);
   // The sibling took in the status up to there (0: it asks for all).
-  void status_taken(const MemberId& by, std::uint64_t upto) { taken_[by] = upto; }
+  void status_acknowledged(const MemberId& by, std::uint64_t upto) {
+    acknowledged_revisions_[by] = upto;
+  }
   void sibling_reached(const MemberId& member, Time now) { reached_[member] = now; }
   // Has another controller, heard of lately, a lease while this one has none?
   bool others_have_state(Time now) const;
@@ -417,9 +419,10 @@
   std::map<JobId, Time> preempting_;
 
   std::map<MemberId, Sibling> siblings_;
-  std::uint64_t told_ = 0;                   // counts changes of what siblings are told
+  std::uint64_t status_revision_ = 0;        // counts changes of what siblings are told
   std::map<MachineId, std::uint64_t> left_;  // machines no longer owned, by that count
-  std::map<MemberId, std::uint64_t> taken_;  // what each sibling has, by that count
+  std::map<MemberId, std::uint64_t>
+      acknowledged_revisions_;  // what each sibling has, by that count
   std::map<MemberId, Time> reached_;
   std::map<MemberId, Time> member_since_;
   std::set<MemberId> shunned_;
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -28,7 +28,7 @@
 constexpr double kUrgentDebt = 0.4;  // seconds' worth of writes that urgent work may run ahead
 constexpr double kPlenty = 0.6;      // seconds' worth saved up: records that could wait go too
 constexpr std::size_t kMostOrders = 512;
-constexpr std::size_t kMostTold = 1024;  // cancellations that a sibling has not taken
+constexpr std::size_t kMaxUnsentCancellations = 1024;  // cancellations that a sibling has not taken
 // An answer of changes that were missed takes several times its size once it is parsed.
 constexpr std::size_t kChangesShare = 32;
 constexpr std::size_t kMostOrphans = 4000;   // records kept for later removal
@@ -79,7 +79,7 @@
               [this](const std::string& key) { return users_store_.get(key, kUserCall); },
               [this](const Transaction& txn) { return users_store_.commit(txn, kStateCall); },
               [] { return base::wall_seconds(); }, [this] { round_bell_.ring(); },
-              [this](const JobId& id) { tell_cancelled(id); }}) {
+              [this](const JobId& id) { broadcast_cancellation(id); }}) {
   for (const base::Sibling& s : settings_.siblings) {
     siblings_.push_back(std::make_unique<Sibling>(s));
   }
@@ -198,7 +198,7 @@
   const auto cancelled = protocol::parse_ids<JobId>(body, "cancelled");
   const auto said = locked([&](coordination::Controller& c) {
     for (const auto& o : offers) c.add_offers(o, now());
-    for (const JobId& id : cancelled) c.told_cancelled(id);
+    for (const JobId& id : cancelled) c.notify_cancelled(id);
     return c.heard_status(*status, now());
   });
   if (!offers.empty() || !cancelled.empty()) round_bell_.ring();
@@ -214,12 +214,12 @@
 }
 
 // Best effort: that a cancelled task is gone in time rests on the end of authority and of leases.
-void Node::tell_cancelled(const JobId& id) {
+void Node::broadcast_cancellation(const JobId& id) {
   for (auto& s : siblings_) {
     {
       const std::lock_guard lock(s->mutex);
       s->cancelled.push_back(id);
-      if (s->cancelled.size() > kMostTold) s->cancelled.pop_front();
+      if (s->cancelled.size() > kMaxUnsentCancellations) s->cancelled.pop_front();
     }
     s->bell.ring();
   }
@@ -272,7 +272,7 @@
     if (again) sibling.bell.ring();
     locked([&](coordination::Controller& c) {
       c.sibling_reached(sibling.id, now());
-      c.status_taken(sibling.id, again ? 0 : status.upto);
+      c.status_acknowledged(sibling.id, again ? 0 : status.upto);
       c.machines_gone(gone, now());
       c.close_idle(ids("close"));
       c.drain(ids("drain"));
--- a/src/node.h
+++ b/src/node.h
@@ -70,7 +70,7 @@
   // Siblings
   Reply serve_sibling(const Request& req);
   void tell_sibling(Sibling& sibling);
-  void tell_cancelled(const base::JobId& id);
+  void broadcast_cancellation(const base::JobId& id);
 
   // Loops
   void beat();
--- a/tests/sibling_test.cpp
+++ b/tests/sibling_test.cpp
@@ -47,9 +47,9 @@
   const Time now(std::chrono::seconds(1000));
   const MemberId other("n1");
   EXPECT_EQ(c.status(other, now).since, 0u);
-  c.status_taken(other, 4);
+  c.status_acknowledged(other, 4);
   EXPECT_EQ(c.status(other, now).since, 4u);
-  c.status_taken(other, 0);
+  c.status_acknowledged(other, 0);
   EXPECT_EQ(c.status(other, now).since, 0u);
 }
 
--- a/tests/world.h
+++ b/tests/world.h
@@ -173,7 +173,7 @@
   void load(std::size_t n);
   // Does a controller take in what another tells it now?
   bool takes_word(std::size_t from, std::size_t n) const;
-  void tell_cancelled(std::size_t n, const JobId& id);
+  void broadcast_cancellation(std::size_t n, const JobId& id);
   void take_in(std::size_t n, double lag);
   bool catch_up(std::size_t n);
   void round(std::size_t n);
--- a/tests/world_controllers.cpp
+++ b/tests/world_controllers.cpp
@@ -40,7 +40,7 @@
                    [this, n](const std::string& key) { return get(n, key); },
                    [this, n](const protocol::Transaction& txn) { return commit(n, txn); },
                    [this] { return 1000 + t_; }, [this, n] { nodes_[n].rung = true; },
-                   [this, n](const JobId& id) { tell_cancelled(n, id); }});
+                   [this, n](const JobId& id) { broadcast_cancellation(n, id); }});
   node.up = true;
   node.loaded = false;
   node.lease.reset();
@@ -53,10 +53,10 @@
          !cut(node_name(from), node_name(n));
 }
 
-void World::tell_cancelled(std::size_t n, const JobId& id) {
+void World::broadcast_cancellation(std::size_t n, const JobId& id) {
   for (std::size_t m = 0; m < nodes_.size(); ++m) {
     if (!takes_word(n, m)) continue;
-    nodes_[m].controller->told_cancelled(id);
+    nodes_[m].controller->notify_cancelled(id);
     nodes_[m].rung = true;
   }
 }
@@ -327,7 +327,7 @@
                 protocol::ids_to_json(said.close).dump() +
                 protocol::ids_to_json(said.drain).dump());
       }
-      c.status_taken(base::MemberId(node_name(m)), said.again ? 0 : status.upto);
+      c.status_acknowledged(base::MemberId(node_name(m)), said.again ? 0 : status.upto);
       if (said.again) node.next_tell = t_;
       c.sibling_reached(base::MemberId(node_name(m)), now());
       c.machines_gone(said.gone, now());
