--- a/src/bookkeeping/machines.h
+++ b/src/bookkeeping/machines.h
@@ -35,12 +35,12 @@
   Resources lower;      // taken by tasks that more urgent work may stop
   bool active = false;  // it reports something that is not over
   bool stops = false;   // something on it is to be stopped
-  struct Over {
+  struct EndedAttempt {
     TaskId task;
     const char* why;
     bool done;
   };
-  std::vector<Over> over;  // held, and over by the machine's own word
+  std::vector<EndedAttempt> ended_attempts;  // held, and over by the machine's own word
 };
 
 struct Machine {
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -566,16 +566,16 @@
     if (!job) continue;
     const auto& spec = job->record.spec;
     if (h.agent_incarnation < m.last_heartbeat.agent_incarnation) {
-      o.over.push_back({task, "worker began a new session", false});
+      o.ended_attempts.push_back({task, "worker began a new session", false});
     } else if (const auto* t = reported_attempt(m, task, h);
                t && t->state == protocol::TaskState::kEnded) {
-      o.over.push_back(
+      o.ended_attempts.push_back(
           {task, protocol::to_string(t->cause),
            t->cause == protocol::Cause::kDone && spec.kind != protocol::Kind::kService});
     } else {
       const auto absent = absent_.find(task);
       if (!t && absent != absent_.end() && absent->second == h.attempt) {
-        o.over.push_back({task, "never started", false});
+        o.ended_attempts.push_back({task, "never started", false});
       }
       o.free -= spec.need;
       if (priorities_.rank(*job) >= protocol::Rank::kStandard && !m.evict.contains(task))
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -61,13 +61,13 @@
     protocol::Assignment assignment;
   };
   std::vector<Start> starts;
-  struct End {
+  struct Completion {
     TaskId task;
     MachineId machine;
     std::string why;
     bool done = false;
   };
-  std::vector<End> ends;
+  std::vector<Completion> completions;
   bool more = false;  // there was more than one record can hold
   bool empty() const { return txn.writes.empty(); }
 };
@@ -269,14 +269,15 @@
     Resources scale;
   };
   // The steps of a round's plan.
-  static void record_end(RoundPlan::End end, RecordBatch& batch, RoundPlan& plan);
+  static void record_completion(RoundPlan::Completion end, RecordBatch& batch, RoundPlan& plan);
   // Records what must be on record now; returns the ends that can wait.
-  std::vector<RoundPlan::End> record_ends(std::vector<RoundPlan::End> ends, Pace pace, Time now,
-                                          RecordBatch& batch, RoundPlan& plan);
-  std::set<TaskId> settle_large_records(std::vector<RoundPlan::End>& ends,
+  std::vector<RoundPlan::Completion> record_completions(
+      std::vector<RoundPlan::Completion> completions, Pace pace, Time now, RecordBatch& batch,
+      RoundPlan& plan);
+  std::set<TaskId> settle_large_records(std::vector<RoundPlan::Completion>& completions,
                                         const RecordBatch& batch) const;
-  void record_late_ends(std::vector<RoundPlan::End> ends, Pace pace, Time now, RecordBatch& batch,
-                        RoundPlan& plan);
+  void record_deferred_completions(std::vector<RoundPlan::Completion> completions, Pace pace,
+                                   Time now, RecordBatch& batch, RoundPlan& plan);
   std::vector<WaitingJob> waiting_jobs(Pace pace, Time now, const RecordBatch& batch);
   void find_zones(WaitingJob& w) const;
   OpenMachines open_machines(Time now);
@@ -288,8 +289,8 @@
                  std::optional<Seconds> start_within, bool displaces, Time now) const;
   static void record_starts(RecordBatch& batch, RoundPlan& plan);
   void make_room(const std::vector<WaitingJob>& waiting, const RoundPlan& plan, Time now);
-  void collect_ends(Time now, std::vector<RoundPlan::End>& ends);
-  bool can_wait(const RoundPlan::End& end, const std::set<TaskId>& ended, Time now);
+  void collect_completions(Time now, std::vector<RoundPlan::Completion>& completions);
+  bool can_defer(const RoundPlan::Completion& end, const std::set<TaskId>& ended, Time now);
   // Decides which jobs with failures are sound, and closes the machines that turn out to be faulty.
   void judge_failures(Time now);
   // Has a task of the job been running here for so long, on a machine where none of it failed?
@@ -297,8 +298,8 @@
   // Does the job fail on every machine, as far as this controller or a sibling has seen?
   bool is_suspect(const JobId& job, Time now) const;
   // How long an attempt ran that is over, as far as this controller saw.
-  Seconds run_before_end(const RoundPlan::End& end) const;
-  void learn_run_time(const RoundPlan::End& end);
+  Seconds run_before_end(const RoundPlan::Completion& end) const;
+  void learn_run_time(const RoundPlan::Completion& end);
   void housekeeping(Time now);
   void move_service_away(Machine& m, const Partitions& known, Time now);
   void count_arrivals(Time now);
@@ -406,8 +407,8 @@
   std::map<TaskId, base::Attempt> absent_;  // cancelled, and certainly never to start
   std::map<MachineId, std::string> zones_;
   std::map<std::pair<TaskId, std::uint64_t>, Time> stop_sent_;
-  std::map<TaskId, Time> end_seen_;  // of ends that wait to be put on record with others
-  std::set<MachineId> mute_;         // owned, silent, and to be released for proof
+  std::map<TaskId, Time> completion_seen_at_;  // of ends that wait to be put on record with others
+  std::set<MachineId> mute_;                   // owned, silent, and to be released for proof
   std::deque<PoolEntry> pool_;
   std::unordered_map<TaskId, Time> offered_;
   Time tidied_{};
--- a/src/coordination/ends.cpp
+++ b/src/coordination/ends.cpp
@@ -16,14 +16,14 @@
 
 }  // namespace
 
-void Controller::collect_ends(Time now, std::vector<RoundPlan::End>& ends) {
+void Controller::collect_completions(Time now, std::vector<RoundPlan::Completion>& completions) {
   const Seconds lease = settings_.worker_lease * (1.0 + base::kDrift) + Seconds(0.2);
   const auto collect = [&](const MachineId& machine, Machine* m) {
     const auto& tasks = cache_.assignments_on(machine);
     if (tasks.empty()) return;
     if (gone_.contains(machine)) {
       for (const auto& [task, assignment] : tasks)
-        ends.push_back({task, machine, "machine released", false});
+        completions.push_back({task, machine, "machine released", false});
       return;
     }
     const Time since = owned_since_.try_emplace(machine, now).first->second;
@@ -32,15 +32,15 @@
     const bool expired = now > base::after(last_answer, lease);
     std::set<TaskId> told;
     if (m) {
-      for (const auto& over : look(*m).over) {
-        ends.push_back({over.task, machine, over.why, over.done});
-        if (expired) told.insert(over.task);
+      for (const auto& ended : look(*m).ended_attempts) {
+        completions.push_back({ended.task, machine, ended.why, ended.done});
+        if (expired) told.insert(ended.task);
       }
     }
     if (!expired) return;
     for (const auto& [task, assignment] : tasks) {
       if (!told.contains(task)) {
-        ends.push_back({task, machine, "worker's lease is certainly gone", false});
+        completions.push_back({task, machine, "worker's lease is certainly gone", false});
       }
     }
     // The session is over even if the worker's own word for it comes later: old reports of it
@@ -76,10 +76,11 @@
 // May this end be recorded later, together with others of its record? Nothing hangs on it before
 // this part's share of the record is complete: the room is free already, and a task whose machine is lost before then ends
 // at once where it is started again, since its result is kept.
-bool Controller::can_wait(const RoundPlan::End& end, const std::set<TaskId>& ended, Time now) {
-  const Job* job = cache_.job(end.task.job);
-  if (!end.done || !job || job->cancelled()) return false;
-  const Time seen = end_seen_.try_emplace(end.task, now).first->second;
+bool Controller::can_defer(const RoundPlan::Completion& completion, const std::set<TaskId>& ended,
+                           Time now) {
+  const Job* job = cache_.job(completion.task.job);
+  if (!completion.done || !job || job->cancelled()) return false;
+  const Time seen = completion_seen_at_.try_emplace(completion.task, now).first->second;
   if (base::between(seen, now) > settings_.tuning.record_within) return false;
   // A team near its limit waits for the room that the record still counts.
   if (cache_.limited(job->record.spec.team)) {
@@ -90,109 +91,114 @@
       return false;
     }
   }
-  const auto& assignment = job->chunks[job->record.chunk_of(end.task.no)].record.assigned;
+  const auto& assignment = job->chunks[job->record.chunk_of(completion.task.no)].record.assigned;
   return std::any_of(assignment.begin(), assignment.end(), [&](const auto& h) {
-    return owns(h.second.machine) && !ended.contains(TaskId{end.task.job, h.first});
+    return owns(h.second.machine) && !ended.contains(TaskId{completion.task.job, h.first});
   });
 }
 
-void Controller::record_end(RoundPlan::End end, RecordBatch& batch, RoundPlan& plan) {
-  if (batch.add_end(end.task, end.done)) plan.ends.push_back(std::move(end));
+void Controller::record_completion(RoundPlan::Completion completion, RecordBatch& batch,
+                                   RoundPlan& plan) {
+  if (batch.add_completion(completion.task, completion.done))
+    plan.completions.push_back(std::move(completion));
 }
 
 // Records that were written when the store took larger values may be rewritten only once enough of their
 // tasks have ended, and then with all these ends at once. Drops the ends that have to wait for more;
 // returns those that go together.
-std::set<TaskId> Controller::settle_large_records(std::vector<RoundPlan::End>& ends,
+std::set<TaskId> Controller::settle_large_records(std::vector<RoundPlan::Completion>& completions,
                                                   const RecordBatch& batch) const {
   struct LargeRecord {
     const Job* job = nullptr;
-    std::vector<RecordBatch::TaskEnd> ends;
+    std::vector<RecordBatch::TaskCompletion> completions;
     bool fits = false;
   };
   std::map<std::pair<JobId, std::uint32_t>, LargeRecord> large;
-  for (const RoundPlan::End& end : ends) {
-    const Job* job = cache_.job(end.task.job);
+  for (const RoundPlan::Completion& completion : completions) {
+    const Job* job = cache_.job(completion.task.job);
     if (!job) continue;
-    const std::uint32_t chunk = job->record.chunk_of(end.task.no);
+    const std::uint32_t chunk = job->record.chunk_of(completion.task.no);
     const auto& record = job->chunks[chunk].record;
     if (protocol::encoded_size_bound(record) <= settings_.value_bytes) continue;
-    LargeRecord& l = large[{end.task.job, chunk}];
+    LargeRecord& l = large[{completion.task.job, chunk}];
     l.job = job;
-    l.ends.push_back({end.task.no, end.done});
+    l.completions.push_back({completion.task.no, completion.done});
   }
   std::set<TaskId> together;
   if (large.empty()) return together;
   for (auto& [id, l] : large) {
-    l.fits = batch.fits_with_ends(*l.job, id.second, l.ends);
-    for (const auto& end : l.ends) {
-      if (l.fits) together.insert({id.first, end.no});
+    l.fits = batch.fits_with_completions(*l.job, id.second, l.completions);
+    for (const auto& completion : l.completions) {
+      if (l.fits) together.insert({id.first, completion.no});
     }
   }
-  std::erase_if(ends, [&](const RoundPlan::End& end) {
-    const Job* job = cache_.job(end.task.job);
+  std::erase_if(completions, [&](const RoundPlan::Completion& completion) {
+    const Job* job = cache_.job(completion.task.job);
     if (!job) return false;
-    const auto at = large.find({end.task.job, job->record.chunk_of(end.task.no)});
+    const auto at = large.find({completion.task.job, job->record.chunk_of(completion.task.no)});
     return at != large.end() && !at->second.fits;
   });
   return together;
 }
 
-std::vector<RoundPlan::End> Controller::record_ends(std::vector<RoundPlan::End> ends, Pace pace,
-                                                    Time now, RecordBatch& batch, RoundPlan& plan) {
+std::vector<RoundPlan::Completion> Controller::record_completions(
+    std::vector<RoundPlan::Completion> completions, Pace pace, Time now, RecordBatch& batch,
+    RoundPlan& plan) {
   std::set<TaskId> ended;
-  for (const RoundPlan::End& end : ends) ended.insert(end.task);
-  std::erase_if(end_seen_, [&](const auto& e) { return !ended.contains(e.first); });
-  const std::set<TaskId> together = settle_large_records(ends, batch);
+  for (const RoundPlan::Completion& completion : completions) ended.insert(completion.task);
+  std::erase_if(completion_seen_at_, [&](const auto& e) { return !ended.contains(e.first); });
+  const std::set<TaskId> together = settle_large_records(completions, batch);
   // After a crash there may be more ends than one record holds: the urgent work's come first.
-  std::map<int, std::vector<RoundPlan::End>> due;  // by tier
-  std::vector<RoundPlan::End> later;
-  for (RoundPlan::End& end : ends) {
-    const Job* job = cache_.job(end.task.job);
+  std::map<int, std::vector<RoundPlan::Completion>> due;  // by tier
+  std::vector<RoundPlan::Completion> deferred;
+  for (RoundPlan::Completion& completion : completions) {
+    const Job* job = cache_.job(completion.task.job);
     const bool urgent = job && priorities_.is_urgent(*job);
-    const bool waits = can_wait(end, ended, now) && !together.contains(end.task);
+    const bool waits = can_defer(completion, ended, now) && !together.contains(completion.task);
     if (waits || (pace == Pace::kUrgent && !urgent)) {
-      later.push_back(std::move(end));
+      deferred.push_back(std::move(completion));
     } else {
-      due[job ? priorities_.tier(*job) : kLastTier].push_back(std::move(end));
+      due[job ? priorities_.tier(*job) : kLastTier].push_back(std::move(completion));
     }
   }
   for (auto& [tier, of_tier] : due) {
-    for (RoundPlan::End& end : of_tier) record_end(std::move(end), batch, plan);
+    for (RoundPlan::Completion& completion : of_tier)
+      record_completion(std::move(completion), batch, plan);
   }
-  return later;
+  return deferred;
 }
 
 // Ends that can wait go along with what is written anyway, or while writes are plentiful: the ones
 // seen first go first.
-void Controller::record_late_ends(std::vector<RoundPlan::End> ends, Pace pace, Time now,
-                                  RecordBatch& batch, RoundPlan& plan) {
-  const auto seen = [&](const RoundPlan::End& end) {
-    const auto at = end_seen_.find(end.task);
-    return at == end_seen_.end() ? now : at->second;
+void Controller::record_deferred_completions(std::vector<RoundPlan::Completion> completions,
+                                             Pace pace, Time now, RecordBatch& batch,
+                                             RoundPlan& plan) {
+  const auto seen = [&](const RoundPlan::Completion& completion) {
+    const auto at = completion_seen_at_.find(completion.task);
+    return at == completion_seen_at_.end() ? now : at->second;
   };
-  std::stable_sort(ends.begin(), ends.end(),
+  std::stable_sort(completions.begin(), completions.end(),
                    [&](const auto& a, const auto& b) { return seen(a) < seen(b); });
-  for (RoundPlan::End& end : ends) {
-    const Job* job = cache_.job(end.task.job);
-    if (job && (pace == Pace::kSpare || batch.writes_record_of(*job, end.task.no)))
-      record_end(std::move(end), batch, plan);
+  for (RoundPlan::Completion& completion : completions) {
+    const Job* job = cache_.job(completion.task.job);
+    if (job && (pace == Pace::kSpare || batch.writes_record_of(*job, completion.task.no)))
+      record_completion(std::move(completion), batch, plan);
   }
 }
 
-Seconds Controller::run_before_end(const RoundPlan::End& end) const {
-  const auto at = machines_.find(end.machine);
+Seconds Controller::run_before_end(const RoundPlan::Completion& completion) const {
+  const auto at = machines_.find(completion.machine);
   if (at == machines_.end()) return Seconds(0);
-  const auto ran = at->second.ran_before.find(end.task);
+  const auto ran = at->second.ran_before.find(completion.task);
   return ran == at->second.ran_before.end() ? Seconds(0) : ran->second;
 }
 
-void Controller::learn_run_time(const RoundPlan::End& end) {
-  const auto at = machines_.find(end.machine);
-  const Job* job = cache_.job(end.task.job);
+void Controller::learn_run_time(const RoundPlan::Completion& completion) {
+  const auto at = machines_.find(completion.machine);
+  const Job* job = cache_.job(completion.task.job);
   if (at == machines_.end() || !job) return;
-  priorities_.learn_run_time(job->record.spec, run_before_end(end));
-  at->second.ran_before.erase(end.task);
+  priorities_.learn_run_time(job->record.spec, run_before_end(completion));
+  at->second.ran_before.erase(completion.task);
 }
 
 }  // namespace saddleslip::coordination
--- a/src/coordination/record_batch.cpp
+++ b/src/coordination/record_batch.cpp
@@ -65,7 +65,7 @@
   return &edits_.emplace(id, Edit{&job, job.chunks[chunk].record, false}).first->second;
 }
 
-bool RecordBatch::add_end(const TaskId& task, bool done) {
+bool RecordBatch::add_completion(const TaskId& task, bool done) {
   const Job* job = cache_.job(task.job);
   Edit* e = job ? edit(*job, task.no) : nullptr;
   if (!e) return false;
@@ -111,10 +111,10 @@
          settings_.value_bytes;
 }
 
-bool RecordBatch::fits_with_ends(const Job& job, std::uint32_t chunk,
-                                 const std::vector<TaskEnd>& ends) const {
+bool RecordBatch::fits_with_completions(const Job& job, std::uint32_t chunk,
+                                        const std::vector<TaskCompletion>& completions) const {
   protocol::ChunkRecord record = job.chunks[chunk].record;
-  for (const TaskEnd& end : ends) {
+  for (const TaskCompletion& end : completions) {
     record.assigned.erase(end.no);
     if (end.done) record.done[place_in_record(job, end.no)] = true;
   }
--- a/src/coordination/record_batch.h
+++ b/src/coordination/record_batch.h
@@ -23,17 +23,17 @@
   // Does the batch write the record of this task already?
   bool writes_record_of(const bookkeeping::Job& job, base::TaskNo no) const;
 
-  struct TaskEnd {
+  struct TaskCompletion {
     base::TaskNo no = 0;
     bool done = false;
   };
   // Would the record of these tasks fit into a value of the store, once these ends are put on it? One that
   // was written under a larger limit may have to wait for more ends.
-  bool fits_with_ends(const bookkeeping::Job& job, std::uint32_t chunk,
-                      const std::vector<TaskEnd>& ends) const;
+  bool fits_with_completions(const bookkeeping::Job& job, std::uint32_t chunk,
+                             const std::vector<TaskCompletion>& completions) const;
 
   // A task is over, completed or to be started again. False: the transaction has no room for it.
-  bool add_end(const base::TaskId& task, bool done);
+  bool add_completion(const base::TaskId& task, bool done);
   // A task starts. None: the transaction has no room for it; else the attempt's number.
   std::optional<base::Attempt> add_start(const base::TaskId& task, protocol::Assignment assignment);
 
--- a/src/coordination/rounds.cpp
+++ b/src/coordination/rounds.cpp
@@ -122,13 +122,14 @@
   priorities_.update(now);
 
   RecordBatch batch(settings_, cache_);
-  std::vector<RoundPlan::End> ends;
-  collect_ends(now, ends);
-  std::vector<RoundPlan::End> later = record_ends(std::move(ends), pace, now, batch, plan);
+  std::vector<RoundPlan::Completion> completions;
+  collect_completions(now, completions);
+  std::vector<RoundPlan::Completion> later =
+      record_completions(std::move(completions), pace, now, batch, plan);
   std::vector<WaitingJob> waiting = waiting_jobs(pace, now, batch);
   place(waiting, now, plan);
   record_starts(batch, plan);
-  record_late_ends(std::move(later), pace, now, batch, plan);
+  record_deferred_completions(std::move(later), pace, now, batch, plan);
   make_room(waiting, plan, now);
   plan.more = batch.turned_away();
   if (!batch.empty()) plan.txn = batch.build(self_, installed_view_, priorities_.time_of_day(now));
@@ -334,13 +335,13 @@
 
 std::vector<Order> Controller::committed(const RoundPlan& plan, Version version, Time now) {
   std::vector<Order> orders;
-  for (const RoundPlan::End& end : plan.ends) {
+  for (const RoundPlan::Completion& end : plan.completions) {
     if (end.done) learn_run_time(end);  // a job that is over leaves with the record of its last end
   }
   cache_.apply(plan.txn, base::Revision(version.get()), now);
-  for (const RoundPlan::End& end : plan.ends) {
+  for (const RoundPlan::Completion& end : plan.completions) {
     absent_.erase(end.task);
-    end_seen_.erase(end.task);
+    completion_seen_at_.erase(end.task);
     spdlog::debug("{}/{} on {} is over: {}", end.task.job.get(), end.task.no, end.machine.get(),
                   end.why);
     if (end.done) {
