--- a/bench/versions/records_tool.cpp
+++ b/bench/versions/records_tool.cpp
@@ -112,7 +112,7 @@
   status.from = incarnation;
   status.has_state = true;
   status.upto = 3;
-  protocol::MachineRoom room;
+  protocol::MachineStatus room;
   room.id = base::MachineId("i-000231");
   room.type = "g8";
   room.zone = "a";
--- a/src/bookkeeping/machines.h
+++ b/src/bookkeeping/machines.h
@@ -23,7 +23,7 @@
 inline constexpr double kOverdue = 1.5;
 
 // What follows from a machine's report and the record, worked out once while neither changes.
-struct Outlook {
+struct MachineCapacity {
   bool known = false;
   std::uint64_t stamp = 0;     // of the record
   std::uint64_t checked = 0;   // the last stamp of any machine when this one's was looked at
@@ -32,9 +32,9 @@
   Sequence sequence;
   std::size_t evicted = 0;
   Resources free;
-  Resources lower;      // taken by tasks that more urgent work may stop
-  bool active = false;  // it reports something that is not over
-  bool stops = false;   // something on it is to be stopped
+  Resources preemptible;  // taken by tasks that more urgent work may stop
+  bool active = false;    // it reports something that is not over
+  bool stops = false;     // something on it is to be stopped
   struct EndedAttempt {
     TaskId task;
     const char* why;
@@ -45,7 +45,7 @@
 
 struct Machine {
   Heartbeat last_heartbeat;
-  mutable Outlook outlook;
+  mutable MachineCapacity capacity;
   Time last_heartbeat_at{};  // when the newest report came
   Time
       last_answered_at{};  // when a report was last answered with 200 by anyone who may have done so
@@ -74,9 +74,9 @@
   std::map<TaskId, Seconds> ran_before;  // how long those ran that are over and not yet on record
   std::map<TaskId, Time> ran;            // when a task was first seen running
   // As other members are told of it, and which telling brought the last change.
-  protocol::MachineRoom room;
-  std::uint64_t room_changed = 0;
-  std::pair<AgentIncarnation, Sequence> room_report;  // the report that its images are of
+  protocol::MachineStatus status;
+  std::uint64_t status_changed_at = 0;
+  std::pair<AgentIncarnation, Sequence> status_heartbeat;  // the report that its images are of
 
   bool has_image(const std::string& image) const {
     return std::any_of(images.begin(), images.end(),
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -453,7 +453,7 @@
 
 std::vector<Command> Controller::reconcile(const Machine& m) const {
   std::vector<Command> out;
-  if (look(m).stops) out = stops_for(m);
+  if (capacity(m).stops) out = stops_for(m);
   const auto& assignment = cache_.assignments_on(m.last_heartbeat.machine);
   if (m.is_fenced()) {
     for (const auto& [task, attempts] : m.last_heartbeat.tasks) {
@@ -540,8 +540,8 @@
   return base::between(m.last_heartbeat_at, now) < settings_.heartbeat_interval * 2.5;
 }
 
-const bookkeeping::Outlook& Controller::look(const Machine& m) const {
-  bookkeeping::Outlook& o = m.outlook;
+const bookkeeping::MachineCapacity& Controller::capacity(const Machine& m) const {
+  bookkeeping::MachineCapacity& o = m.capacity;
   const bool same = o.known && o.agent_incarnation == m.last_heartbeat.agent_incarnation &&
                     o.sequence == m.last_heartbeat.sequence && o.evicted == m.evict.size();
   if (same && o.checked == cache_.last_stamp()) return o;
@@ -579,7 +579,7 @@
       }
       o.free -= spec.need;
       if (priorities_.rank(*job) >= protocol::Rank::kStandard && !m.evict.contains(task))
-        o.lower += spec.need;
+        o.preemptible += spec.need;
     }
   }
   bool strange = false;
@@ -602,27 +602,27 @@
 
 // What is told of a machine is made anew only when something it is made of has changed: at hundreds
 // of machines, copying all of it in each round and for each sibling took most of the processor.
-void Controller::update_room(Machine& m, Time now) {
-  const bookkeeping::Outlook& o = look(m);
-  MachineRoom& r = m.room;
+void Controller::update_status(Machine& m, Time now) {
+  const bookkeeping::MachineCapacity& o = capacity(m);
+  MachineStatus& r = m.status;
   const bool silent = !is_schedulable(m, now);
   const bool soon = !m.closed && !m.is_confirmed() && !m.deaf() && has_recent_heartbeat(m, now);
   const bool unsure = m.lost_answers > 0 && base::between(m.last_heartbeat_at, now) < kDeafRound;
   const bool open = !m.closed && !silent;
   const Time idle = o.assigned > 0 ? Time{} : m.idle_since;
   const std::pair heartbeat(m.last_heartbeat.agent_incarnation, m.last_heartbeat.sequence);
-  const bool is_new = m.room_changed == 0;
+  const bool is_new = m.status_changed_at == 0;
   // A report later than any that is well: no reason yet to leave the machine alone, but with its
   // knocks elsewhere a sign that it can't reach this node.
   const bool late = base::between(m.last_heartbeat_at, now) >
                     settings_.heartbeat_interval * bookkeeping::kOverdue;
   if (!is_new && r.silent == silent && r.late == late && r.soon == soon && r.unsure == unsure &&
       r.open == open && r.idle_since == idle && r.tasks == o.assigned && r.free == o.free &&
-      r.lower == o.lower &&
-      (m.room_report == heartbeat ||
+      r.preemptible == o.preemptible &&
+      (m.status_heartbeat == heartbeat ||
        std::equal(r.images.begin(), r.images.end(), m.images.begin(), m.images.end(),
                   [](const std::string& a, const auto& b) { return a == b.first; }))) {
-    m.room_report = heartbeat;
+    m.status_heartbeat = heartbeat;
     return;
   }
   if (is_new) {
@@ -637,15 +637,15 @@
   r.unsure = unsure;
   r.open = open;
   r.free = o.free;
-  r.lower = o.lower;
+  r.preemptible = o.preemptible;
   r.tasks = o.assigned;
   r.idle_since = idle;
-  if (is_new || m.room_report != heartbeat) {
+  if (is_new || m.status_heartbeat != heartbeat) {
     r.images.clear();
     for (const auto& [image, gb] : m.images) r.images.push_back(image);
-    m.room_report = heartbeat;
+    m.status_heartbeat = heartbeat;
   }
-  m.room_changed = ++status_revision_;
+  m.status_changed_at = ++status_revision_;
 }
 
 std::string Controller::zone_of(const MachineId& machine) const {
@@ -672,8 +672,8 @@
   s.has_state = has_lease(now);
   s.since = acknowledged_revisions_[to];
   for (auto& [id, m] : machines_) {
-    update_room(m, now);
-    if (m.room_changed > s.since) s.machines.push_back(m.room);
+    update_status(m, now);
+    if (m.status_changed_at > s.since) s.machines.push_back(m.status);
   }
   for (const auto& [id, at] : left_) {
     if (at > s.since && s.since > 0) s.left.push_back(id);
@@ -706,7 +706,7 @@
     return out;
   }
   Sibling& s = siblings_[status.from.member];
-  if (status.since == 0) s.rooms.clear();
+  if (status.since == 0) s.machines.clear();
   s.from = status.from;
   s.has_state = status.has_state;
   s.upto = status.upto;
@@ -716,10 +716,10 @@
   s.contact = status.contact;
   s.suspects = {status.suspects.begin(), status.suspects.end()};
   s.last_heartbeat_at = now;
-  for (const MachineId& id : status.left) s.rooms.erase(id);
-  for (const MachineRoom& m : status.machines) {
+  for (const MachineId& id : status.left) s.machines.erase(id);
+  for (const MachineStatus& m : status.machines) {
     if (!gone_.contains(m.id)) zones_[m.id] = m.zone;
-    s.rooms[m.id] = m;
+    s.machines[m.id] = m;
   }
   for (const MachineId& id : status.give_back) {
     if (gone_.contains(id)) out.gone.push_back(id);
@@ -743,11 +743,11 @@
 
 Controller::Partitions Controller::partitions(Time now, Seconds remembered) {
   Partitions out;
-  out.emplace_back(self_.member, std::vector<const MachineRoom*>{});
+  out.emplace_back(self_.member, std::vector<const MachineStatus*>{});
   out.back().second.reserve(machines_.size());
   for (auto& [id, m] : machines_) {
-    update_room(m, now);
-    out.back().second.push_back(&m.room);
+    update_status(m, now);
+    out.back().second.push_back(&m.status);
   }
   if (!cache_.view()) return out;
   for (const ControllerIncarnation& member : cache_.view()->members) {
@@ -756,9 +756,9 @@
         base::between(s->second.last_heartbeat_at, now) > remembered) {
       continue;
     }
-    out.emplace_back(member.member, std::vector<const MachineRoom*>{});
-    out.back().second.reserve(s->second.rooms.size());
-    for (const auto& [id, room] : s->second.rooms) out.back().second.push_back(&room);
+    out.emplace_back(member.member, std::vector<const MachineStatus*>{});
+    out.back().second.reserve(s->second.machines.size());
+    for (const auto& [id, room] : s->second.machines) out.back().second.push_back(&room);
   }
   return out;
 }
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -195,13 +195,13 @@
     ControllerIncarnation from;
     bool has_state = false;
     std::uint64_t upto = 0;
-    std::map<MachineId, MachineRoom> rooms;
+    std::map<MachineId, MachineStatus> machines;
     std::vector<MachineId> give_back, knocked, claims;
     std::set<JobId> suspects;
     protocol::WorkerContact contact = protocol::WorkerContact::kUnknown;
     Time last_heartbeat_at{};
   };
-  using Partitions = std::vector<std::pair<MemberId, std::vector<const MachineRoom*>>>;
+  using Partitions = std::vector<std::pair<MemberId, std::vector<const MachineStatus*>>>;
   struct PoolEntry {
     JobId job;
     std::vector<std::pair<TaskNo, TaskNo>> ranges;
@@ -220,9 +220,9 @@
   void record_heartbeat(const Heartbeat& heartbeat, Time now, bool renews_lease);
   std::vector<Command> reconcile(const Machine& m) const;
   std::vector<Command> stops_for(const Machine& m) const;
-  const bookkeeping::Outlook& look(const Machine& m) const;
+  const bookkeeping::MachineCapacity& capacity(const Machine& m) const;
   Resources being_stopped(const Machine& m) const;
-  void update_room(Machine& m, Time now);
+  void update_status(Machine& m, Time now);
   std::vector<MachineId> asked_back() const;
   std::vector<MachineId> knocked(Time now) const;
   // A machine of that owner reported here and was sent there.
--- a/src/coordination/ends.cpp
+++ b/src/coordination/ends.cpp
@@ -32,7 +32,7 @@
     const bool expired = now > base::after(last_answer, lease);
     std::set<TaskId> told;
     if (m) {
-      for (const auto& ended : look(*m).ended_attempts) {
+      for (const auto& ended : capacity(*m).ended_attempts) {
         completions.push_back({ended.task, machine, ended.why, ended.done});
         if (expired) told.insert(ended.task);
       }
--- a/src/coordination/fleet.cpp
+++ b/src/coordination/fleet.cpp
@@ -63,7 +63,7 @@
   // A machine that there is, that boots, or that is to be rented. Its bin has the same index.
   struct Site {
     MachineKind kind;
-    const MachineRoom* machine = nullptr;
+    const MachineStatus* machine = nullptr;
     bool used = false;
   };
   struct Choice {
@@ -114,7 +114,7 @@
       scale_.v[i] = std::max(scale_.v[i], t.size.v[i]);
     }
   }
-  for (const MachineRoom* m : in_.machines) {
+  for (const MachineStatus* m : in_.machines) {
     if (!m->open && !m->soon) continue;
     sites_.push_back({{m->type, m->zone, m->spot}, m, false});
     bins_.push_back({m->free});
@@ -129,7 +129,7 @@
 }
 
 void FleetPlanner::count_silent() {
-  for (const MachineRoom* m : in_.machines) {
+  for (const MachineStatus* m : in_.machines) {
     ZoneHealth& zone = health_[m->zone];
     ++zone.all;
     if (m->silent) ++zone.silent;
@@ -243,7 +243,7 @@
   };
   std::vector<Candidate> candidates;
   for (std::size_t b = 0; b < sites_.size(); ++b) {
-    const MachineRoom* m = sites_[b].machine;
+    const MachineStatus* m = sites_[b].machine;
     const MachineType* type = m ? type_of(m->type) : nullptr;
     if (!type || m->spot || m->tasks == 0 || !m->open) continue;
     const auto movable = in_.movable.find(m->id);
@@ -271,7 +271,7 @@
                            std::vector<std::size_t>& to) {
   const auto& services = in_.movable.at(sites_[site].machine->id);
   const auto takes = [&](std::size_t o, const protocol::JobSpec& spec) {
-    const MachineRoom* other = sites_[o].machine;
+    const MachineStatus* other = sites_[o].machine;
     return o != site && other && other->open && other->tasks > 0 && !leaving.contains(o) &&
            bins_[o].free.fits(spec.need) && may_run(spec, other->type, other->zone, other->spot) &&
            other->has_image(spec.image);
--- a/src/coordination/fleet.h
+++ b/src/coordination/fleet.h
@@ -15,7 +15,7 @@
 using base::Seconds;
 using base::Time;
 using protocol::CloudMachine;
-using protocol::MachineRoom;
+using protocol::MachineStatus;
 using protocol::MachineType;
 using protocol::Resources;
 
@@ -37,8 +37,8 @@
 
 struct FleetInput {
   std::vector<Demand> demand;
-  std::vector<const MachineRoom*> machines;  // all that report to any controller
-  std::vector<protocol::Booting> booting;    // rented, not heard of yet
+  std::vector<const MachineStatus*> machines;  // all that report to any controller
+  std::vector<protocol::Booting> booting;      // rented, not heard of yet
   const std::vector<MachineType>* catalogue = nullptr;
   std::map<MachineKind, Time> refused;  // the cloud had none; not asked again before this
   // Services on each machine that runs nothing else but arrays, which end by themselves.
--- a/src/coordination/fleet_control.cpp
+++ b/src/coordination/fleet_control.cpp
@@ -129,7 +129,7 @@
   }
   // ... unless its owner hears it too, and is not heard: then it goes from node to node.
   for (const auto& [member, rooms] : known) {
-    for (const MachineRoom* r : rooms) {
+    for (const MachineStatus* r : rooms) {
       if (r->unsure) well.erase(r->id);
     }
   }
@@ -157,7 +157,7 @@
 void Controller::drop_booted(FleetInput& in, Time now, double wall_now,
                              std::vector<MachineId>& release) {
   std::set<MachineId> heard;
-  for (const MachineRoom* m : in.machines) heard.insert(m->id);
+  for (const MachineStatus* m : in.machines) heard.insert(m->id);
   std::erase_if(booting_, [&](const protocol::Booting& b) {
     const MachineKind kind{b.type, b.zone, b.spot};
     const Seconds age(wall_now - b.rented);
@@ -280,7 +280,7 @@
 void Controller::pass_on(const FleetPlan& plan, const Partitions& known, Time now) {
   std::map<MachineId, MemberId> partition;
   for (const auto& [member, rooms] : known) {
-    for (const MachineRoom* r : rooms) partition[r->id] = member;
+    for (const MachineStatus* r : rooms) partition[r->id] = member;
   }
   for (const MachineId& id : plan.drain) {
     drained_at_ = now;
@@ -331,7 +331,7 @@
   if (!is_leader(now)) return;
   std::set<MachineId> heard, listed;
   for (const auto& [member, rooms] : partitions(now, kRoomRemembered)) {
-    for (const MachineRoom* r : rooms) heard.insert(r->id);
+    for (const MachineStatus* r : rooms) heard.insert(r->id);
   }
   for (const auto& b : booting_) heard.insert(b.id);
   for (const auto& c : machines) {
--- a/src/coordination/handover.cpp
+++ b/src/coordination/handover.cpp
@@ -56,7 +56,7 @@
     if (s != siblings_.end() && s->second.from == *of &&
         base::between(s->second.last_heartbeat_at, now) < kStatusRecent) {
       // The owner itself says whether it hears the machine.
-      const auto& rooms = s->second.rooms;
+      const auto& rooms = s->second.machines;
       const auto room = rooms.find(id);
       // It came back once more: its way to the owner is barred, and it has not just ended.
       lost = b.times >= 2 && base::between(b.first, now) > kKnocked &&
@@ -159,14 +159,14 @@
       if (is_overdue(m, now)) out.push_back(id);
     }
   } else {
-    for (const auto& [id, room] : siblings_.at(member.member).rooms) {
+    for (const auto& [id, room] : siblings_.at(member.member).machines) {
       if (room.late) out.push_back(id);
     }
   }
   for (const auto& [id, tasks] : cache_.assigned()) {
     const ControllerIncarnation* of = owner(id);
-    const bool reports =
-        member == self_ ? machines_.contains(id) : siblings_.at(member.member).rooms.contains(id);
+    const bool reports = member == self_ ? machines_.contains(id)
+                                         : siblings_.at(member.member).machines.contains(id);
     if (of && *of == member && !reports) out.push_back(id);
   }
   return out;
--- a/src/coordination/preemption.cpp
+++ b/src/coordination/preemption.cpp
@@ -83,14 +83,14 @@
 std::optional<Controller::Sacrifice> Controller::sacrifice_on(const Preemption& p, const Machine& m,
                                                               Time now) const {
   const auto& spec = p.job->record.spec;
-  Resources room = look(m).free;
+  Resources room = capacity(m).free;
   room += being_stopped(m);
   if (const auto taken = p.taken.find(m.last_heartbeat.machine); taken != p.taken.end())
     room -= taken->second;
   // What a guarantee may take is more than what is of lower rank.
   if (!priorities_.is_guaranteed(*p.job)) {
     Resources most = room;
-    most += look(m).lower;
+    most += capacity(m).preemptible;
     if (!most.fits(spec.need)) return {};
   }
   Sacrifice out;
--- a/src/coordination/rounds.cpp
+++ b/src/coordination/rounds.cpp
@@ -38,7 +38,7 @@
       continue;
     }
     // What it will have once the tasks that end by themselves have ended.
-    Resources later = look(m).free;
+    Resources later = capacity(m).free;
     for (const auto& [task, assignment] : cache_.assignments_on(id)) {
       const Job* other = cache_.job(task.job);
       if (other && other->record.spec.kind != Kind::kService &&
@@ -47,7 +47,7 @@
       }
     }
     if (!later.fits(spec.need)) continue;
-    if (!best || look(m).free.cores() > look(*best).free.cores()) best = &m;
+    if (!best || capacity(m).free.cores() > capacity(*best).free.cores()) best = &m;
   }
   if (!best) return;
   spdlog::info("machine {} is kept free until {} fits", best->last_heartbeat.machine.get(),
@@ -89,8 +89,8 @@
         !may_run(spec, m.last_heartbeat.type, m.last_heartbeat.zone, m.last_heartbeat.spot)) {
       continue;
     }
-    Resources room = look(m).free;
-    room += look(m).lower;
+    Resources room = capacity(m).free;
+    room += capacity(m).preemptible;
     room += being_stopped(m);
     if (room.fits(spec.need)) return true;
   }
@@ -184,7 +184,7 @@
       open.scale.v[i] = std::max(open.scale.v[i], type->size.v[i]);
     }
     if (m.closed || !is_schedulable(m, now)) continue;
-    open.bins.push_back({look(m).free});
+    open.bins.push_back({capacity(m).free});
     open.machines.push_back(&m);
   }
   return open;
@@ -387,7 +387,7 @@
   std::erase_if(stop_sent_,
                 [&](const auto& s) { return base::between(s.second, now) > kStopRepeat; });
   for (const auto& [id, m] : machines_) {
-    if (!look(m).stops || m.order_lost || !is_schedulable(m, now)) continue;
+    if (!capacity(m).stops || m.order_lost || !is_schedulable(m, now)) continue;
     Order o{id, m.last_heartbeat.address, m.fencing_token, m.last_heartbeat.agent_incarnation, {}};
     for (const Command& c : stops_for(m)) {
       if (stop_sent_.try_emplace({c.task, c.attempt.get()}, now).second) {
--- a/src/coordination/routing.cpp
+++ b/src/coordination/routing.cpp
@@ -26,8 +26,8 @@
 
 // A machine of a part, less what was offered to it here.
 struct Place {
-  const MachineRoom* machine;
-  Resources free, lower;
+  const MachineStatus* machine;
+  Resources free, preemptible;
 };
 
 // What a part could do for one job.
@@ -49,7 +49,7 @@
                   bool may_displace) const {
     Chances c;
     for (const Place& p : places) {
-      const MachineRoom& m = *p.machine;
+      const MachineStatus& m = *p.machine;
       const bool fits_now = p.free.fits(spec.need);
       if ((!fits_now && !may_displace) || !may_run(spec, m.type, m.zone, m.spot)) continue;
       double fits = 1e9;
@@ -67,7 +67,7 @@
       }
       if (may_displace && (!c.displaces || (has && !c.displaces_has))) {
         Resources r = p.free;
-        r += p.lower;
+        r += p.preemptible;
         if (r.fits(spec.need)) {
           c.displaces = true;
           c.displaces_has = c.displaces_has || has;
@@ -80,7 +80,7 @@
   void take(const protocol::JobSpec& spec, std::size_t n) {
     for (Place& p : places) {
       if (n == 0) return;
-      const MachineRoom& m = *p.machine;
+      const MachineStatus& m = *p.machine;
       if (!p.free.fits(spec.need) || !may_run(spec, m.type, m.zone, m.spot)) continue;
       while (n > 0 && p.free.fits(spec.need)) {
         p.free -= spec.need;
@@ -92,11 +92,11 @@
 
   void displace(const protocol::JobSpec& spec) {
     for (Place& p : places) {
-      const MachineRoom& m = *p.machine;
+      const MachineStatus& m = *p.machine;
       Resources r = p.free;
-      r += p.lower;
+      r += p.preemptible;
       if (!r.fits(spec.need) || !may_run(spec, m.type, m.zone, m.spot)) continue;
-      p.lower -= spec.need;
+      p.preemptible -= spec.need;
       return;
     }
   }
@@ -217,13 +217,13 @@
   std::vector<Partition> all;
   for (const auto& [member, machines] : partitions(now, kRoomFresh)) {
     Partition partition{member, {}, 0};
-    for (const MachineRoom* m : machines) {
+    for (const MachineStatus* m : machines) {
       if (!m->open) continue;
       partition.free_cores += m->free.cores();
       Resources with_lower = m->free;
-      with_lower += m->lower;
+      with_lower += m->preemptible;
       if (m->free.fits(*least) || (least_displacing && with_lower.fits(*least_displacing))) {
-        partition.places.push_back({m, m->free, m->lower});
+        partition.places.push_back({m, m->free, m->preemptible});
       }
     }
     all.push_back(std::move(partition));
--- a/src/coordination/upkeep.cpp
+++ b/src/coordination/upkeep.cpp
@@ -92,7 +92,7 @@
     // The leader's view of room is a second old: look again, or the service would wait for an
     // image, or for room.
     const auto& spec = job->record.spec;
-    const auto takes = [&](const MachineRoom* r) {
+    const auto takes = [&](const MachineStatus* r) {
       return r->open && r->id != id && r->tasks > 0 && r->free.fits(spec.need) &&
              may_run(spec, r->type, r->zone, r->spot) && r->has_image(spec.image);
     };
@@ -120,7 +120,7 @@
   std::size_t owned = machines_.size(), late = 0;
   std::optional<Partitions> known;
   for (auto& [id, m] : machines_) {
-    m.give_back = m.closed && cache_.assignments_on(id).empty() && !look(m).active;
+    m.give_back = m.closed && cache_.assignments_on(id).empty() && !capacity(m).active;
     if (m.draining && is_schedulable(m, now)) {
       if (!known) known = partitions(now, kRoomToMove);
       move_service_away(m, *known, now);
--- a/src/protocol/records.cpp
+++ b/src/protocol/records.cpp
@@ -383,10 +383,10 @@
 
 Json to_json(const MemberStatus& s, Time now) {
   Json machines = Json::array();
-  for (const MachineRoom& m : s.machines) {
-    machines.push_back({m.id.get(), m.type, m.zone, m.spot, m.open, m.free.v, m.lower.v, m.tasks,
-                        m.tasks > 0 ? 0.0 : base::between(m.idle_since, now).count(), m.images,
-                        m.silent, m.unsure, m.soon, m.late});
+  for (const MachineStatus& m : s.machines) {
+    machines.push_back({m.id.get(), m.type, m.zone, m.spot, m.open, m.free.v, m.preemptible.v,
+                        m.tasks, m.tasks > 0 ? 0.0 : base::between(m.idle_since, now).count(),
+                        m.images, m.silent, m.unsure, m.soon, m.late});
   }
   return Json{{"from", to_json(s.from)},
               {"state", s.has_state},
@@ -411,14 +411,14 @@
     s.since = body.at("since").get<std::uint64_t>();
     s.upto = body.at("upto").get<std::uint64_t>();
     for (const Json& m : body.at("m")) {
-      MachineRoom room;
+      MachineStatus room;
       room.id = MachineId(m.at(0).get<std::string>());
       room.type = m.at(1).get<std::string>();
       room.zone = m.at(2).get<std::string>();
       room.spot = m.at(3).get<bool>();
       room.open = m.at(4).get<bool>();
       room.free.v = m.at(5).get<std::array<double, 3>>();
-      room.lower.v = m.at(6).get<std::array<double, 3>>();
+      room.preemptible.v = m.at(6).get<std::array<double, 3>>();
       room.tasks = m.at(7).get<std::uint32_t>();
       if (room.tasks == 0) room.idle_since = base::after(now, Seconds(-m.at(8).get<double>()));
       room.images = m.at(9).get<std::vector<std::string>>();
--- a/src/protocol/records.h
+++ b/src/protocol/records.h
@@ -210,14 +210,14 @@
 // --- between controllers
 
 // A machine as its owner sees it.
-struct MachineRoom {
+struct MachineStatus {
   MachineId id;
   std::string type;
   std::string zone;
   bool spot = false;
   bool open = true;  // takes new tasks
   Resources free;
-  Resources lower;  // held by tasks of standard and idle rank, which urgent work may displace
+  Resources preemptible;  // held by tasks of standard and idle rank, which urgent work may displace
   std::uint32_t tasks = 0;
   Time idle_since{};  // when it last had a task, if it has none
   std::vector<std::string> images;
@@ -229,7 +229,7 @@
   bool has_image(const std::string& image) const {
     return std::find(images.begin(), images.end(), image) != images.end();
   }
-  bool operator==(const MachineRoom&) const = default;
+  bool operator==(const MachineStatus&) const = default;
 };
 
 // Does a member hear the machines that it owns? Unknown while it may not answer them, or has none.
@@ -242,7 +242,7 @@
   ControllerIncarnation from;
   bool has_state = false;  // its lease in the store was renewed lately
   std::uint64_t since = 0, upto = 0;
-  std::vector<MachineRoom> machines;
+  std::vector<MachineStatus> machines;
   std::vector<MachineId> left;       // no longer among its machines
   std::vector<MachineId> give_back;  // machines whose release it asks the leader for
   std::vector<MachineId> knocked;    // machines of others that lately reported here
