--- a/bench/versions/records_tool.cpp
+++ b/bench/versions/records_tool.cpp
@@ -25,7 +25,7 @@
   spec.team = "vision";
   spec.rank = protocol::Rank::kUrgent;
   spec.tasks = tasks;
-  spec.need.v = {2, 0, 6.4};
+  spec.request.v = {2, 0, 6.4};
   spec.types = {{"g8", "g16"}};
   spec.zone = "a";
   spec.spot = true;
@@ -147,7 +147,7 @@
   for (const auto& [id, job] : cache.jobs()) {
     const auto& spec = job.record.spec;
     std::cout << "job " << id.get() << " class " << spec.job_class << " tasks " << spec.tasks
-              << " memory " << spec.need.memory() << " deadline " << spec.deadline->count()
+              << " memory " << spec.request.memory() << " deadline " << spec.deadline->count()
               << " submitted " << job.record.submitted << " cancelled " << job.cancelled()
               << " done " << job.done << " held " << job.assigned << '\n';
     for (const auto& chunk : job.chunks) {
--- a/src/bookkeeping/ledger.cpp
+++ b/src/bookkeeping/ledger.cpp
@@ -105,7 +105,7 @@
       stamps_[assignment.machine] = ++last_stamp_;
     }
   }
-  team_use_[job.record.spec.team] += job.record.spec.need * static_cast<double>(sign);
+  team_use_[job.record.spec.team] += job.record.spec.request * static_cast<double>(sign);
 }
 
 void StateCache::remove_assignments(const Job& job) {
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -577,9 +577,9 @@
       if (!t && absent != absent_.end() && absent->second == h.attempt) {
         o.ended_attempts.push_back({task, "never started", false});
       }
-      o.free -= spec.need;
+      o.free -= spec.request;
       if (priorities_.rank(*job) >= protocol::Rank::kStandard && !m.evict.contains(task))
-        o.preemptible += spec.need;
+        o.preemptible += spec.request;
     }
   }
   bool strange = false;
@@ -591,7 +591,7 @@
       if (h != assignment.end() && h->second.attempt == t.attempt) continue;
       const Job* job = cache_.job(task.job);
       strange = strange || !job;
-      if (job) o.free -= job->record.spec.need;
+      if (job) o.free -= job->record.spec.request;
     }
   }
   for (double& x : o.free.v) x = std::max(x, 0.0);
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -341,7 +341,7 @@
   };
   struct Victim {
     TaskId task;
-    Resources need;
+    Resources request;
     Seconds lost;
   };
   struct Sacrifice {
--- a/src/coordination/fleet.cpp
+++ b/src/coordination/fleet.cpp
@@ -22,8 +22,8 @@
 double cost_per_task(const MachineType& type, bool spot, const Demand& d, std::size_t count) {
   Resources free = type.size;
   std::size_t fits = 0;
-  while (fits < count && free.fits(d.need)) {
-    free -= d.need;
+  while (fits < count && free.fits(d.request)) {
+    free -= d.request;
     ++fits;
   }
   if (fits == 0) return -1;
@@ -145,7 +145,7 @@
   groups_.reserve(in_.demand.size());
   for (const Demand& d : in_.demand) {
     Group g;
-    g.need = d.need;
+    g.request = d.request;
     g.count = d.count;
     g.tier = d.tier;
     g.allowed = [this, &d](std::size_t b) {
@@ -227,8 +227,8 @@
   Resources& free = bins_.back().free;
   for (const std::size_t g : by_tier_) {
     Group& group = groups_[g];
-    while (group.count > 0 && free.fits(group.need) && group.allowed(sites_.size() - 1)) {
-      free -= group.need;
+    while (group.count > 0 && free.fits(group.request) && group.allowed(sites_.size() - 1)) {
+      free -= group.request;
       --group.count;
     }
   }
@@ -273,18 +273,18 @@
   const auto takes = [&](std::size_t o, const protocol::JobSpec& spec) {
     const MachineStatus* other = sites_[o].machine;
     return o != site && other && other->open && other->tasks > 0 && !leaving.contains(o) &&
-           bins_[o].free.fits(spec.need) && may_run(spec, other->type, other->zone, other->spot) &&
-           other->has_image(spec.image);
+           bins_[o].free.fits(spec.request) &&
+           may_run(spec, other->type, other->zone, other->spot) && other->has_image(spec.image);
   };
   for (const protocol::JobSpec* spec : services) {
     std::size_t at = 0;
     while (at < sites_.size() && !takes(at, *spec)) ++at;
     if (at == sites_.size()) break;
-    bins_[at].free -= spec->need;
+    bins_[at].free -= spec->request;
     to.push_back(at);
   }
   if (to.size() == services.size()) return true;
-  for (std::size_t i = 0; i < to.size(); ++i) bins_[to[i]].free += services[i]->need;
+  for (std::size_t i = 0; i < to.size(); ++i) bins_[to[i]].free += services[i]->request;
   return false;
 }
 
--- a/src/coordination/fleet.h
+++ b/src/coordination/fleet.h
@@ -28,7 +28,7 @@
 
 // Tasks that wait, or are expected, and are alike.
 struct Demand {
-  Resources need;
+  Resources request;
   std::size_t count = 0;
   int tier = 0;
   const protocol::JobSpec* spec = nullptr;  // where it may run
--- a/src/coordination/fleet_control.cpp
+++ b/src/coordination/fleet_control.cpp
@@ -66,7 +66,7 @@
   for (const auto& [by, job] : jobs) {
     const auto& spec = job->record.spec;
     const double each = priorities_.run_time(spec).count() * 1.2,
-                 cores = std::max(0.01, spec.need.cores());
+                 cores = std::max(0.01, spec.request.cores());
     const double left = by - priorities_.time_of_day(now) - boot * 1.5;
     // Whole runs, one after the other.
     const double waves = std::clamp(std::floor(left / (each * 1.3)), 1.0, 3.0);
@@ -77,7 +77,7 @@
   double more = std::max(0.0, needed - running);
   std::map<JobId, std::size_t> share;
   for (const auto& [by, job] : jobs) {
-    const double cores = std::max(0.01, job->record.spec.need.cores());
+    const double cores = std::max(0.01, job->record.spec.request.cores());
     const double n = std::min(static_cast<double>(job->pending()), std::ceil(more / cores));
     share[job->record.spec.id] = static_cast<std::size_t>(n);
     more = std::max(0.0, more - n * cores);
@@ -208,11 +208,11 @@
     room->second -= cache_.team_use(spec.team);
   }
   std::size_t n = waiting;
-  if (team.cores_max > 0 && spec.need.cores() > 0) {
-    const double fit = room->second.cores() / spec.need.cores() + 1e-9;
+  if (team.cores_max > 0 && spec.request.cores() > 0) {
+    const double fit = room->second.cores() / spec.request.cores() + 1e-9;
     n = std::min(n, static_cast<std::size_t>(std::max(0.0, fit)));
   }
-  room->second -= spec.need * static_cast<double>(n);
+  room->second -= spec.request * static_cast<double>(n);
   return n;
 }
 
@@ -227,7 +227,7 @@
     if (n > 0 && spec.kind == protocol::Kind::kArray && spec.deadline) n = std::min(n, share[id]);
     if (n == 0) continue;
     Demand d;
-    d.need = spec.need;
+    d.request = spec.request;
     d.count = n;
     d.tier = priorities_.tier(job);
     d.spec = &spec;
@@ -255,7 +255,7 @@
       if (base::between(leader_since_, at) > kCountStarts) tasks += n;
     }
     Demand d;
-    d.need = a.spec.need;
+    d.request = a.spec.request;
     d.count = static_cast<std::size_t>(
         std::ceil(tasks / span * soonest_boot() * kBootMargin * settings_.tuning.headroom));
     d.tier = kExpectedTier;
--- a/src/coordination/intake.cpp
+++ b/src/coordination/intake.cpp
@@ -23,7 +23,7 @@
   const auto team = settings.teams.find(spec.team);
   if (team == settings.teams.end()) return "unknown team " + spec.team;
   const bool fits = std::any_of(catalogue.begin(), catalogue.end(), [&](const auto& t) {
-    if (!t.size.fits(spec.need)) return false;
+    if (!t.size.fits(spec.request)) return false;
     if (spec.types &&
         std::find(spec.types->begin(), spec.types->end(), t.name) == spec.types->end()) {
       return false;
@@ -33,8 +33,8 @@
   if (!fits) return std::string("a task fits no machine type that the job allows");
   const double n = spec.kind == Kind::kArray ? 1 : spec.tasks;
   const base::Team& limit = team->second;
-  if ((limit.cores_max > 0 && spec.need.cores() * n > limit.cores_max + 1e-6) ||
-      (limit.gpus_max > 0 && spec.need.gpus() * n > limit.gpus_max + 1e-6)) {
+  if ((limit.cores_max > 0 && spec.request.cores() * n > limit.cores_max + 1e-6) ||
+      (limit.gpus_max > 0 && spec.request.gpus() * n > limit.gpus_max + 1e-6)) {
     return "the job needs more than the limit of team " + spec.team;
   }
   return {};
--- a/src/coordination/job_priorities.cpp
+++ b/src/coordination/job_priorities.cpp
@@ -126,7 +126,7 @@
   left.v = {team.cores, team.gpus, kAnyMemory};
   for (const Job* job : jobs) {
     const auto& spec = job->record.spec;
-    const Resources needs = spec.need * static_cast<double>(spec.tasks - job->done);
+    const Resources needs = spec.request * static_cast<double>(spec.tasks - job->done);
     if (!left.fits(needs)) break;
     left -= needs;
     guaranteed_.insert(spec.id);
--- a/src/coordination/packing.cpp
+++ b/src/coordination/packing.cpp
@@ -6,11 +6,11 @@
 
 namespace saddleslip::coordination {
 
-double score(const Resources& need, const Resources& free, const Resources& scale) {
+double score(const Resources& request, const Resources& free, const Resources& scale) {
   double dot = 0, length = 0;
   for (std::size_t i = 0; i < scale.v.size(); ++i) {
     if (scale.v[i] <= 0) continue;
-    const double s = need.v[i] / scale.v[i], r = free.v[i] / scale.v[i];
+    const double s = request.v[i] / scale.v[i], r = free.v[i] / scale.v[i];
     dot += s * r;
     length += r * r;
   }
@@ -46,13 +46,13 @@
     const Resources& free = bins[candidate.bin].free;
     // Room only shrinks, and a group that is used up stays so.
     std::erase_if(candidate.groups, [&](std::size_t g) {
-      return groups[g].count == 0 || !free.fits(groups[g].need);
+      return groups[g].count == 0 || !free.fits(groups[g].request);
     });
     ++turns[c];
     if (candidate.groups.empty()) return;
     Entry best{-1, candidate.bin, c, 0, turns[c]};
     for (const std::size_t g : candidate.groups) {
-      const double s = score(groups[g].need, free, scale);
+      const double s = score(groups[g].request, free, scale);
       if (s > best.score) {
         best.score = s;
         best.group = g;
@@ -71,7 +71,7 @@
     if (may) {
       placements.push_back({top.group, top.bin, top.score});
       --group.count;
-      bins[top.bin].free -= group.need;
+      bins[top.bin].free -= group.request;
       if (group.placed) group.placed(top.bin);
     } else {
       std::erase(candidates[top.candidate].groups, top.group);
@@ -92,17 +92,17 @@
   std::vector<std::size_t> with_room;
   for (const auto& [tier, members] : tiers) {
     // Bins that are too full for any of the tier are passed over in one go.
-    Resources least = groups[members.front()].need;
+    Resources least = groups[members.front()].request;
     for (const std::size_t g : members) {
       for (std::size_t i = 0; i < least.v.size(); ++i) {
-        least.v[i] = std::min(least.v[i], groups[g].need.v[i]);
+        least.v[i] = std::min(least.v[i], groups[g].request.v[i]);
       }
     }
     std::map<int, std::vector<Candidate>> passes;
     for (std::size_t b = 0; b < bins.size(); ++b) {
       if (!bins[b].free.fits(least)) continue;
       for (const std::size_t g : members) {
-        if (!bins[b].free.fits(groups[g].need)) continue;
+        if (!bins[b].free.fits(groups[g].request)) continue;
         const int pass = groups[g].pass ? groups[g].pass(b) : 0;
         if (pass < 0) continue;
         auto& list = passes[pass];
--- a/src/coordination/packing.h
+++ b/src/coordination/packing.h
@@ -13,7 +13,7 @@
 
 // Tasks that are alike.
 struct Group {
-  Resources need;
+  Resources request;
   std::size_t count = 0;
   int tier = 0;  // lower ones are packed first
   // Which bins come first within the tier: lower ones do; below 0: never. Fixed while packing, and
@@ -35,7 +35,7 @@
   double score;
 };
 
-double score(const Resources& need, const Resources& free, const Resources& scale);
+double score(const Resources& request, const Resources& free, const Resources& scale);
 
 // `scale`: the largest capacity of a reporting machine, for each resource; a resource that no
 // machine has is dropped. Within a tier and pass the pair with the highest score goes first (among
--- a/src/coordination/preemption.cpp
+++ b/src/coordination/preemption.cpp
@@ -22,7 +22,7 @@
     for (const TaskId& t : m.evict) {
       const Job* job = cache_.job(t.job);
       if (job && job->assignment(t.no)) {
-        stopping[job->record.spec.team] += job->record.spec.need.cores();
+        stopping[job->record.spec.team] += job->record.spec.request.cores();
       }
     }
   }
@@ -34,7 +34,7 @@
   if (!cache_.limited(spec.team)) return 0;
   const base::Team& team = settings_.teams.at(spec.team);
   Resources use = cache_.team_use(spec.team);
-  use += spec.need;
+  use += spec.request;
   return team.cores_max > 0 ? std::max(0.0, use.cores() - team.cores_max) : 0;
 }
 
@@ -72,7 +72,7 @@
     }
     const auto ran = m.ran.find(task);
     const Seconds lost = ran == m.ran.end() ? Seconds(0) : base::between(ran->second, now);
-    out.push_back({task, other->record.spec.need, lost});
+    out.push_back({task, other->record.spec.request, lost});
   }
   std::sort(out.begin(), out.end(),
             [](const Victim& a, const Victim& b) { return a.lost < b.lost; });
@@ -91,18 +91,18 @@
   if (!priorities_.is_guaranteed(*p.job)) {
     Resources most = room;
     most += capacity(m).preemptible;
-    if (!most.fits(spec.need)) return {};
+    if (!most.fits(spec.request)) return {};
   }
   Sacrifice out;
   double excess = p.over_limit;
   for (const Victim& v : candidates(p, m, now)) {
-    if (room.fits(spec.need) && excess < kNoCores) break;
-    excess -= v.need.cores();
-    room += v.need;
-    out.lost += v.lost.count() * v.need.cores();
+    if (room.fits(spec.request) && excess < kNoCores) break;
+    excess -= v.request.cores();
+    room += v.request;
+    out.lost += v.lost.count() * v.request.cores();
     out.tasks.push_back(v.task);
   }
-  if (!room.fits(spec.need) || excess > kNoCores) return {};
+  if (!room.fits(spec.request) || excess > kNoCores) return {};
   return out;
 }
 
@@ -127,7 +127,7 @@
     least = std::move(*sacrifice);
   }
   if (!best) return false;
-  p.taken[best->last_heartbeat.machine] += spec.need;
+  p.taken[best->last_heartbeat.machine] += spec.request;
   // What is made room here is kept for it: given away to what was stopped, it had to be made
   // again and again, and never was enough.
   gathered_.try_emplace(best->last_heartbeat.machine,
@@ -137,7 +137,7 @@
                  best->last_heartbeat.machine.get(), spec.id.get());
     best->evict.insert(v);
     if (const Job* other = cache_.job(v.job))
-      p.stopping[other->record.spec.team] += other->record.spec.need.cores();
+      p.stopping[other->record.spec.team] += other->record.spec.request.cores();
   }
   preempting_[spec.id] = now;
   return true;
--- a/src/coordination/rounds.cpp
+++ b/src/coordination/rounds.cpp
@@ -43,10 +43,10 @@
       const Job* other = cache_.job(task.job);
       if (other && other->record.spec.kind != Kind::kService &&
           !reported_ended(m, task, assignment)) {
-        later += other->record.spec.need;
+        later += other->record.spec.request;
       }
     }
-    if (!later.fits(spec.need)) continue;
+    if (!later.fits(spec.request)) continue;
     if (!best || capacity(m).free.cores() > capacity(*best).free.cores()) best = &m;
   }
   if (!best) return;
@@ -72,7 +72,7 @@
     const auto h = assignment.find(t);
     const Job* job = cache_.job(t.job);
     if (job && h != assignment.end() && !reported_ended(m, t, h->second))
-      room += job->record.spec.need;
+      room += job->record.spec.request;
   }
   return room;
 }
@@ -92,7 +92,7 @@
     Resources room = capacity(m).free;
     room += capacity(m).preemptible;
     room += being_stopped(m);
-    if (room.fits(spec.need)) return true;
+    if (room.fits(spec.request)) return true;
   }
   return false;
 }
@@ -197,7 +197,7 @@
   std::vector<int> order(waiting.size(), 0);
   Resources wanted, room;
   for (const WaitingJob& w : waiting) {
-    wanted += w.job->record.spec.need * static_cast<double>(w.tasks.size());
+    wanted += w.job->record.spec.request * static_cast<double>(w.tasks.size());
   }
   for (const Bin& b : bins) room += b.free;
   if (room.fits(wanted)) return order;
@@ -224,7 +224,7 @@
     // One task is enough to see whether a job that failed everywhere still does.
     if (spec.kind != Kind::kGang && is_suspect(spec.id, now)) w.tasks.resize(1);
     Group g;
-    g.need = spec.need;
+    g.request = spec.request;
     g.count = w.tasks.size();
     g.tier = (first ? -1 : priorities_.tier(*w.job)) * jobs + order[i];
     g.allowed = [&, this](std::size_t b) {
@@ -238,7 +238,7 @@
       plan.starts.push_back({{spec.id, *no}, {r.machine, {}, r.agent_incarnation}});
       w.tasks.erase(no);
       ++w.zones[r.zone];
-      planned[spec.team] += spec.need;
+      planned[spec.team] += spec.request;
     };
     const auto within = priorities_.start_within(spec);
     const bool displaces = displaces_for_image(*w.job, now);
@@ -267,7 +267,7 @@
     const base::Team& team = settings_.teams.at(spec.team);
     Resources use = cache_.team_use(spec.team);
     use += planned;
-    use += spec.need;
+    use += spec.request;
     if ((team.cores_max > 0 && use.cores() > team.cores_max + 1e-6) ||
         (team.gpus_max > 0 && use.gpus() > team.gpus_max + 1e-6)) {
       return false;
--- a/src/coordination/routing.cpp
+++ b/src/coordination/routing.cpp
@@ -50,11 +50,11 @@
     Chances c;
     for (const Place& p : places) {
       const MachineStatus& m = *p.machine;
-      const bool fits_now = p.free.fits(spec.need);
+      const bool fits_now = p.free.fits(spec.request);
       if ((!fits_now && !may_displace) || !may_run(spec, m.type, m.zone, m.spot)) continue;
       double fits = 1e9;
       for (std::size_t i = 0; i < p.free.v.size(); ++i) {
-        if (spec.need.v[i] > 0) fits = std::min(fits, p.free.v[i] / spec.need.v[i] + 1e-9);
+        if (spec.request.v[i] > 0) fits = std::min(fits, p.free.v[i] / spec.request.v[i] + 1e-9);
       }
       const auto n = static_cast<std::size_t>(std::max(0.0, std::floor(fits)));
       const bool has = (n > 0 || !c.displaces_has) && m.has_image(spec.image);
@@ -68,7 +68,7 @@
       if (may_displace && (!c.displaces || (has && !c.displaces_has))) {
         Resources r = p.free;
         r += p.preemptible;
-        if (r.fits(spec.need)) {
+        if (r.fits(spec.request)) {
           c.displaces = true;
           c.displaces_has = c.displaces_has || has;
         }
@@ -81,10 +81,10 @@
     for (Place& p : places) {
       if (n == 0) return;
       const MachineStatus& m = *p.machine;
-      if (!p.free.fits(spec.need) || !may_run(spec, m.type, m.zone, m.spot)) continue;
-      while (n > 0 && p.free.fits(spec.need)) {
-        p.free -= spec.need;
-        free_cores -= spec.need.cores();
+      if (!p.free.fits(spec.request) || !may_run(spec, m.type, m.zone, m.spot)) continue;
+      while (n > 0 && p.free.fits(spec.request)) {
+        p.free -= spec.request;
+        free_cores -= spec.request.cores();
         --n;
       }
     }
@@ -95,8 +95,8 @@
       const MachineStatus& m = *p.machine;
       Resources r = p.free;
       r += p.preemptible;
-      if (!r.fits(spec.need) || !may_run(spec, m.type, m.zone, m.spot)) continue;
-      p.preemptible -= spec.need;
+      if (!r.fits(spec.request) || !may_run(spec, m.type, m.zone, m.spot)) continue;
+      p.preemptible -= spec.request;
       return;
     }
   }
@@ -211,8 +211,8 @@
     for (std::size_t i = 0; i < need.v.size(); ++i) to->v[i] = std::min(to->v[i], need.v[i]);
   };
   for (const Job* job : jobs) {
-    lower_to(least, job->record.spec.need);
-    if (may_displace(*job, now)) lower_to(least_displacing, job->record.spec.need);
+    lower_to(least, job->record.spec.request);
+    if (may_displace(*job, now)) lower_to(least_displacing, job->record.spec.request);
   }
   std::vector<Partition> all;
   for (const auto& [member, machines] : partitions(now, kRoomFresh)) {
--- a/src/coordination/upkeep.cpp
+++ b/src/coordination/upkeep.cpp
@@ -93,7 +93,7 @@
     // image, or for room.
     const auto& spec = job->record.spec;
     const auto takes = [&](const MachineStatus* r) {
-      return r->open && r->id != id && r->tasks > 0 && r->free.fits(spec.need) &&
+      return r->open && r->id != id && r->tasks > 0 && r->free.fits(spec.request) &&
              may_run(spec, r->type, r->zone, r->spot) && r->has_image(spec.image);
     };
     const bool fits = std::any_of(known.begin(), known.end(), [&](const auto& partition) {
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -127,9 +127,9 @@
             {"gait", kKinds[static_cast<std::size_t>(s.kind)]},
             {"rank", kRanks[static_cast<std::size_t>(s.rank)]},
             {"strides", s.tasks},
-            {"cores", s.need.cores()},
-            {"gpus", s.need.gpus()},
-            {"memory_gb", s.need.memory()},
+            {"cores", s.request.cores()},
+            {"gpus", s.request.gpus()},
+            {"memory_gb", s.request.memory()},
             {"same_place", s.one_zone},
             {"apart", s.spread},
             {"strays", s.spot},
@@ -170,7 +170,7 @@
     s.rank = static_cast<Rank>(at - kRanks.begin());
   }
   s.tasks = static_cast<TaskNo>(r.count("strides", 1, kMaxTasks));
-  s.need.v = {r.amount("cores", 0), r.amount("gpus", 0), r.amount("memory_gb", 0)};
+  s.request.v = {r.amount("cores", 0), r.amount("gpus", 0), r.amount("memory_gb", 0)};
   if (const Json* types = r.find("breeds"); types && !types->is_null()) {
     if (!types->is_array() || types->size() > 1000 ||
         !std::all_of(types->begin(), types->end(), [](const Json& t) { return t.is_string(); })) {
--- a/src/protocol/messages.h
+++ b/src/protocol/messages.h
@@ -33,9 +33,9 @@
   double cores() const { return v[0]; }
   double gpus() const { return v[1]; }
   double memory() const { return v[2]; }
-  bool fits(const Resources& need) const {
+  bool fits(const Resources& request) const {
     for (std::size_t i = 0; i < v.size(); ++i) {
-      if (need.v[i] > v[i] + 1e-6) return false;
+      if (request.v[i] > v[i] + 1e-6) return false;
     }
     return true;
   }
@@ -64,7 +64,7 @@
   Kind kind = Kind::kArray;
   Rank rank = Rank::kStandard;
   TaskNo tasks = 0;
-  Resources need;
+  Resources request;
   std::optional<std::vector<std::string>> types;
   std::optional<std::string> zone;
   bool one_zone = false;
--- a/tests/job_priorities_test.cpp
+++ b/tests/job_priorities_test.cpp
@@ -30,7 +30,7 @@
     spec.team = "t";
     spec.rank = rank;
     spec.tasks = 2;
-    spec.need.v = {4, 0, 1};
+    spec.request.v = {4, 0, 1};
     spec.image = "img";
     spec.estimate = Seconds(20);
     spec.deadline = deadline;
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -16,7 +16,7 @@
   j.spec.team = std::string(1, 't');
   j.spec.image = std::string(1, 'i');
   j.spec.tasks = tasks;
-  j.spec.need.v = {2, 0, 1};
+  j.spec.request.v = {2, 0, 1};
   j.chunk = 16;
   return j;
 }
--- a/tests/packing_test.cpp
+++ b/tests/packing_test.cpp
@@ -18,7 +18,7 @@
 
 Group group(const Resources& need, std::size_t count, int tier) {
   Group g;
-  g.need = need;
+  g.request = need;
   g.count = count;
   g.tier = tier;
   return g;
@@ -62,12 +62,12 @@
     for (std::size_t b = 0; b < bins.size(); ++b) {
       for (std::size_t g = 0; g < groups.size(); ++g) {
         const int pass = groups[g].pass ? groups[g].pass(b) : 0;
-        if (groups[g].count == 0 || !bins[b].free.fits(groups[g].need) || pass < 0 ||
+        if (groups[g].count == 0 || !bins[b].free.fits(groups[g].request) || pass < 0 ||
             (groups[g].allowed && !groups[g].allowed(b))) {
           continue;
         }
         const std::pair at(groups[g].tier, pass);
-        const double s = score(groups[g].need, bins[b].free, scale);
+        const double s = score(groups[g].request, bins[b].free, scale);
         if (!best || at < first || (at == first && s > best->score)) {
           best = Placement{g, b, s};
           first = at;
@@ -77,7 +77,7 @@
     if (!best) return out;
     out.push_back(*best);
     --groups[best->group].count;
-    bins[best->bin].free -= groups[best->group].need;
+    bins[best->bin].free -= groups[best->group].request;
     if (groups[best->group].placed) groups[best->group].placed(best->bin);
   }
 }
@@ -109,7 +109,7 @@
     };
     for (int g = 0, n = 1 + pick(8); g < n; ++g) {
       Group group;
-      group.need = r(1 + pick(3), 2 * pick(3));
+      group.request = r(1 + pick(3), 2 * pick(3));
       group.count = static_cast<std::size_t>(pick(6));
       group.tier = pick(3);
       const int salt = pick(5);
@@ -139,7 +139,7 @@
   types[0] = {"small", r(4, 16), 0, 0, 0.4, 0.16, Seconds(5), {"a"}};
   types[1] = {"big", r(8, 32), 0, 0, 0.7, 0.3, Seconds(5), {"a"}};
   protocol::JobSpec steady, stray;
-  steady.need = stray.need = r(1, 1);
+  steady.request = stray.request = r(1, 1);
   stray.spot = true;
   FleetInput in;
   in.catalogue = &types;
--- a/tests/users_test.cpp
+++ b/tests/users_test.cpp
@@ -24,7 +24,7 @@
   s.job_class = "c";
   s.team = "t";
   s.tasks = 1;
-  s.need.v = {1, 0, 1};
+  s.request.v = {1, 0, 1};
   s.image = "img";
   s.needs = std::move(needs);
   return s;
--- a/tests/world_checks.cpp
+++ b/tests/world_checks.cpp
@@ -157,7 +157,7 @@
       if (job == jobs_.end()) continue;
       for (const Task& a : attempts) {
         if (a.state != "running") continue;
-        use[job->second.spec.team] += job->second.spec.need.cores();
+        use[job->second.spec.team] += job->second.spec.request.cores();
         if (job->second.cancelled_at && t_ > *job->second.cancelled_at + cancel_s_) {
           broken("ran_cancelled: " + task.job.get() + "/" + std::to_string(task.no));
           return;
@@ -186,8 +186,8 @@
       for (const Task& a : attempts) {
         if (!is_active(a.state)) continue;
         on[task.job].insert(task.no);
-        used[id] += job->second.spec.need.cores();
-        team_use[job->second.spec.team] += job->second.spec.need.cores();
+        used[id] += job->second.spec.request.cores();
+        team_use[job->second.spec.team] += job->second.spec.request.cores();
       }
     }
   }
@@ -206,12 +206,12 @@
     const bool waits =
         job.accepted && job.ready_since && !cancellation_asked(job) && busy.size() < spec.tasks;
     const bool room =
-        waits && team_use[spec.team] + spec.need.cores() <= limits.at(spec.team) + 1e-6 &&
+        waits && team_use[spec.team] + spec.request.cores() <= limits.at(spec.team) + 1e-6 &&
         std::any_of(workers_.begin(), workers_.end(), [&](const auto& m) {
           const Worker& w = m.second;
           return w.alive && !w.hung && !w.sick && !w.deaf && !w.mute && !w.taken_at &&
                  t_ >= w.boots && coordination::may_run(spec, w.type, w.zone, w.spot) &&
-                 used[m.first] + spec.need.cores() <= cores_of(w.type) + 1e-6;
+                 used[m.first] + spec.request.cores() <= cores_of(w.type) + 1e-6;
         });
     // Gangs and jobs bound to one zone or spread need more than one machine's room.
     if (!room || troubled() || spec.kind == protocol::Kind::kGang || spec.one_zone || spec.spread) {
--- a/tests/world_commands.cpp
+++ b/tests/world_commands.cpp
@@ -177,7 +177,7 @@
                                                        {"idle", protocol::Rank::kIdle}};
   job.spec.rank = ranks.at(options["rank"]);
   job.spec.tasks = static_cast<TaskNo>(option("tasks", 1));
-  job.spec.need.v = {option("cores", 1), 0, option("memory", 1)};
+  job.spec.request.v = {option("cores", 1), 0, option("memory", 1)};
   job.spec.image = "img";
   if (options.contains("deadline")) job.spec.deadline = base::Seconds(option("deadline", 0));
   job.spec.estimate = base::Seconds(option("estimate", 0));
--- a/tests/world_workers.cpp
+++ b/tests/world_workers.cpp
@@ -58,7 +58,8 @@
       for (const auto& [id, all] : w.tasks) {
         const auto other = jobs_.find(id.job);
         for (const Task& a : all) {
-          if (is_active(a.state) && other != jobs_.end()) used += other->second.spec.need.cores();
+          if (is_active(a.state) && other != jobs_.end())
+            used += other->second.spec.request.cores();
         }
       }
       if (std::any_of(attempts.begin(), attempts.end(),
@@ -68,7 +69,7 @@
       } else if (job == jobs_.end()) {
         t.state = "ended";
         t.cause = "unknown";
-      } else if (used + job->second.spec.need.cores() > cores_of(w.type) + 1e-6) {
+      } else if (used + job->second.spec.request.cores() > cores_of(w.type) + 1e-6) {
         t.state = "ended";
         t.cause = "no_room";
       }
