--- a/src/bookkeeping/dependencies.cpp
+++ b/src/bookkeeping/dependencies.cpp
@@ -17,54 +17,54 @@
 
 }  // namespace
 
-void Dependencies::add(const JobId& job, const std::vector<JobId>& needs) {
-  for (const JobId& need : needs) {
-    needs_of_[job].insert(need);
+void DependencyGraph::add(const JobId& job, const std::vector<JobId>& dependencies) {
+  for (const JobId& need : dependencies) {
+    dependencies_of_[job].insert(need);
     dependents_of_[need].insert(job);
   }
 }
 
-void Dependencies::remove(const JobId& job) {
-  const auto at = needs_of_.find(job);
-  if (at == needs_of_.end()) return;
+void DependencyGraph::remove(const JobId& job) {
+  const auto at = dependencies_of_.find(job);
+  if (at == dependencies_of_.end()) return;
   for (const JobId& need : at->second) remove_edge(dependents_of_, need, job);
-  needs_of_.erase(at);
+  dependencies_of_.erase(at);
 }
 
-std::set<JobId> Dependencies::mark_done(const JobId& need) {
+std::set<JobId> DependencyGraph::mark_done(const JobId& need) {
   const auto at = dependents_of_.find(need);
   if (at == dependents_of_.end()) return {};
   std::set<JobId> dependents = std::move(at->second);
   dependents_of_.erase(at);
-  for (const JobId& job : dependents) remove_edge(needs_of_, job, need);
+  for (const JobId& job : dependents) remove_edge(dependencies_of_, job, need);
   return dependents;
 }
 
-void Dependencies::clear() {
-  needs_of_.clear();
+void DependencyGraph::clear() {
+  dependencies_of_.clear();
   dependents_of_.clear();
 }
 
-const std::set<JobId>& Dependencies::open_needs(const JobId& job) const {
-  const auto at = needs_of_.find(job);
-  return at == needs_of_.end() ? kNoJobs : at->second;
+const std::set<JobId>& DependencyGraph::open_dependencies(const JobId& job) const {
+  const auto at = dependencies_of_.find(job);
+  return at == dependencies_of_.end() ? kNoJobs : at->second;
 }
 
-const std::set<JobId>& Dependencies::dependents(const JobId& need) const {
+const std::set<JobId>& DependencyGraph::dependents(const JobId& need) const {
   const auto at = dependents_of_.find(need);
   return at == dependents_of_.end() ? kNoJobs : at->second;
 }
 
-std::vector<JobId> Dependencies::all_dependents(const JobId& job) const {
+std::vector<JobId> DependencyGraph::all_dependents(const JobId& job) const {
   return reachable(dependents_of_, job);
 }
 
-std::vector<JobId> Dependencies::all_open_needs(const JobId& job) const {
-  return reachable(needs_of_, job);
+std::vector<JobId> DependencyGraph::all_open_dependencies(const JobId& job) const {
+  return reachable(dependencies_of_, job);
 }
 
 // Without recursion, and each job once: a chain may be long, and damaged data may hold a cycle.
-std::vector<JobId> Dependencies::reachable(const Edges& edges, const JobId& from) {
+std::vector<JobId> DependencyGraph::reachable(const Edges& edges, const JobId& from) {
   std::vector<JobId> found;
   std::set<JobId> seen{from};
   std::vector<JobId> open{from};
--- a/src/bookkeeping/ledger.cpp
+++ b/src/bookkeeping/ledger.cpp
@@ -53,8 +53,8 @@
     put_job(item, now);
   } else if (key.starts_with(protocol::kChunks)) {
     put_chunk(item, now);
-  } else if (key.starts_with(protocol::kNeeds)) {
-    put_need_list(item);
+  } else if (key.starts_with(protocol::kDependencies)) {
+    put_dependency_list(item);
   } else if (key.starts_with(protocol::kMembers)) {
     const MemberId member(key.substr(protocol::kMembers.size()));
     if (const auto record = protocol::parse_member(item.value)) {
@@ -123,14 +123,15 @@
     if (!item.value.is_null()) spdlog::error("job {} in the store can't be read", id.get());
     if (at == jobs_.end()) return;
     remove_assignments(at->second);
-    dependencies_.remove(id);
+    dependency_graph_.remove(id);
     orphan_records_of(at->second);
     job_index_.erase(id);
     jobs_.erase(at);
     return;
   }
   if (at != jobs_.end()) {
-    if (record->need_lists) record->spec.needs = std::move(at->second.record.spec.needs);
+    if (record->dependency_lists)
+      record->spec.dependencies = std::move(at->second.record.spec.dependencies);
     at->second.record = std::move(*record);
     at->second.version = item.version;
     if (at->second.record.piece != 0 && at->second.whole.empty()) divide(at->second, now);
@@ -154,8 +155,8 @@
   }
   Job& added = jobs_.emplace(id, std::move(job)).first->second;
   job_index_[id] = &added;
-  added.waits = !take_need_lists(added);
-  if (!added.waits) link_needs(added);
+  added.blocked = !take_dependency_lists(added);
+  if (!added.blocked) link_dependencies(added);
   if (added.cancelled_on_record()) cancel_dependents(id);
 }
 
@@ -166,100 +167,100 @@
     keys.push_back(job.record.record_key(static_cast<std::uint32_t>(c)));
   for (std::size_t c = 0; c < job.whole.size(); ++c)
     keys.push_back(protocol::chunk_key(id, static_cast<std::uint32_t>(c)));
-  if (const auto& lists = job.record.need_lists) {
-    keys.push_back(protocol::need_lists_key(id));
+  if (const auto& lists = job.record.dependency_lists) {
+    keys.push_back(protocol::dependency_lists_key(id));
     for (std::size_t i = 0; i < lists->count; ++i)
-      keys.push_back(protocol::need_list_key(id, lists->set, i));
+      keys.push_back(protocol::dependency_list_key(id, lists->set, i));
   }
   for (const std::string& key : keys) {
-    need_lists_.erase(key);
+    dependency_lists_.erase(key);
     if (const auto v = versions_.find(key); v != versions_.end()) orphans_[key] = v->second;
   }
 }
 
-void StateCache::put_need_list(const Item& item) {
+void StateCache::put_dependency_list(const Item& item) {
   orphans_.erase(item.key);
-  const auto id = protocol::job_of_need_key(item.key);
+  const auto id = protocol::job_of_dependency_key(item.key);
   // The record that only names the set tells nothing that the job's own does not.
-  if (!id || item.key == protocol::need_lists_key(*id) || !item.value.is_array()) return;
-  std::vector<JobId>& list = need_lists_[item.key];
+  if (!id || item.key == protocol::dependency_lists_key(*id) || !item.value.is_array()) return;
+  std::vector<JobId>& list = dependency_lists_[item.key];
   list.clear();
   for (const protocol::Json& need : item.value) {
     if (need.is_string()) list.emplace_back(need.get<std::string>());
   }
   const auto at = jobs_.find(*id);
-  if (at == jobs_.end() || !at->second.record.need_lists) return;
+  if (at == jobs_.end() || !at->second.record.dependency_lists) return;
   Job& job = at->second;
-  if (!job.record.spec.needs.empty() || !take_need_lists(job)) return;
-  link_needs(job);
+  if (!job.record.spec.dependencies.empty() || !take_dependency_lists(job)) return;
+  link_dependencies(job);
   if (job.cancelled_on_record()) cancel_dependents(*id);
-  if (!job.waits) ++jobs_made_ready_;
+  if (!job.blocked) ++jobs_unblocked_;
 }
 
-bool StateCache::take_need_lists(Job& job) {
-  const auto& lists = job.record.need_lists;
+bool StateCache::take_dependency_lists(Job& job) {
+  const auto& lists = job.record.dependency_lists;
   if (!lists) return true;
   const JobId& id = job.record.spec.id;
-  std::vector<JobId> needs;
+  std::vector<JobId> dependencies;
   for (std::size_t i = 0; i < lists->count; ++i) {
-    const auto list = need_lists_.find(protocol::need_list_key(id, lists->set, i));
-    if (list == need_lists_.end()) return false;
-    needs.insert(needs.end(), list->second.begin(), list->second.end());
+    const auto list = dependency_lists_.find(protocol::dependency_list_key(id, lists->set, i));
+    if (list == dependency_lists_.end()) return false;
+    dependencies.insert(dependencies.end(), list->second.begin(), list->second.end());
   }
   for (std::size_t i = 0; i < lists->count; ++i)
-    need_lists_.erase(protocol::need_list_key(id, lists->set, i));
-  job.record.spec.needs = std::move(needs);
+    dependency_lists_.erase(protocol::dependency_list_key(id, lists->set, i));
+  job.record.spec.dependencies = std::move(dependencies);
   ++job_changes_;
   return true;
 }
 
-void StateCache::link_needs(Job& job) {
+void StateCache::link_dependencies(Job& job) {
   const JobId& id = job.record.spec.id;
   std::vector<JobId> open;
-  for (const JobId& need : job.record.spec.needs) {
+  for (const JobId& need : job.record.spec.dependencies) {
     const auto over = final_state(need);
     const Job* live = this->job(need);
-    job.need_cancelled = job.need_cancelled || (live && live->cancelled_on_record()) ||
-                         (over && over->status == JobStatus::kCancelled);
+    job.dependency_cancelled = job.dependency_cancelled || (live && live->cancelled_on_record()) ||
+                               (over && over->status == JobStatus::kCancelled);
     if (over && over->status == JobStatus::kDone) {
-      job.ready_at = std::max(job.ready_at, over->at);
+      job.unblocked_at = std::max(job.unblocked_at, over->at);
     } else {
       open.push_back(need);
     }
   }
-  job.waits = !open.empty();
-  dependencies_.add(id, open);
+  job.blocked = !open.empty();
+  dependency_graph_.add(id, open);
 }
 
 void StateCache::cancel_dependents(const JobId& id) {
-  for (const JobId& dependent : dependencies_.all_dependents(id)) {
+  for (const JobId& dependent : dependency_graph_.all_dependents(id)) {
     const auto at = jobs_.find(dependent);
-    if (at == jobs_.end() || at->second.need_cancelled) continue;
-    at->second.need_cancelled = true;
+    if (at == jobs_.end() || at->second.dependency_cancelled) continue;
+    at->second.dependency_cancelled = true;
     ++job_changes_;
     stamp_assigned_machines(at->second);
   }
 }
 
 void StateCache::mark_dependency_done(Job& job, double done_at) {
-  job.ready_at = std::max(job.ready_at, done_at);
-  if (!dependencies_.open_needs(job.record.spec.id).empty()) return;
-  job.waits = false;
+  job.unblocked_at = std::max(job.unblocked_at, done_at);
+  if (!dependency_graph_.open_dependencies(job.record.spec.id).empty()) return;
+  job.blocked = false;
   ++job_changes_;
-  ++jobs_made_ready_;
+  ++jobs_unblocked_;
 }
 
-std::vector<JobId> StateCache::unresolved_needs() const {
+std::vector<JobId> StateCache::unresolved_dependencies() const {
   std::vector<JobId> out;
-  for (const auto& [need, dependents] : dependencies_.waited_for()) {
+  for (const auto& [need, dependents] : dependency_graph_.waited_for()) {
     if (!job(need) && !final_state(need)) out.push_back(need);
   }
   return out;
 }
 
-std::vector<JobId> StateCache::unresolved_needs(const JobId& id) const {
+std::vector<JobId> StateCache::unresolved_dependencies(const JobId& id) const {
   std::vector<JobId> out;
-  for (const JobId& need : dependencies_.all_open_needs(id)) {
+  for (const JobId& need : dependency_graph_.all_open_dependencies(id)) {
     if (!job(need) && !final_state(need)) out.push_back(need);
   }
   return out;
@@ -382,8 +383,8 @@
   versions_.clear();
   removed_.clear();
   orphans_.clear();
-  dependencies_.clear();
-  need_lists_.clear();
+  dependency_graph_.clear();
+  dependency_lists_.clear();
   view_.reset();
   leader_.reset();
   members_.clear();
@@ -408,7 +409,7 @@
   if (state.status == JobStatus::kCancelled) {
     cancel_dependents(id);
   } else {
-    for (const JobId& dependent : dependencies_.mark_done(id)) {
+    for (const JobId& dependent : dependency_graph_.mark_done(id)) {
       if (const auto at = jobs_.find(dependent); at != jobs_.end())
         mark_dependency_done(at->second, state.at);
     }
--- a/src/bookkeeping/ledger.h
+++ b/src/bookkeeping/ledger.h
@@ -56,26 +56,28 @@
   bool notify_cancelled = false;
   // A job that it needs, directly or through others, is cancelled on record: so is this one, whatever
   // its own record says.
-  bool need_cancelled = false;
+  bool dependency_cancelled = false;
   // It waits for other jobs; nothing of it may start.
-  bool waits = false;
-  double ready_at =
+  bool blocked = false;
+  double unblocked_at =
       0;  // when the last job that it needed was done, by the time of day; 0: not known
 
   // Is its cancellation on record, its own or that of a job that it needs? What users are told and what
   // is written goes by this.
-  bool cancelled_on_record() const { return record.cancelled || need_cancelled; }
+  bool cancelled_on_record() const { return record.cancelled || dependency_cancelled; }
   // Nothing of it is to run any more.
   bool cancelled() const { return cancelled_on_record() || notify_cancelled; }
   // Since when its tasks could have started, by the time of day.
-  double startable_since() const { return std::max(record.submitted, ready_at); }
+  double startable_since() const { return std::max(record.submitted, unblocked_at); }
 
   TaskNo chunk_first(std::size_t c) const {
     return record.first_task(static_cast<std::uint32_t>(c));
   }
   TaskNo chunk_size(std::size_t c) const { return record.tasks_of(static_cast<std::uint32_t>(c)); }
   // Tasks that could start now.
-  TaskNo pending() const { return cancelled() || waits ? 0 : record.spec.tasks - done - assigned; }
+  TaskNo pending() const {
+    return cancelled() || blocked ? 0 : record.spec.tasks - done - assigned;
+  }
   bool is_done(TaskNo no) const {
     const auto number = record.chunk_of(no);
     return chunks[number].record.done[no - record.first_task(number)];
@@ -114,14 +116,14 @@
   }
   void remember_final(const JobId& id, const FinalState& state);
 
-  const Dependencies& dependencies() const { return dependencies_; }
+  const DependencyGraph& dependency_graph() const { return dependency_graph_; }
   // Counts jobs that had waited for others and wait no more.
-  std::uint64_t jobs_made_ready() const { return jobs_made_ready_; }
+  std::uint64_t jobs_unblocked() const { return jobs_unblocked_; }
   // Jobs that others wait for, and of which this copy knows neither a record nor a final state: the final
   // state, which may have been written long ago, is to be read from the store. For one job: those
   // that it depends on, through any number of steps.
-  std::vector<JobId> unresolved_needs() const;
-  std::vector<JobId> unresolved_needs(const JobId& job) const;
+  std::vector<JobId> unresolved_dependencies() const;
+  std::vector<JobId> unresolved_dependencies(const JobId& job) const;
 
   const std::map<TaskId, Assignment>& assignments_on(const MachineId& machine) const;
   const std::map<MachineId, std::map<TaskId, Assignment>>& assigned() const {
@@ -150,13 +152,13 @@
 
  private:
   void put_job(const Item& item, Time now);
-  void put_need_list(const Item& item);
+  void put_dependency_list(const Item& item);
   // Takes in the jobs that the job needs from lists of their own. False: some have not been read yet.
-  bool take_need_lists(Job& job);
+  bool take_dependency_lists(Job& job);
   // What is kept of a job besides its record: to be removed once the job is over.
   void orphan_records_of(const Job& job);
   // Relates a job that is new here to those that it needs.
-  void link_needs(Job& job);
+  void link_dependencies(Job& job);
   // The job is cancelled on record: so is all that depends on it.
   void cancel_dependents(const JobId& id);
   // That job was done at that time of day: one that needs it may start once it was the last.
@@ -185,10 +187,10 @@
   std::map<std::string, Version> orphans_;             // chunks whose job is over
   std::unordered_map<JobId, FinalState> finals_;       // bounded: the latest ones
   std::deque<JobId> finals_order_;
-  Dependencies dependencies_;
+  DependencyGraph dependency_graph_;
   std::map<std::string, std::vector<JobId>>
-      need_lists_;  // by key, until their job has taken them in
-  std::uint64_t jobs_made_ready_ = 0;
+      dependency_lists_;  // by key, until their job has taken them in
+  std::uint64_t jobs_unblocked_ = 0;
   std::optional<View> view_;
   std::optional<ControllerIncarnation> leader_;
   std::uint64_t format_ = 1;
--- a/src/coordination/intake.cpp
+++ b/src/coordination/intake.cpp
@@ -45,14 +45,14 @@
   protocol::JobRecord record;
   record.spec = spec;
   record.submitted = context.time_of_day;
-  record.cancelled = context.need_cancelled;
+  record.cancelled = context.dependency_cancelled;
   record.chunk = protocol::chunk_size(spec.tasks, context.partitions, context.value_bytes);
   // A cancellation is written into the record later.
   protocol::JobRecord largest = record;
   largest.cancelled = true;
-  if (!spec.needs.empty() && to_json(largest).dump().size() > context.value_bytes)
-    record.need_lists =
-        protocol::name_need_lists(protocol::split_needs(spec.needs, context.value_bytes));
+  if (!spec.dependencies.empty() && to_json(largest).dump().size() > context.value_bytes)
+    record.dependency_lists = protocol::name_dependency_lists(
+        protocol::split_dependencies(spec.dependencies, context.value_bytes));
   return record;
 }
 
@@ -62,25 +62,26 @@
   // Neither live nor over: an id is accepted once, whichever nodes its retries reach.
   txn.guards[protocol::job_key(id)] = base::Version(0);
   txn.guards[protocol::final_key(id)] = base::Version(0);
-  if (record.need_lists) txn.guards[protocol::need_lists_key(id)] = lists;
+  if (record.dependency_lists) txn.guards[protocol::dependency_lists_key(id)] = lists;
   txn.writes.push_back({protocol::job_key(id), to_json(record), {}});
   return txn;
 }
 
-std::vector<Transaction> need_list_writes(const protocol::JobRecord& record, base::Version lists,
-                                          const base::Settings& settings) {
+std::vector<Transaction> dependency_list_writes(const protocol::JobRecord& record,
+                                                base::Version lists,
+                                                const base::Settings& settings) {
   std::vector<Transaction> out;
   const JobId& id = record.spec.id;
   const std::size_t most = std::min<std::size_t>(settings.txn_ops, kMostListsAtOnce);
   const std::vector<protocol::Json> values =
-      protocol::split_needs(record.spec.needs, settings.value_bytes);
+      protocol::split_dependencies(record.spec.dependencies, settings.value_bytes);
   for (std::size_t i = 0; i < values.size(); ++i) {
     if (i % most == 0) {
       out.emplace_back();
-      out.back().guards[protocol::need_lists_key(id)] = lists;
+      out.back().guards[protocol::dependency_lists_key(id)] = lists;
     }
     out.back().writes.push_back(
-        {protocol::need_list_key(id, record.need_lists->set, i), values[i], {}});
+        {protocol::dependency_list_key(id, record.dependency_lists->set, i), values[i], {}});
   }
   return out;
 }
--- a/src/coordination/job_priorities.cpp
+++ b/src/coordination/job_priorities.cpp
@@ -53,7 +53,7 @@
   std::map<std::string, std::vector<const Job*>> by_team;
   for (const auto& [id, job] : cache_.jobs()) {
     // What waits for other jobs takes no part of the guarantee yet.
-    if (!job.cancelled() && !job.waits) by_team[job.record.spec.team].push_back(&job);
+    if (!job.cancelled() && !job.blocked) by_team[job.record.spec.team].push_back(&job);
   }
   for (auto& [name, jobs] : by_team) {
     const auto team = settings_.teams.find(name);
@@ -62,22 +62,23 @@
   }
 }
 
-std::vector<const Job*> JobPriorities::jobs_in_order_of_need() const {
-  const auto& dependencies = cache_.dependencies();
-  std::map<base::JobId, std::size_t> live_needs;  // that are not in the order yet
+std::vector<const Job*> JobPriorities::jobs_in_dependency_order() const {
+  const auto& dependency_graph = cache_.dependency_graph();
+  std::map<base::JobId, std::size_t> live_dependencies;  // that are not in the order yet
   std::vector<const Job*> order;
-  for (const auto& [need, dependents] : dependencies.waited_for()) {
+  for (const auto& [need, dependents] : dependency_graph.waited_for()) {
     const Job* job = cache_.job(need);
-    if (job && !job->waits) order.push_back(job);
+    if (job && !job->blocked) order.push_back(job);
   }
-  for (const auto& [id, needs] : dependencies.waiting()) {
-    live_needs[id] = static_cast<std::size_t>(std::count_if(
-        needs.begin(), needs.end(), [this](const auto& n) { return cache_.job(n) != nullptr; }));
+  for (const auto& [id, dependencies] : dependency_graph.waiting()) {
+    live_dependencies[id] = static_cast<std::size_t>(
+        std::count_if(dependencies.begin(), dependencies.end(),
+                      [this](const auto& n) { return cache_.job(n) != nullptr; }));
   }
   for (std::size_t i = 0; i < order.size(); ++i) {
-    for (const base::JobId& id : dependencies.dependents(order[i]->record.spec.id)) {
+    for (const base::JobId& id : dependency_graph.dependents(order[i]->record.spec.id)) {
       const Job* job = cache_.job(id);
-      if (--live_needs[id] == 0 && job) order.push_back(job);
+      if (--live_dependencies[id] == 0 && job) order.push_back(job);
     }
   }
   return order;
@@ -85,8 +86,8 @@
 
 void JobPriorities::update_inherited(Time now) {
   inherited_.clear();
-  const auto& dependencies = cache_.dependencies();
-  const std::vector<const Job*> order = jobs_in_order_of_need();
+  const auto& dependency_graph = cache_.dependency_graph();
+  const std::vector<const Job*> order = jobs_in_dependency_order();
   // Forwards: when each can be complete at the soonest.
   std::map<base::JobId, double> soonest_start, soonest_end;
   for (const Job* job : order) {
@@ -94,7 +95,7 @@
     const double start = std::max(time_of_day(now), soonest_start[id]);
     const double end = start + run_time(job->record.spec).count();
     soonest_end[id] = end;
-    for (const base::JobId& dependent : dependencies.dependents(id)) {
+    for (const base::JobId& dependent : dependency_graph.dependents(id)) {
       double& at = soonest_start[dependent];
       at = std::max(at, end + kStepOverhead);
     }
@@ -105,7 +106,7 @@
     const Job& job = *each;
     const base::JobId& id = job.record.spec.id;
     Inherited own{job.record.spec.rank, own_due(job, soonest_end[id])};
-    for (const base::JobId& dependent : dependencies.dependents(id)) {
+    for (const base::JobId& dependent : dependency_graph.dependents(id)) {
       const auto after = inherited_.find(dependent);
       const Job* next = cache_.job(dependent);
       if (after == inherited_.end() || next->cancelled()) continue;
@@ -126,9 +127,9 @@
   left.v = {team.cores, team.gpus, kAnyMemory};
   for (const Job* job : jobs) {
     const auto& spec = job->record.spec;
-    const Resources needs = spec.request * static_cast<double>(spec.tasks - job->done);
-    if (!left.fits(needs)) break;
-    left -= needs;
+    const Resources dependencies = spec.request * static_cast<double>(spec.tasks - job->done);
+    if (!left.fits(dependencies)) break;
+    left -= dependencies;
     guaranteed_.insert(spec.id);
   }
 }
--- a/src/coordination/job_priorities.h
+++ b/src/coordination/job_priorities.h
@@ -59,7 +59,7 @@
   void update_guarantees();
   void update_inherited(base::Time now);
   // The live jobs that others wait for, and those others, each after all that it waits for.
-  std::vector<const bookkeeping::Job*> jobs_in_order_of_need() const;
+  std::vector<const bookkeeping::Job*> jobs_in_dependency_order() const;
   // Its own due time, if it can be complete at `least` at the soonest.
   double own_due(const bookkeeping::Job& job, double least) const;
   void guarantee_jobs_of(const base::Team& team, std::vector<const bookkeeping::Job*>& jobs);
--- a/src/coordination/record_batch.cpp
+++ b/src/coordination/record_batch.cpp
@@ -78,7 +78,7 @@
   const Job* job = cache_.job(task.job);
   // The one gate that all starts pass, whoever offered the task: not before all jobs that it needs are
   // done on record, and nothing that is cancelled.
-  if (!job || job->waits || job->cancelled()) return {};
+  if (!job || job->blocked || job->cancelled()) return {};
   if (!has_room_for_start(*job, task.no, assignment)) return {};
   const auto& spec = job->record.spec;
   const bool limited = cache_.limited(spec.team);
--- a/src/coordination/rounds.cpp
+++ b/src/coordination/rounds.cpp
@@ -143,7 +143,7 @@
   std::map<JobId, std::size_t> index;
   for (const PoolEntry& p : pool_) {
     const Job* job = cache_.job(p.job);
-    if (!job || job->cancelled() || job->waits) continue;
+    if (!job || job->cancelled() || job->blocked) continue;
     if (pace == Pace::kUrgent && !priorities_.is_urgent(*job)) continue;
     if (!failures_.may_retry(p.job, now)) continue;
     const auto [at, is_new] = index.try_emplace(p.job, waiting.size());
--- a/src/coordination/upkeep.cpp
+++ b/src/coordination/upkeep.cpp
@@ -205,7 +205,7 @@
     txn.guards[key] = version;
     // Only what belongs to no job: one that this copy has not heard of yet is not over.
     const auto chunk = protocol::parse_chunk_key(key);
-    const auto job = chunk ? chunk->job : protocol::job_of_need_key(key);
+    const auto job = chunk ? chunk->job : protocol::job_of_dependency_key(key);
     if (job) txn.guards[protocol::job_key(*job)] = Version(0);
     txn.writes.push_back({key, {}, {}});
   }
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -366,7 +366,7 @@
   std::vector<protocol::Item> items;
   base::Revision from;
   bool first = true;
-  for (const std::string& prefix : {protocol::kMembers, protocol::kClaims, protocol::kNeeds,
+  for (const std::string& prefix : {protocol::kMembers, protocol::kClaims, protocol::kDependencies,
                                     protocol::kJobs, protocol::kChunks, protocol::kTeams}) {
     std::string after;
     for (;;) {
@@ -608,17 +608,17 @@
     pay_writes(orphans->writes.size());
     commit(*orphans, kStateCall);
   }
-  read_unresolved_needs();
+  read_unresolved_dependencies();
   // What this node's own records made ready waits for no other event.
-  const std::uint64_t ready = locked([](auto& c) { return c.cache().jobs_made_ready(); });
-  if (ready != jobs_made_ready_) round_bell_.ring();
-  jobs_made_ready_ = ready;
+  const std::uint64_t ready = locked([](auto& c) { return c.cache().jobs_unblocked(); });
+  if (ready != jobs_unblocked_) round_bell_.ring();
+  jobs_unblocked_ = ready;
 }
 
 // Jobs may wait for others that were over before this copy was read: their final states are not among
 // what is read and watched from then on.
-void Node::read_unresolved_needs() {
-  auto ids = locked([](auto& c) { return c.cache().unresolved_needs(); });
+void Node::read_unresolved_dependencies() {
+  auto ids = locked([](auto& c) { return c.cache().unresolved_dependencies(); });
   if (ids.size() > kMostFinalsRead) ids.resize(kMostFinalsRead);
   for (const JobId& id : ids) {
     const auto got = state_.get(protocol::final_key(id), kUserCall);
--- a/src/node.h
+++ b/src/node.h
@@ -81,7 +81,7 @@
   bool commit_plan(const coordination::RoundPlan& plan, std::vector<coordination::Order>& orders);
   bool commit(const protocol::Transaction& txn, Seconds timeout);
   void refresh(const std::vector<std::string>& keys);
-  void read_unresolved_needs();
+  void read_unresolved_dependencies();
   void send_orders();
   void enqueue(std::vector<coordination::Order> orders);
   void fleet();
@@ -140,8 +140,8 @@
   std::condition_variable orders_ready_;
   std::deque<coordination::Order> orders_;
 
-  std::uint64_t jobs_made_ready_ = 0;  // as counted by the ledger after the last round
-  Seconds deciding_{0};                // how long a round's decisions take, on average
+  std::uint64_t jobs_unblocked_ = 0;  // as counted by the ledger after the last round
+  Seconds deciding_{0};               // how long a round's decisions take, on average
   double write_credit_ = 0;
   Time write_credit_at_{};
   std::uint64_t hires_ = 0;
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -87,23 +87,23 @@
 
 // The jobs that a submission needs, each once, in the order in which they are named first.
 std::vector<JobId> parse_needs(Reader& reader) {
-  std::vector<JobId> needs;
-  const Json* list = reader.find(kNeedsField);
-  if (!list || list->is_null()) return needs;
+  std::vector<JobId> dependencies;
+  const Json* list = reader.find(kDependenciesField);
+  if (!list || list->is_null()) return dependencies;
   if (!list->is_array()) {
-    reader.fail(kNeedsField, "must be null or an array of job ids");
-    return needs;
+    reader.fail(kDependenciesField, "must be null or an array of job ids");
+    return dependencies;
   }
   std::set<JobId> named;
   for (const Json& entry : *list) {
     if (!entry.is_string() || !valid_job_id(entry.get_ref<const std::string&>())) {
-      reader.fail(kNeedsField, "must hold job ids of the form run-000412");
+      reader.fail(kDependenciesField, "must hold job ids of the form run-000412");
       return {};
     }
     JobId id(entry.get<std::string>());
-    if (named.insert(id).second) needs.push_back(std::move(id));
+    if (named.insert(id).second) dependencies.push_back(std::move(id));
   }
-  return needs;
+  return dependencies;
 }
 
 std::string task_text(const TaskId& t) {
@@ -141,7 +141,7 @@
   if (s.types) j["breeds"] = *s.types;
   if (s.zone) j["paddock"] = *s.zone;
   if (s.deadline) j["sundown_s"] = s.deadline->count();
-  if (!s.needs.empty()) j[kNeedsField] = ids_to_json(s.needs);
+  if (!s.dependencies.empty()) j[kDependenciesField] = ids_to_json(s.dependencies);
   return j;
 }
 
@@ -189,7 +189,7 @@
   s.checkpoint = Seconds(r.amount("waypoint_s", 0));
   s.save = Seconds(r.amount("unload_s", 0));
   if (const auto d = r.amount_or_null("sundown_s", 0)) s.deadline = Seconds(*d);
-  s.needs = parse_needs(r);
+  s.dependencies = parse_needs(r);
   if (!r.error().empty()) return r.error();
   return s;
 }
--- a/src/protocol/messages.h
+++ b/src/protocol/messages.h
@@ -77,13 +77,13 @@
   Seconds save{0};
   std::optional<Seconds> deadline;
   // Jobs that must be done before any task of this one starts; each is named once.
-  std::vector<JobId> needs;
+  std::vector<JobId> dependencies;
 };
 
 // Where users submit jobs; a job's own path is this, a slash and its id.
 inline const std::string kSubmissionsPath = "/submissions";
 // Of a submission: the jobs that it needs.
-inline constexpr const char* kNeedsField = "follows";
+inline constexpr const char* kDependenciesField = "follows";
 // Behind a job's path: its cancellation.
 inline const std::string kCancelSuffix = "/withdraw";
 
--- a/src/protocol/records.cpp
+++ b/src/protocol/records.cpp
@@ -100,24 +100,26 @@
   return bytes;
 }
 
-std::string need_lists_key(const JobId& id) {
-  return kNeeds + id.get();
+std::string dependency_lists_key(const JobId& id) {
+  return kDependencies + id.get();
 }
 
-std::string need_list_key(const JobId& id, const std::string& set, std::size_t number) {
-  return need_lists_key(id) + "/" + set + "/" + std::to_string(number);
+std::string dependency_list_key(const JobId& id, const std::string& set, std::size_t number) {
+  return dependency_lists_key(id) + "/" + set + "/" + std::to_string(number);
 }
 
-std::optional<JobId> job_of_need_key(const std::string& key) {
-  if (!key.starts_with(kNeeds)) return {};
-  return JobId(key.substr(kNeeds.size(), key.find('/', kNeeds.size()) - kNeeds.size()));
+std::optional<JobId> job_of_dependency_key(const std::string& key) {
+  if (!key.starts_with(kDependencies)) return {};
+  return JobId(
+      key.substr(kDependencies.size(), key.find('/', kDependencies.size()) - kDependencies.size()));
 }
 
-std::vector<Json> split_needs(const std::vector<JobId>& needs, std::size_t most_bytes) {
+std::vector<Json> split_dependencies(const std::vector<JobId>& dependencies,
+                                     std::size_t most_bytes) {
   constexpr std::size_t kIdPunctuation = 3;  // quotes and a comma
   std::vector<Json> lists;
   std::size_t bytes = 0;
-  for (const JobId& id : needs) {
+  for (const JobId& id : dependencies) {
     const std::size_t more = id.get().size() + kIdPunctuation;
     if (lists.empty() || bytes + more > most_bytes) {
       lists.push_back(Json::array());
@@ -129,31 +131,31 @@
   return lists;
 }
 
-NeedLists name_need_lists(const std::vector<Json>& lists) {
+DependencyLists name_dependency_lists(const std::vector<Json>& lists) {
   const std::size_t hash = std::hash<std::string>{}(Json(lists).dump());
   return {std::to_string(hash), lists.size()};
 }
 
-Json to_json(const NeedLists& lists) {
+Json to_json(const DependencyLists& lists) {
   return Json::array({lists.set, lists.count});
 }
 
 namespace {
 
-std::optional<NeedLists> parse_need_lists(const Json& value) {
+std::optional<DependencyLists> parse_dependency_lists(const Json& value) {
   if (!value.is_array() || value.size() != 2 || !value[0].is_string() ||
       !value[1].is_number_unsigned())
     return {};
-  return NeedLists{value[0].get<std::string>(), value[1].get<std::size_t>()};
+  return DependencyLists{value[0].get<std::string>(), value[1].get<std::size_t>()};
 }
 
 }  // namespace
 
 Json to_json(const JobRecord& job) {
   Json j = {{"s", to_json(job.spec)}, {"at", job.submitted}};
-  if (job.need_lists) {
-    j["s"].erase(kNeedsField);
-    j["n"] = to_json(*job.need_lists);
+  if (job.dependency_lists) {
+    j["s"].erase(kDependenciesField);
+    j["n"] = to_json(*job.dependency_lists);
   }
   if (job.cancelled) j["w"] = true;
   if (job.chunk != kMostChunk) j["c"] = job.chunk;
@@ -170,8 +172,8 @@
   job.submitted = value.value("at", 0.0);
   job.cancelled = value.value("w", false);
   if (const auto lists = value.find("n"); lists != value.end()) {
-    job.need_lists = parse_need_lists(*lists);
-    if (!job.need_lists) return {};
+    job.dependency_lists = parse_dependency_lists(*lists);
+    if (!job.dependency_lists) return {};
   }
   const auto chunk = value.find("c");
   if (chunk != value.end()) {
--- a/src/protocol/records.h
+++ b/src/protocol/records.h
@@ -50,7 +50,7 @@
 inline const std::string kFleetKey = "s/fleet";
 inline const std::string kJobs = "s/j/";
 inline const std::string kChunks = "s/t/";
-inline const std::string kNeeds = "s/n/";
+inline const std::string kDependencies = "s/n/";
 inline const std::string kFinals = "s/f/";
 inline const std::string kMembers = "s/m/";
 inline const std::string kTeams = "s/q/";
@@ -93,24 +93,25 @@
 
 // The lists that name the jobs that a job needs, kept apart from its record. The set's name stands for what
 // is in them: lists of two submissions of one id are never mixed up.
-struct NeedLists {
+struct DependencyLists {
   std::string set;
   std::size_t count = 0;
 };
-std::string need_lists_key(const JobId& id);
-std::string need_list_key(const JobId& id, const std::string& set, std::size_t number);
+std::string dependency_lists_key(const JobId& id);
+std::string dependency_list_key(const JobId& id, const std::string& set, std::size_t number);
 // The job that a key of its need lists is for.
-std::optional<JobId> job_of_need_key(const std::string& key);
+std::optional<JobId> job_of_dependency_key(const std::string& key);
 // The lists' values, each of so many bytes at most.
-std::vector<Json> split_needs(const std::vector<JobId>& needs, std::size_t most_bytes);
+std::vector<Json> split_dependencies(const std::vector<JobId>& dependencies,
+                                     std::size_t most_bytes);
 // Names the set by its content.
-NeedLists name_need_lists(const std::vector<Json>& lists);
-Json to_json(const NeedLists& lists);
+DependencyLists name_dependency_lists(const std::vector<Json>& lists);
+Json to_json(const DependencyLists& lists);
 
 struct JobRecord {
   JobSpec spec;
-  std::optional<NeedLists> need_lists;  // where spec.needs is kept, if not here
-  double submitted = 0;                 // by the time of day of the node that accepted it
+  std::optional<DependencyLists> dependency_lists;  // where spec.needs is kept, if not here
+  double submitted = 0;  // by the time of day of the node that accepted it
   bool cancelled = false;
   TaskNo chunk = kMostChunk;  // tasks that share a record
   TaskNo piece = 0;  // of these, so many do since the chunks were divided; 0: they were not
--- a/src/users.cpp
+++ b/src/users.cpp
@@ -31,7 +31,7 @@
 
 constexpr const char* kStateSilent = "the state service does not answer";
 // Final states read from the store for one submission at most; what is left is read for its next try.
-constexpr std::size_t kMostNeedsRead = 64;
+constexpr std::size_t kMaxDependenciesRead = 64;
 
 }  // namespace
 
@@ -58,7 +58,7 @@
   // It is cancelled with any job that it depends on: another node may have told so, and this one must not
   // say "queued" for want of a final state that it has not read.
   const auto unresolved =
-      locked([&](coordination::Controller& c) { return c.cache().unresolved_needs(id); });
+      locked([&](coordination::Controller& c) { return c.cache().unresolved_dependencies(id); });
   for (const JobId& need : unresolved) {
     if (read_final(need) == Known::kCantTell) return Known::kCantTell;
   }
@@ -85,11 +85,11 @@
   return Known::kYes;
 }
 
-Users::Needs Users::look_up_needs(const protocol::JobSpec& spec) {
+Users::DependencyLookup Users::look_up_dependencies(const protocol::JobSpec& spec) {
   // What is known here was accepted; of the rest only the store can say that it never was.
   const auto not_known = [&](coordination::Controller& c) {
     std::vector<JobId> ids;
-    for (const JobId& need : spec.needs) {
+    for (const JobId& need : spec.dependencies) {
       if (!c.cache().job(need) && !c.cache().final_state(need)) ids.push_back(need);
     }
     return ids;
@@ -98,20 +98,20 @@
     if (!store_.current()) return {Known::kCantTell, {}, false};
     const std::vector<JobId> ids = locked(not_known);
     for (std::size_t i = 0; i < ids.size(); ++i) {
-      if (i == kMostNeedsRead) return {Known::kCantTell, {}, false};
+      if (i == kMaxDependenciesRead) return {Known::kCantTell, {}, false};
       const Known known = read_final(ids[i]);
       if (known != Known::kYes) return {known, ids[i], false};
     }
   }
   return locked([&](coordination::Controller& c) {
     const bool cancelled =
-        std::any_of(spec.needs.begin(), spec.needs.end(), [&](const JobId& need) {
+        std::any_of(spec.dependencies.begin(), spec.dependencies.end(), [&](const JobId& need) {
           const auto over = c.cache().final_state(need);
           if (over) return over->status == protocol::JobStatus::kCancelled;
           const auto* live = c.cache().job(need);
           return live && live->cancelled_on_record();
         });
-    return Needs{Known::kYes, {}, cancelled};
+    return DependencyLookup{Known::kYes, {}, cancelled};
   });
 }
 
@@ -146,30 +146,30 @@
     if (v.undecided) return try_later("the machine types are not known yet");
     if (v.never) return error(422, *v.never);
   }
-  const Needs needs = look_up_needs(spec);
-  if (needs.known != Known::kYes) {
+  const DependencyLookup dependencies = look_up_dependencies(spec);
+  if (dependencies.known != Known::kYes) {
     // Accepted already, it is so whatever it needs.
     const auto known = look_up(spec.id, reply);
     if (known == Known::kYes) return reply;
-    if (known == Known::kCantTell || needs.known == Known::kCantTell)
+    if (known == Known::kCantTell || dependencies.known == Known::kCantTell)
       return try_later(kStateSilent);
-    return error(422, "no such job: " + needs.never_accepted.get());
+    return error(422, "no such job: " + dependencies.never_accepted.get());
   }
   coordination::AcceptanceContext context;
   context.time_of_day = store_.wall();
   context.partitions = static_cast<std::size_t>(std::max(1, settings_.size));
   context.value_bytes = settings_.value_bytes;
-  context.need_cancelled = needs.cancelled;
+  context.dependency_cancelled = dependencies.cancelled;
   return accept(coordination::accepted_record(spec, context), now);
 }
 
 // What it needs is written first, then the record that makes it accepted.
-std::optional<Version> Users::write_need_lists(const protocol::JobRecord& record) {
-  const std::string key = protocol::need_lists_key(record.spec.id);
+std::optional<Version> Users::write_dependency_lists(const protocol::JobRecord& record) {
+  const std::string key = protocol::dependency_lists_key(record.spec.id);
   const auto before = store_.get(key);
   if (!before.answered) return {};
   Version version = before.item.version;
-  const Json value = to_json(*record.need_lists);
+  const Json value = to_json(*record.dependency_lists);
   if (version.get() == 0 || before.item.value != value) {
     Transaction txn;
     txn.guards[key] = version;
@@ -178,7 +178,7 @@
     if (done.outcome != Outcome::kDone) return {};
     version = Version(done.revision.get());
   }
-  for (const Transaction& txn : coordination::need_list_writes(record, version, settings_)) {
+  for (const Transaction& txn : coordination::dependency_list_writes(record, version, settings_)) {
     if (store_.commit(txn).outcome != Outcome::kDone) return {};
   }
   return version;
@@ -187,8 +187,8 @@
 Reply Users::accept(const protocol::JobRecord& record, Time now) {
   const protocol::JobSpec& spec = record.spec;
   Version lists;
-  if (record.need_lists) {
-    const auto written = write_need_lists(record);
+  if (record.dependency_lists) {
+    const auto written = write_dependency_lists(record);
     if (!written) return try_later("the state service did not take what the job needs");
     lists = *written;
   }
--- a/src/users.h
+++ b/src/users.h
@@ -40,15 +40,15 @@
   // Reads a job's final state from the store, if it has one, and remembers it.
   Known read_final(const base::JobId& id);
   // The jobs that a submission needs.
-  struct Needs {
+  struct DependencyLookup {
     Known known = Known::kYes;  // were all of them accepted?
     base::JobId never_accepted;
     bool cancelled = false;  // one of them is cancelled, and so is what needs it
   };
-  Needs look_up_needs(const protocol::JobSpec& spec);
+  DependencyLookup look_up_dependencies(const protocol::JobSpec& spec);
   transport::Reply accept(const protocol::JobRecord& record, base::Time now);
   // The version of the record that names the lists; none: they are not all written.
-  std::optional<base::Version> write_need_lists(const protocol::JobRecord& record);
+  std::optional<base::Version> write_dependency_lists(const protocol::JobRecord& record);
 
   template <class F>
   auto locked(F f) {
--- a/tests/job_priorities_test.cpp
+++ b/tests/job_priorities_test.cpp
@@ -21,7 +21,7 @@
     priorities_.set_time_of_day(now_, 1000);
   }
 
-  void add(const JobId& id, Rank rank, std::vector<JobId> needs,
+  void add(const JobId& id, Rank rank, std::vector<JobId> dependencies,
            std::optional<Seconds> deadline = {}, bool cancelled = false) {
     protocol::JobRecord record;
     auto& spec = record.spec;
@@ -34,7 +34,7 @@
     spec.image = "img";
     spec.estimate = Seconds(20);
     spec.deadline = deadline;
-    spec.needs = std::move(needs);
+    spec.dependencies = std::move(dependencies);
     record.submitted = 1000;
     record.cancelled = cancelled;
     cache_.apply({protocol::job_key(id), to_json(record), base::Version(++revision_)}, now_);
@@ -94,7 +94,7 @@
   cache_.apply({protocol::job_key(kFirst), protocol::Json(), base::Version(++revision_)}, now_);
   cache_.remember_final(kFirst, {protocol::JobStatus::kDone, 1050});
   priorities_.update(now_);
-  EXPECT_FALSE(job(kMiddle).waits);
+  EXPECT_FALSE(job(kMiddle).blocked);
   EXPECT_DOUBLE_EQ(job(kMiddle).startable_since(), 1050);
   EXPECT_TRUE(priorities_.is_guaranteed(job(kLast)));
   EXPECT_FALSE(priorities_.is_guaranteed(job(kMiddle)));
--- a/tests/users_test.cpp
+++ b/tests/users_test.cpp
@@ -18,7 +18,7 @@
 
 const JobId kNeed("run-000001"), kJob("run-000002"), kLast("run-000003");
 
-protocol::JobSpec spec(const JobId& id, std::vector<JobId> needs) {
+protocol::JobSpec spec(const JobId& id, std::vector<JobId> dependencies) {
   protocol::JobSpec s;
   s.id = id;
   s.job_class = "c";
@@ -26,7 +26,7 @@
   s.tasks = 1;
   s.request.v = {1, 0, 1};
   s.image = "img";
-  s.needs = std::move(needs);
+  s.dependencies = std::move(dependencies);
   return s;
 }
 
@@ -184,12 +184,12 @@
 
 // As many as a body of 64 KiB holds are kept, in values of 2 KiB, in whichever order another node reads them.
 TEST_F(UsersOfPipelines, ALongListOfNeedsIsKeptApart) {
-  std::vector<JobId> needs;
+  std::vector<JobId> dependencies;
   for (int i = 0; i < 4500; ++i) {
-    needs.emplace_back("run-" + std::to_string(200000 + i));
-    controller_.cache().remember_final(needs.back(), {});
+    dependencies.emplace_back("run-" + std::to_string(200000 + i));
+    controller_.cache().remember_final(dependencies.back(), {});
   }
-  const auto s = spec(kJob, needs);
+  const auto s = spec(kJob, dependencies);
   ASSERT_LT(to_json(s).dump().size(), 64u << 10);
   EXPECT_EQ(submit(s).status, 201);
   EXPECT_EQ(written_.back(), protocol::job_key(kJob)) << "accepted before all lists are written";
@@ -200,13 +200,13 @@
     std::uint64_t version = 0;
     for (const std::string& key : keys) {
       if (other.job(kJob) && key != keys.back()) {
-        EXPECT_TRUE(other.job(kJob)->waits);
+        EXPECT_TRUE(other.job(kJob)->blocked);
       }
       other.apply({key, store_.at(key), base::Version(++version)}, base::Time{});
     }
-    EXPECT_EQ(other.job(kJob)->record.spec.needs, needs);
-    EXPECT_EQ(other.dependencies().open_needs(kJob).size(), needs.size());
-    EXPECT_TRUE(other.job(kJob)->waits);
+    EXPECT_EQ(other.job(kJob)->record.spec.dependencies, dependencies);
+    EXPECT_EQ(other.dependency_graph().open_dependencies(kJob).size(), dependencies.size());
+    EXPECT_TRUE(other.job(kJob)->blocked);
     // All of it goes once the job is over.
     other.apply({protocol::job_key(kJob), Json(), base::Version(++version)}, base::Time{});
     EXPECT_EQ(other.orphans().size(), keys.size() - 1);
@@ -215,16 +215,16 @@
 
 // A node that ends before all lists are written has accepted nothing; the next try completes them.
 TEST_F(UsersOfPipelines, ListsThatAreNotAllWrittenAcceptNothing) {
-  std::vector<JobId> needs;
+  std::vector<JobId> dependencies;
   for (int i = 0; i < 1000; ++i) {
-    needs.emplace_back("run-" + std::to_string(200000 + i));
-    controller_.cache().remember_final(needs.back(), {});
+    dependencies.emplace_back("run-" + std::to_string(200000 + i));
+    controller_.cache().remember_final(dependencies.back(), {});
   }
   commits_left_ = 2;
-  EXPECT_EQ(submit(spec(kJob, needs)).status, 503);
+  EXPECT_EQ(submit(spec(kJob, dependencies)).status, 503);
   EXPECT_FALSE(store_.contains(protocol::job_key(kJob)));
   commits_left_ = 1000;
-  EXPECT_EQ(submit(spec(kJob, needs)).status, 201);
+  EXPECT_EQ(submit(spec(kJob, dependencies)).status, 201);
 }
 
 }  // namespace saddleslip
--- a/tests/world.h
+++ b/tests/world.h
@@ -179,7 +179,7 @@
   void round(std::size_t n);
   void fleet(std::size_t n);
   void refresh(std::size_t n, const std::vector<std::string>& keys);
-  void read_unresolved_needs(std::size_t n);
+  void read_unresolved_dependencies(std::size_t n);
   bool cut(const std::string& a, const std::string& b) const;
 
   // users and rules
@@ -187,9 +187,9 @@
   void poll();
   void check_start(const Worker& w, const TaskId& task);
   // Is every job that it needs done, by what its tasks did and by its final record?
-  bool needs_are_done(const JobSim& job) const;
+  bool dependencies_are_done(const JobSim& job) const;
   // When the user of a job that it depends on, through any number of steps, was told of its cancellation.
-  std::optional<double> need_cancelled_at(const JobSim& job) const;
+  std::optional<double> dependency_cancelled_at(const JobSim& job) const;
   // Was the cancellation of the job, or of one that it depends on, asked for?
   bool cancellation_asked(const JobSim& job) const;
   void check_answer(JobSim& job, const std::string& status);
--- a/tests/world_checks.cpp
+++ b/tests/world_checks.cpp
@@ -34,7 +34,7 @@
       if (t != task) ++zones[other.zone];
     }
   }
-  if (!needs_are_done(j->second)) broken("too_early: " + text);
+  if (!dependencies_are_done(j->second)) broken("too_early: " + text);
   if (!coordination::may_run(spec, w.type, w.zone, w.spot)) broken("wrong_place: " + text);
   if (spec.one_zone && !zones.empty() && !zones.contains(w.zone))
     broken("wrong_place: " + text + " in another zone");
@@ -43,19 +43,20 @@
   }
 }
 
-bool World::needs_are_done(const JobSim& job) const {
-  return std::all_of(job.spec.needs.begin(), job.spec.needs.end(), [this](const JobId& need) {
-    const auto at = jobs_.find(need);
-    const auto record = store_.find(protocol::final_key(need));
-    return at != jobs_.end() && at->second.done.size() == at->second.spec.tasks &&
-           record != store_.end() && record->second.value["f"] == "d";
-  });
+bool World::dependencies_are_done(const JobSim& job) const {
+  return std::all_of(
+      job.spec.dependencies.begin(), job.spec.dependencies.end(), [this](const JobId& need) {
+        const auto at = jobs_.find(need);
+        const auto record = store_.find(protocol::final_key(need));
+        return at != jobs_.end() && at->second.done.size() == at->second.spec.tasks &&
+               record != store_.end() && record->second.value["f"] == "d";
+      });
 }
 
-std::optional<double> World::need_cancelled_at(const JobSim& job) const {
+std::optional<double> World::dependency_cancelled_at(const JobSim& job) const {
   std::optional<double> first;
   std::set<JobId> seen;
-  std::vector<JobId> open = job.spec.needs;
+  std::vector<JobId> open = job.spec.dependencies;
   while (!open.empty()) {
     const JobId id = open.back();
     open.pop_back();
@@ -63,13 +64,14 @@
     if (at == jobs_.end() || !seen.insert(id).second) continue;
     const auto& told = at->second.cancelled_at;
     if (told && (!first || *told < *first)) first = told;
-    open.insert(open.end(), at->second.spec.needs.begin(), at->second.spec.needs.end());
+    open.insert(open.end(), at->second.spec.dependencies.begin(),
+                at->second.spec.dependencies.end());
   }
   return first;
 }
 
 bool World::cancellation_asked(const JobSim& job) const {
-  return job.cancel_asked || need_cancelled_at(job);
+  return job.cancel_asked || dependency_cancelled_at(job);
 }
 
 void World::check_command(std::size_t n, const TaskId& task) {
@@ -121,7 +123,7 @@
       job.known_at = t_;
       check_answer(job, Json::parse(r.body)["status"]);
     }
-    if (!job.ready_since && needs_are_done(job)) job.ready_since = t_;
+    if (!job.ready_since && dependencies_are_done(job)) job.ready_since = t_;
   }
   check_waiting();
   for (const auto& [id, job] : jobs_) {
@@ -142,8 +144,8 @@
   if (status == "done" && job.done.size() < job.spec.tasks) broken("not_done: " + id);
   if (status == "cancelled" && !cancellation_asked(job))
     broken("went_back: " + id + " cancelled by nobody");
-  const auto need_cancelled = need_cancelled_at(job);
-  if (status != "cancelled" && need_cancelled && t_ > *need_cancelled + cancel_s_)
+  const auto dependency_cancelled = dependency_cancelled_at(job);
+  if (status != "cancelled" && dependency_cancelled && t_ > *dependency_cancelled + cancel_s_)
     broken("orphaned: " + id + " is called " + status);
   if (status == "done" || status == "cancelled") job.told_final = status;
 }
--- a/tests/world_commands.cpp
+++ b/tests/world_commands.cpp
@@ -188,10 +188,11 @@
   if (options.contains("type")) job.spec.types = {{options["type"]}};
   job.run = option("run", 10);
   if (options.contains("fails")) job.fails_after = option("fails", 0);
-  std::istringstream needs(options["follows"]);
-  for (std::string need; std::getline(needs, need, ',');) job.spec.needs.emplace_back(need);
+  std::istringstream dependencies(options["follows"]);
+  for (std::string need; std::getline(dependencies, need, ',');)
+    job.spec.dependencies.emplace_back(need);
   job.submitted = job.known_at = t_;
-  if (job.spec.needs.empty()) job.ready_since = t_;
+  if (job.spec.dependencies.empty()) job.ready_since = t_;
   submit(static_cast<std::size_t>(option("node", 0)), jobs_[job.spec.id] = job);
 }
 
--- a/tests/world_controllers.cpp
+++ b/tests/world_controllers.cpp
@@ -162,9 +162,9 @@
   }
 }
 
-void World::read_unresolved_needs(std::size_t n) {
+void World::read_unresolved_dependencies(std::size_t n) {
   auto& cache = nodes_[n].controller->cache();
-  for (const JobId& id : cache.unresolved_needs()) {
+  for (const JobId& id : cache.unresolved_dependencies()) {
     const auto got = get(n, protocol::final_key(id));
     const auto state = got.answered ? protocol::parse_final(got.item.value) : std::nullopt;
     if (state) cache.remember_final(id, *state);
@@ -243,7 +243,7 @@
       node.rung = true;
     }
   }
-  read_unresolved_needs(n);
+  read_unresolved_dependencies(n);
 }
 
 void World::fleet(std::size_t n) {
