--- a/bench/versions/records_tool.cpp
+++ b/bench/versions/records_tool.cpp
@@ -120,7 +120,7 @@
   room.tasks = 2;
   room.images = {"img-07"};
   status.machines = {room};
-  status.claims = {base::MachineId("i-000233")};
+  status.ownership_claims = {base::MachineId("i-000233")};
   status.contact = protocol::WorkerContact::kLost;
   print("message/status", to_json(status, base::Time{}));
   protocol::Offers offers;
@@ -134,7 +134,7 @@
   if (key == "message/status") {
     const auto s = protocol::parse_status(value, base::Time{});
     std::cout << key << ' ' << s->from.member.get() << ' ' << s->machines.size() << ' '
-              << s->machines[0].free.cores() << ' ' << s->claims.size() << ' '
+              << s->machines[0].free.cores() << ' ' << s->ownership_claims.size() << ' '
               << (s->contact == protocol::WorkerContact::kLost) << '\n';
   } else {
     const auto o = protocol::parse_offers(value);
@@ -183,9 +183,9 @@
   const auto& view = *cache.view();
   std::cout << "view " << view.epoch.get() << ' ' << view.members.size() << ' '
             << view.overrides.size() << " leader " << cache.leader()->incarnation.get()
-            << " members " << cache.members().size() << " claims " << cache.claims().size()
-            << " booting " << cache.booting().size() << ' ' << cache.booting()[0].type << " types "
-            << cache.catalogue().size() << '\n';
+            << " members " << cache.members().size() << " claims "
+            << cache.ownership_claims().size() << " booting " << cache.booting().size() << ' '
+            << cache.booting()[0].type << " types " << cache.catalogue().size() << '\n';
 }
 
 }  // namespace
--- a/src/bookkeeping/ledger.h
+++ b/src/bookkeeping/ledger.h
@@ -141,7 +141,7 @@
   const std::optional<View>& view() const { return view_; }
   const std::optional<ControllerIncarnation>& leader() const { return leader_; }
   const std::map<MemberId, protocol::Member>& members() const { return members_; }
-  const std::map<MachineId, ControllerIncarnation>& claims() const { return claims_; }
+  const std::map<MachineId, ControllerIncarnation>& ownership_claims() const { return claims_; }
   const std::vector<MachineType>& catalogue() const { return catalogue_; }
   const MachineType* type(const std::string& name) const;
   // What all controllers read, as is on record.
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -15,7 +15,7 @@
 constexpr double kFencingTokenRenewal =
     0.5;  // of a lease: workers report a new token this often at most
 // A machine that hears no answer goes from node to node, and comes by within this.
-constexpr Seconds kDeafRound{20.0};
+constexpr Seconds kHalfOpenRound{20.0};
 constexpr std::size_t kMostSuspects = 256;  // named in one status
 constexpr std::size_t kMostOwners = 20000;  // remembered; more are worked out anew
 
@@ -238,13 +238,13 @@
     for (const auto& id : shun) spdlog::warn("{} can't be reached: left out of the view", id.get());
   }
   const auto next = next_view(
-      members, cache_.view(), shunned_, heard_claims(now),
+      members, cache_.view(), shunned_, gather_ownership_claims(now),
       [this](const MachineId& id) { return gone_.contains(id); }, settings_.value_bytes);
   if (next) {
     txn.guards[protocol::kViewKey] = cache_.version(protocol::kViewKey);
     txn.writes.push_back({protocol::kViewKey, to_json(*next), {}});
   }
-  for (const auto& [machine, incarnation] : cache_.claims()) {
+  for (const auto& [machine, incarnation] : cache_.ownership_claims()) {
     if (txn.writes.size() + 1 >= settings_.txn_ops) break;
     const std::string key = protocol::claim_key(machine);
     txn.guards[key] = cache_.version(key);
@@ -300,7 +300,7 @@
   }
   const ControllerIncarnation* of = owner(heartbeat.machine);
   if (of->member != self_.member) {
-    remember_bounced(heartbeat.machine, *of, now);
+    record_misdirected_heartbeat(heartbeat.machine, *of, now);
     return {421, protocol::redirect(of->member)};
   }
   if (!has_authority(now)) return {503, protocol::error_body("not entitled to act now")};
@@ -607,7 +607,8 @@
   MachineStatus& r = m.status;
   const bool silent = !is_schedulable(m, now);
   const bool soon = !m.closed && !m.is_confirmed() && !m.deaf() && has_recent_heartbeat(m, now);
-  const bool unsure = m.lost_answers > 0 && base::between(m.last_heartbeat_at, now) < kDeafRound;
+  const bool unsure =
+      m.lost_answers > 0 && base::between(m.last_heartbeat_at, now) < kHalfOpenRound;
   const bool open = !m.closed && !silent;
   const Time idle = o.assigned > 0 ? Time{} : m.idle_since;
   const std::pair heartbeat(m.last_heartbeat.agent_incarnation, m.last_heartbeat.sequence);
@@ -688,11 +689,11 @@
   }
   std::erase_if(left_, [&](const auto& l) { return l.second <= least; });
   s.give_back = asked_back();
-  s.knocked = knocked(now);
+  s.misdirected = misdirected(now);
   s.contact = worker_contact(now);
   s.suspects = failures_.suspects();
   if (s.suspects.size() > kMostSuspects) s.suspects.resize(kMostSuspects);
-  if (cache_.leader() && cache_.leader()->member == to) s.claims = claims(now);
+  if (cache_.leader() && cache_.leader()->member == to) s.ownership_claims = ownership_claims(now);
   return s;
 }
 
@@ -711,8 +712,8 @@
   s.has_state = status.has_state;
   s.upto = status.upto;
   s.give_back = status.give_back;
-  s.knocked = status.knocked;
-  s.claims = status.claims;
+  s.misdirected = status.misdirected;
+  s.ownership_claims = status.ownership_claims;
   s.contact = status.contact;
   s.suspects = {status.suspects.begin(), status.suspects.end()};
   s.last_heartbeat_at = now;
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -129,7 +129,7 @@
   // --- workers
   WorkerReply handle_heartbeat(const Heartbeat& heartbeat, Time now);
   // Claims, by way of the store, for when the leader is out of reach.
-  std::optional<Transaction> claim(Time now);
+  std::optional<Transaction> propose_ownership_claims(Time now);
   void handle_order_reply(const MachineId& machine, const std::optional<Heartbeat>& heartbeat,
                           Time now);
   // A direct order was not answered: until the machine reports again, what it is to do goes with
@@ -196,7 +196,7 @@
     bool has_state = false;
     std::uint64_t upto = 0;
     std::map<MachineId, MachineStatus> machines;
-    std::vector<MachineId> give_back, knocked, claims;
+    std::vector<MachineId> give_back, misdirected, ownership_claims;
     std::set<JobId> suspects;
     protocol::WorkerContact contact = protocol::WorkerContact::kUnknown;
     Time last_heartbeat_at{};
@@ -224,11 +224,12 @@
   Resources being_stopped(const Machine& m) const;
   void update_status(Machine& m, Time now);
   std::vector<MachineId> asked_back() const;
-  std::vector<MachineId> knocked(Time now) const;
+  std::vector<MachineId> misdirected(Time now) const;
   // A machine of that owner reported here and was sent there.
-  void remember_bounced(const MachineId& machine, const ControllerIncarnation& owner, Time now);
+  void record_misdirected_heartbeat(const MachineId& machine, const ControllerIncarnation& owner,
+                                    Time now);
   // Machines that come back again and again: they reach this node, and not their owner.
-  std::vector<MachineId> claims(Time now);
+  std::vector<MachineId> ownership_claims(Time now);
   // Notices that this process stood still, its clock running on.
   void note_running(Time now);
   Time listening_since() const;
@@ -248,7 +249,7 @@
   // Adds the machines of members that have lost their workers. False: there are none.
   bool hand_over_unheard(Time now, std::map<MachineId, ControllerIncarnation>& to) const;
   // All members' claims that the leader has heard of, if it is time for a view that follows them.
-  std::map<MachineId, ControllerIncarnation> heard_claims(Time now);
+  std::map<MachineId, ControllerIncarnation> gather_ownership_claims(Time now);
   std::string zone_of(const MachineId& machine) const;
   static const protocol::ReportedAttempt* reported_attempt(const Machine& m, const TaskId& task,
                                                            const protocol::Assignment& assignment);
@@ -387,7 +388,7 @@
   mutable std::unordered_map<MachineId, std::size_t> owners_;  // by place in the view's members
   mutable Version owners_view_version_;
   std::map<MachineId, Machine> machines_;
-  struct Bounced {
+  struct MisdirectedHeartbeats {
     ControllerIncarnation owner;  // to whom it was sent
     Time first{}, last{};
     int times = 0;
@@ -399,9 +400,9 @@
     bool starved = false;  // for a job that waited too long, rather than one that displaces others
   };
   std::map<MachineId, Gathered> gathered_;  // kept free of other work until the job fits
-  std::map<MachineId, Bounced> bounced_;    // sent to their owners, and back again
-  std::optional<Time> claimed_at_;          // since when there are claims that no view follows yet
-  std::map<MachineId, Time> owned_since_;   // for machines never heard: the base of lease proofs
+  std::map<MachineId, MisdirectedHeartbeats> misdirected_;  // sent to their owners, and back again
+  std::optional<Time> claimed_at_;         // since when there are claims that no view follows yet
+  std::map<MachineId, Time> owned_since_;  // for machines never heard: the base of lease proofs
   std::map<MachineId, AgentIncarnation> ended_incarnations_;
   std::map<MachineId, Time> gone_;
   std::map<TaskId, base::Attempt> absent_;  // cancelled, and certainly never to start
--- a/src/coordination/fleet_control.cpp
+++ b/src/coordination/fleet_control.cpp
@@ -117,7 +117,7 @@
   for (const MachineId& id : asked_back()) release.insert(id);
   // A machine that is silent for its owner and reports elsewhere is well: it is the owner that is
   // out of its reach.
-  const auto own_knocked = knocked(now);
+  const auto own_knocked = misdirected(now);
   std::set<MachineId> well(own_knocked.begin(), own_knocked.end());
   for (const auto& [member, s] : siblings_) {
     if (base::between(s.last_heartbeat_at, now) > kStatusFresh ||
@@ -125,7 +125,7 @@
       continue;
     }
     release.insert(s.give_back.begin(), s.give_back.end());
-    well.insert(s.knocked.begin(), s.knocked.end());
+    well.insert(s.misdirected.begin(), s.misdirected.end());
   }
   // ... unless its owner hears it too, and is not heard: then it goes from node to node.
   for (const auto& [member, rooms] : known) {
--- a/src/coordination/handover.cpp
+++ b/src/coordination/handover.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr Seconds kBounceMemory{15.0};
+constexpr Seconds kMisdirectedMemory{15.0};
 // A machine whose owner doesn't hear it comes to other members for so long before it is claimed.
-constexpr Seconds kKnocked{3.0};
+constexpr Seconds kClaimAfter{3.0};
 constexpr Seconds kOverrideHeld{60.0};  // a machine that was handed over stays for so long
 constexpr Seconds kStatusRecent{2.5};   // a sibling's word on what it hears now
 // Workers whose node does not answer need so long, and a report interval, to find another one.
@@ -21,25 +21,26 @@
 
 }  // namespace
 
-void Controller::remember_bounced(const MachineId& machine, const ControllerIncarnation& owner,
-                                  Time now) {
-  Bounced& b = bounced_[machine];
-  if (b.owner != owner || base::between(b.last, now) > kBounceMemory) b = {owner, now, now, 0};
+void Controller::record_misdirected_heartbeat(const MachineId& machine,
+                                              const ControllerIncarnation& owner, Time now) {
+  MisdirectedHeartbeats& b = misdirected_[machine];
+  if (b.owner != owner || base::between(b.last, now) > kMisdirectedMemory) b = {owner, now, now, 0};
   b.last = now;
   ++b.times;
 }
 
-std::vector<MachineId> Controller::claims(Time now) {
+std::vector<MachineId> Controller::ownership_claims(Time now) {
   std::vector<MachineId> out;
-  std::erase_if(bounced_,
-                [&](const auto& b) { return base::between(b.second.last, now) > kBounceMemory; });
+  std::erase_if(misdirected_, [&](const auto& b) {
+    return base::between(b.second.last, now) > kMisdirectedMemory;
+  });
   if (!has_authority(now)) {
     // Nor may their owners answer, most likely: in an outage of the state service all are turned
     // away everywhere.
-    bounced_.clear();
+    misdirected_.clear();
     return out;
   }
-  for (const auto& [id, b] : bounced_) {
+  for (const auto& [id, b] : misdirected_) {
     if (owns(id)) continue;
     // A machine that hears nobody knocks everywhere: handed on each time, its owners would change
     // for ever, and none would get to see that it is deaf.
@@ -59,7 +60,7 @@
       const auto& rooms = s->second.machines;
       const auto room = rooms.find(id);
       // It came back once more: its way to the owner is barred, and it has not just ended.
-      lost = b.times >= 2 && base::between(b.first, now) > kKnocked &&
+      lost = b.times >= 2 && base::between(b.first, now) > kClaimAfter &&
              (room == rooms.end() ||
               (room->second.late && !room->second.unsure && !room->second.soon));
     } else {
@@ -72,14 +73,14 @@
   return out;
 }
 
-std::optional<Transaction> Controller::claim(Time now) {
+std::optional<Transaction> Controller::propose_ownership_claims(Time now) {
   const auto& leader = cache_.leader();
   if (!leader || *leader == self_) return {};
   const auto reached = reached_.find(leader->member);
   if (reached != reached_.end() && base::between(reached->second, now) < kReachable) return {};
   Transaction txn;
   txn.guards[protocol::kViewKey] = installed_view_;
-  for (const MachineId& id : claims(now)) {
+  for (const MachineId& id : ownership_claims(now)) {
     const std::string key = protocol::claim_key(id);
     if (cache_.version(key).get() != 0) continue;
     if (txn.writes.size() >= settings_.txn_ops) break;
@@ -194,8 +195,8 @@
 
 // Each new view fences all that is under way: one that follows claims carries as many as come within
 // a moment, since a node that loses its workers loses all of them.
-std::map<MachineId, ControllerIncarnation> Controller::heard_claims(Time now) {
-  std::map<MachineId, ControllerIncarnation> all = cache_.claims();
+std::map<MachineId, ControllerIncarnation> Controller::gather_ownership_claims(Time now) {
+  std::map<MachineId, ControllerIncarnation> all = cache_.ownership_claims();
   const bool stored = !all.empty();
   const auto& view = cache_.view();
   const auto take = [&](const ControllerIncarnation& by, const std::vector<MachineId>& machines) {
@@ -205,10 +206,10 @@
     }
   };
   if (view) {
-    take(self_, claims(now));
+    take(self_, ownership_claims(now));
     for (const auto& [member, s] : siblings_) {
       if (has_member(*view, s.from) && base::between(s.last_heartbeat_at, now) < kStatusRecent) {
-        take(s.from, s.claims);
+        take(s.from, s.ownership_claims);
       }
     }
   }
@@ -228,10 +229,10 @@
   return all;
 }
 
-std::vector<MachineId> Controller::knocked(Time now) const {
+std::vector<MachineId> Controller::misdirected(Time now) const {
   std::vector<MachineId> out;
-  for (const auto& [id, b] : bounced_) {
-    if (base::between(b.last, now) < kBounceMemory) out.push_back(id);
+  for (const auto& [id, b] : misdirected_) {
+    if (base::between(b.last, now) < kMisdirectedMemory) out.push_back(id);
   }
   return out;
 }
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -354,8 +354,9 @@
       }
       if (done.outcome == Outcome::kConflict) refresh(done.failed);
     }
-    if (const auto claim = locked([](auto& c) { return c.claim(now()); })) {
-      commit(*claim, kStateCall);
+    if (const auto propose_ownership_claims =
+            locked([](auto& c) { return c.propose_ownership_claims(now()); })) {
+      commit(*propose_ownership_claims, kStateCall);
     }
     round_bell_.ring();
     beat_bell_.wait(period);
--- a/src/protocol/records.cpp
+++ b/src/protocol/records.cpp
@@ -397,8 +397,8 @@
               {"m", std::move(machines)},
               {"left", ids_to_json(s.left)},
               {"back", ids_to_json(s.give_back)},
-              {"knocked", ids_to_json(s.knocked)},
-              {"claims", ids_to_json(s.claims)},
+              {"knocked", ids_to_json(s.misdirected)},
+              {"claims", ids_to_json(s.ownership_claims)},
               {"suspects", ids_to_json(s.suspects)},
               {"contact", to_string(s.contact)}};
 }
@@ -432,8 +432,8 @@
     }
     s.left = parse_ids<MachineId>(body, "left");
     s.give_back = parse_ids<MachineId>(body, "back");
-    s.knocked = parse_ids<MachineId>(body, "knocked");
-    s.claims = parse_ids<MachineId>(body, "claims");
+    s.misdirected = parse_ids<MachineId>(body, "knocked");
+    s.ownership_claims = parse_ids<MachineId>(body, "claims");
     s.suspects = parse_ids<JobId>(body, "suspects");
     s.contact = parse_contact(body.value("contact", ""));
     return s;
--- a/tests/world_controllers.cpp
+++ b/tests/world_controllers.cpp
@@ -150,7 +150,7 @@
   node.controller->lease_acquired(now());
   const std::uint64_t cache_generation = node.controller->cache_generation();
   if (catch_up(n)) node.controller->lease_renewed(now(), cache_generation);
-  if (const auto txn = node.controller->claim(now())) commit(n, *txn);
+  if (const auto txn = node.controller->propose_ownership_claims(now())) commit(n, *txn);
   if (const auto txn = node.controller->propose_membership_change(now(), *node.lease)) {
     const auto done = commit(n, *txn);
     if (done.outcome == Outcome::kDone) {
