--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -227,7 +227,7 @@
       {"longest_wait_s", seconds(t.longest_wait, 1, 86400)},
       {"record_within_s", seconds(t.record_within, 0, 600)},
       {"headroom", plain(t.headroom, 0, 10)},
-      {"mute_release_s", seconds(t.mute_release, 0, 86400)},
+      {"mute_release_s", seconds(t.silent_release, 0, 86400)},
       {"spot_share", plain(t.spot_share, 0, 1)},
       {"max_connections",
        [&t](double v) {
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -52,7 +52,7 @@
   Seconds idle_return{8.0};     // an idle machine goes back after this
   double headroom = 0.5;        // room kept for arriving services, as a share of what arrives
                                 // while a machine boots
-  Seconds mute_release{0.0};    // a mute machine is given back after this; 0: from the lease
+  Seconds silent_release{0.0};  // a mute machine is given back after this; 0: from the lease
   double spot_share = 1.0;      // the share of spot-tolerant demand that is rented as spot
   Seconds longest_wait{120.0};  // a job of which nothing began for this long goes before others
   Seconds record_within{20.0};  // a task's end that nothing hangs on is recorded within this
--- a/src/bookkeeping/machines.h
+++ b/src/bookkeeping/machines.h
@@ -59,10 +59,10 @@
   // nothing tells a machine that hears from a late copy of its reports, or from one whose reports
   // arrive while no answer reaches it.
   FencingToken confirmation_token;
-  Time fencing_token_since{};    // when the present token was first given in an answer
-  FencingToken last_sent_token;  // the one of the latest answer
-  int lost_answers = 0;          // reports in a row that did not show what was answered before
-  std::optional<Time> deaf_since;
+  Time fencing_token_since{};      // when the present token was first given in an answer
+  FencingToken last_sent_token;    // the one of the latest answer
+  int unacknowledged_replies = 0;  // reports in a row that did not show what was answered before
+  std::optional<Time> half_open_since;
   bool order_lost = false;  // no direct orders until it reports again
   bool closed = false;      // takes no new tasks
   bool draining = false;    // its services are being moved elsewhere
@@ -97,7 +97,7 @@
   // Has it heard this owner, in this session of its own?
   bool is_confirmed() const { return last_heartbeat.fencing_token >= confirmation_token; }
   // One answer may be lost, or late; two in a row are a sign.
-  bool deaf() const { return lost_answers >= 2; }
+  bool is_half_open() const { return unacknowledged_replies >= 2; }
 };
 
 }  // namespace saddleslip::bookkeeping
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -361,14 +361,14 @@
   }
   if (renews_lease && m.last_sent_token.get() != 0) {
     if (heartbeat.fencing_token < m.last_sent_token) {
-      ++m.lost_answers;
-      if (!m.deaf_since) m.deaf_since = now;
-      if (m.lost_answers == 2) {
+      ++m.unacknowledged_replies;
+      if (!m.half_open_since) m.half_open_since = now;
+      if (m.unacknowledged_replies == 2) {
         spdlog::info("machine {} reports, and answers do not reach it", heartbeat.machine.get());
       }
     } else {
-      m.lost_answers = 0;
-      m.deaf_since.reset();
+      m.unacknowledged_replies = 0;
+      m.half_open_since.reset();
     }
   }
   m.last_heartbeat = heartbeat;
@@ -501,7 +501,7 @@
     if (!gone_.emplace(id, now).second) continue;
     if (machines_.erase(id) > 0) left_[id] = ++status_revision_;
     unheard_owned_at_ = Time{};  // its tasks are over: at once
-    mute_.erase(id);
+    silent_machines_.erase(id);
     zones_.erase(id);
     failures_.forget_machine(id);
     spdlog::info("machine {} is gone (the cloud's word)", id.get());
@@ -533,7 +533,7 @@
 // --- siblings
 
 bool Controller::is_schedulable(const Machine& m, Time now) const {
-  return m.is_confirmed() && !m.deaf() && has_recent_heartbeat(m, now);
+  return m.is_confirmed() && !m.is_half_open() && has_recent_heartbeat(m, now);
 }
 
 bool Controller::has_recent_heartbeat(const Machine& m, Time now) const {
@@ -606,9 +606,10 @@
   const bookkeeping::MachineCapacity& o = capacity(m);
   MachineStatus& r = m.status;
   const bool silent = !is_schedulable(m, now);
-  const bool soon = !m.closed && !m.is_confirmed() && !m.deaf() && has_recent_heartbeat(m, now);
+  const bool soon =
+      !m.closed && !m.is_confirmed() && !m.is_half_open() && has_recent_heartbeat(m, now);
   const bool unsure =
-      m.lost_answers > 0 && base::between(m.last_heartbeat_at, now) < kHalfOpenRound;
+      m.unacknowledged_replies > 0 && base::between(m.last_heartbeat_at, now) < kHalfOpenRound;
   const bool open = !m.closed && !silent;
   const Time idle = o.assigned > 0 ? Time{} : m.idle_since;
   const std::pair heartbeat(m.last_heartbeat.agent_incarnation, m.last_heartbeat.sequence);
@@ -659,7 +660,7 @@
   for (const auto& [id, m] : machines_) {
     if (m.give_back) out.push_back(id);
   }
-  for (const MachineId& id : mute_) {
+  for (const MachineId& id : silent_machines_) {
     const auto at = machines_.find(id);
     if (at == machines_.end() || !at->second.give_back) out.push_back(id);
   }
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -245,7 +245,7 @@
   MachineCensus count_overdue(Time now) const;
   bool is_overdue(const Machine& m, Time now) const;
   protocol::WorkerContact contact_of(const ControllerIncarnation& member, Time now) const;
-  std::vector<MachineId> unheard_of(const ControllerIncarnation& member, Time now) const;
+  std::vector<MachineId> silent_machines_of(const ControllerIncarnation& member, Time now) const;
   // Adds the machines of members that have lost their workers. False: there are none.
   bool hand_over_unheard(Time now, std::map<MachineId, ControllerIncarnation>& to) const;
   // All members' claims that the leader has heard of, if it is time for a view that follows them.
@@ -382,7 +382,7 @@
   Time view_installed_at_{};
   std::optional<Time> authority_since_;
   Time last_running_{}, resumed_at_{};  // when this process was last seen to run, and went on
-  std::optional<Time> many_mute_at_;
+  std::optional<Time> many_silent_at_;
   std::optional<Time> unheard_since_;  // while it hears hardly any of its machines
 
   mutable std::unordered_map<MachineId, std::size_t> owners_;  // by place in the view's members
@@ -409,7 +409,7 @@
   std::map<MachineId, std::string> zones_;
   std::map<std::pair<TaskId, std::uint64_t>, Time> stop_sent_;
   std::map<TaskId, Time> completion_seen_at_;  // of ends that wait to be put on record with others
-  std::set<MachineId> mute_;                   // owned, silent, and to be released for proof
+  std::set<MachineId> silent_machines_;        // owned, silent, and to be released for proof
   std::deque<PoolEntry> pool_;
   std::unordered_map<TaskId, Time> offered_;
   Time tidied_{};
--- a/src/coordination/handover.cpp
+++ b/src/coordination/handover.cpp
@@ -153,7 +153,8 @@
 }
 
 // The machines that this member owns and does not hear.
-std::vector<MachineId> Controller::unheard_of(const ControllerIncarnation& member, Time now) const {
+std::vector<MachineId> Controller::silent_machines_of(const ControllerIncarnation& member,
+                                                      Time now) const {
   std::vector<MachineId> out;
   if (member == self_) {
     for (const auto& [id, m] : machines_) {
@@ -185,7 +186,7 @@
   if (hearing.members.empty()) return false;
   bool any = false;
   for (const ControllerIncarnation* member : lost) {
-    for (const MachineId& id : unheard_of(*member, now)) {
+    for (const MachineId& id : silent_machines_of(*member, now)) {
       if (gone_.contains(id)) continue;
       any = to.try_emplace(id, *owner_of(hearing, id)).second || any;
     }
--- a/src/coordination/upkeep.cpp
+++ b/src/coordination/upkeep.cpp
@@ -14,7 +14,7 @@
 
 constexpr Seconds kSuspicionFresh{5.0};  // a sibling's word that a job fails everywhere
 constexpr Seconds kUnheardFor{0.3};
-constexpr Seconds kLostAnswer{6.0};
+constexpr Seconds kLostReply{6.0};
 constexpr Seconds kRoomToMove{1.5};
 constexpr Seconds kSettled{35.0};  // a start that is undone sooner was none
 
@@ -107,16 +107,16 @@
 }
 
 void Controller::housekeeping(Time now) {
-  const Seconds set = settings_.tuning.mute_release;
+  const Seconds set = settings_.tuning.silent_release;
   const auto patience = [&](double reports, Seconds more) {
     if (set.count() > 0) return set;
     return std::max(settings_.heartbeat_interval * reports + more, settings_.worker_lease * 0.35);
   };
   // One whose answer was lost waits for it, tries the next node and is sent back here.
-  const Seconds quiet = std::max(patience(1.75, Seconds(1.0)), set.count() > 0 ? set : kLostAnswer);
+  const Seconds quiet = std::max(patience(1.75, Seconds(1.0)), set.count() > 0 ? set : kLostReply);
   // One that hears nothing comes by less often, since it goes from node to node.
   const Seconds unanswered = patience(2.5, Seconds(2.0));
-  std::set<MachineId> mute;
+  std::set<MachineId> silent_machines;
   std::size_t owned = machines_.size(), late = 0;
   std::optional<Partitions> known;
   for (auto& [id, m] : machines_) {
@@ -131,10 +131,11 @@
     const bool silent =
         base::between(heard, now) > (overdue ? settings_.heartbeat_interval * 2.0 : quiet);
     // Reports that arrive while no answer does, or late copies of a dead machine's.
-    const bool deaf =
-        m.deaf() && base::between(std::max(*m.deaf_since, listening_since()), now) > unanswered;
-    if (silent || deaf) mute.insert(id);
-    if (silent || deaf ||
+    const bool is_half_open =
+        m.is_half_open() &&
+        base::between(std::max(*m.half_open_since, listening_since()), now) > unanswered;
+    if (silent || is_half_open) silent_machines.insert(id);
+    if (silent || is_half_open ||
         base::between(heard, now) > settings_.heartbeat_interval * bookkeeping::kOverdue)
       ++late;
   }
@@ -145,7 +146,7 @@
     // Workers whose node is gone need a while to find their new one.
     const Seconds missed = base::between(std::max(since, listening_since()), now);
     const Seconds on_its_way = settings_.heartbeat_interval + Seconds(6.0);
-    if (missed > std::max(quiet, on_its_way)) mute.insert(id);
+    if (missed > std::max(quiet, on_its_way)) silent_machines.insert(id);
     if (missed > on_its_way) ++late;
   }
   // One silent machine is most likely dead, and its release is the quickest proof. When many fall
@@ -153,22 +154,24 @@
   // And when the network heals, they don't all come back in the same instant.
   // Counted with those that are overdue: machines do not fall silent in the same instant, and the
   // first fifth of a zone that is cut off must not go back to the cloud before the rest is missed.
-  if (late > std::max<std::size_t>(1, owned / 5)) many_mute_at_ = now;
+  if (late > std::max<std::size_t>(1, owned / 5)) many_silent_at_ = now;
   const bool few =
-      !many_mute_at_ || base::between(*many_mute_at_, now) >
-                            settings_.worker_lease * 0.5 + settings_.heartbeat_interval * 4.0;
+      !many_silent_at_ || base::between(*many_silent_at_, now) >
+                              settings_.worker_lease * 0.5 + settings_.heartbeat_interval * 4.0;
   std::set<MachineId> next;
-  for (const MachineId& id : mute) {
+  for (const MachineId& id : silent_machines) {
     const auto at = machines_.find(id);
-    const Time since = at == machines_.end()   ? owned_since_[id]
-                       : at->second.deaf_since ? *at->second.deaf_since
-                                               : at->second.last_heartbeat_at;
-    if (few || mute_.contains(id) || base::between(since, now) > settings_.worker_lease * 6.0) {
-      if (!mute_.contains(id)) spdlog::info("machine {} is silent: to be released", id.get());
+    const Time since = at == machines_.end()        ? owned_since_[id]
+                       : at->second.half_open_since ? *at->second.half_open_since
+                                                    : at->second.last_heartbeat_at;
+    if (few || silent_machines_.contains(id) ||
+        base::between(since, now) > settings_.worker_lease * 6.0) {
+      if (!silent_machines_.contains(id))
+        spdlog::info("machine {} is silent: to be released", id.get());
       next.insert(id);
     }
   }
-  mute_ = std::move(next);
+  silent_machines_ = std::move(next);
   judge_failures(now);
   watch_contact(now);
   std::erase_if(absent_, [&](const auto& a) { return !cache_.job(a.first.job); });
