--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -96,7 +96,7 @@
       booting_ = cache_.booting();
       to_release_.clear();
       unheard_.clear();
-      shunned_.clear();
+      excluded_.clear();
       spdlog::info("leading from now on");
     } else {
       spdlog::info("no longer leading");
@@ -224,21 +224,22 @@
     return txn;
   }
   if (auto format = propose_format_upgrade()) return format;
-  std::set<MemberId> shun;
+  std::set<MemberId> excluded;
   for (const auto& [id, member] : members) {
     if (id == self_.member || reached == 0) continue;
     const auto at = reached_.find(id);
     const auto since = member_since_.find(id);
     Time last = at == reached_.end() ? Time{} : at->second;
     if (since != member_since_.end()) last = std::max(last, since->second);
-    if (base::between(last, now) > kReachable) shun.insert(id);
+    if (base::between(last, now) > kReachable) excluded.insert(id);
   }
-  if (shun != shunned_) {
-    shunned_ = shun;
-    for (const auto& id : shun) spdlog::warn("{} can't be reached: left out of the view", id.get());
+  if (excluded != excluded_) {
+    excluded_ = excluded;
+    for (const auto& id : excluded)
+      spdlog::warn("{} can't be reached: left out of the view", id.get());
   }
   const auto next = next_view(
-      members, cache_.view(), shunned_, gather_ownership_claims(now),
+      members, cache_.view(), excluded_, gather_ownership_claims(now),
       [this](const MachineId& id) { return gone_.contains(id); }, settings_.value_bytes);
   if (next) {
     txn.guards[protocol::kViewKey] = cache_.version(protocol::kViewKey);
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -247,7 +247,7 @@
   protocol::WorkerContact contact_of(const ControllerIncarnation& member, Time now) const;
   std::vector<MachineId> silent_machines_of(const ControllerIncarnation& member, Time now) const;
   // Adds the machines of members that have lost their workers. False: there are none.
-  bool hand_over_unheard(Time now, std::map<MachineId, ControllerIncarnation>& to) const;
+  bool fail_over_silent_machines(Time now, std::map<MachineId, ControllerIncarnation>& to) const;
   // All members' claims that the leader has heard of, if it is time for a view that follows them.
   std::map<MachineId, ControllerIncarnation> gather_ownership_claims(Time now);
   std::string zone_of(const MachineId& machine) const;
@@ -427,7 +427,7 @@
       acknowledged_revisions_;  // what each sibling has, by that count
   std::map<MemberId, Time> reached_;
   std::map<MemberId, Time> member_since_;
-  std::set<MemberId> shunned_;
+  std::set<MemberId> excluded_;
   Time leader_since_{};
   bool was_leader_ = false;
 
--- a/src/coordination/handover.cpp
+++ b/src/coordination/handover.cpp
@@ -174,7 +174,8 @@
   return out;
 }
 
-bool Controller::hand_over_unheard(Time now, std::map<MachineId, ControllerIncarnation>& to) const {
+bool Controller::fail_over_silent_machines(Time now,
+                                           std::map<MachineId, ControllerIncarnation>& to) const {
   if (!cache_.view()) return false;
   View hearing;  // the members that may take over
   std::vector<const ControllerIncarnation*> lost;
@@ -214,7 +215,7 @@
       }
     }
   }
-  const bool owners_lost = hand_over_unheard(now, all);
+  const bool owners_lost = fail_over_silent_machines(now, all);
   if (all.empty()) {
     claimed_at_.reset();
     return all;
--- a/src/coordination/view.cpp
+++ b/src/coordination/view.cpp
@@ -58,13 +58,14 @@
 }
 
 std::optional<View> next_view(const std::map<MemberId, protocol::Member>& members,
-                              const std::optional<View>& present, const std::set<MemberId>& shunned,
+                              const std::optional<View>& present,
+                              const std::set<MemberId>& excluded,
                               const std::map<MachineId, ControllerIncarnation>& claims,
                               const std::function<bool(const MachineId&)>& gone,
                               std::size_t most_bytes) {
   View next;
   for (const auto& [id, member] : members) {
-    if (!shunned.contains(id)) next.members.push_back(member.incarnation);
+    if (!excluded.contains(id)) next.members.push_back(member.incarnation);
   }
   const auto is_member = [&next](const MemberId& id) {
     return std::any_of(next.members.begin(), next.members.end(),
--- a/src/coordination/view.h
+++ b/src/coordination/view.h
@@ -32,7 +32,8 @@
 // The view that the members' keys ask for, or none if the present one is right. Pins, of machines
 // that are not gone, as many as fit into a value of so many bytes.
 std::optional<View> next_view(const std::map<MemberId, protocol::Member>& members,
-                              const std::optional<View>& present, const std::set<MemberId>& shunned,
+                              const std::optional<View>& present,
+                              const std::set<MemberId>& excluded,
                               const std::map<MachineId, ControllerIncarnation>& claims,
                               const std::function<bool(const MachineId&)>& gone,
                               std::size_t most_bytes);
