--- a/src/bookkeeping/machines.h
+++ b/src/bookkeeping/machines.h
@@ -64,7 +64,7 @@
   int unacknowledged_replies = 0;  // reports in a row that did not show what was answered before
   std::optional<Time> half_open_since;
   bool order_lost = false;  // no direct orders until it reports again
-  bool closed = false;      // takes no new tasks
+  bool cordoned = false;    // takes no new tasks
   bool draining = false;    // its services are being moved elsewhere
   bool give_back = false;   // its release was asked for
   std::set<TaskId> evict;   // tasks to be stopped, though their jobs live on
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -379,7 +379,7 @@
   m.order_lost = false;
   if (heartbeat.notice && !m.taken_at) {
     m.taken_at = base::after(now, *heartbeat.notice);
-    m.closed = true;
+    m.cordoned = true;
     spdlog::info("machine {} will be taken in {:.1f} s", heartbeat.machine.get(),
                  heartbeat.notice->count());
   }
@@ -512,11 +512,12 @@
   });
 }
 
-void Controller::close_idle(const std::vector<MachineId>& machines) {
+void Controller::cordon_idle(const std::vector<MachineId>& machines) {
   for (const MachineId& id : machines) {
     const auto at = machines_.find(id);
-    if (at == machines_.end() || at->second.closed || !cache_.assignments_on(id).empty()) continue;
-    at->second.closed = true;
+    if (at == machines_.end() || at->second.cordoned || !cache_.assignments_on(id).empty())
+      continue;
+    at->second.cordoned = true;
     spdlog::info("machine {} is idle: closed", id.get());
   }
 }
@@ -524,8 +525,8 @@
 void Controller::drain(const std::vector<MachineId>& machines) {
   for (const MachineId& id : machines) {
     const auto at = machines_.find(id);
-    if (at == machines_.end() || at->second.closed) continue;
-    at->second.closed = true;
+    if (at == machines_.end() || at->second.cordoned) continue;
+    at->second.cordoned = true;
     at->second.draining = true;
     spdlog::info("machine {} is half empty: its services move elsewhere", id.get());
   }
@@ -608,10 +609,10 @@
   MachineStatus& r = m.status;
   const bool silent = !is_schedulable(m, now);
   const bool soon =
-      !m.closed && !m.is_confirmed() && !m.is_half_open() && has_recent_heartbeat(m, now);
+      !m.cordoned && !m.is_confirmed() && !m.is_half_open() && has_recent_heartbeat(m, now);
   const bool unsure =
       m.unacknowledged_replies > 0 && base::between(m.last_heartbeat_at, now) < kHalfOpenRound;
-  const bool open = !m.closed && !silent;
+  const bool open = !m.cordoned && !silent;
   const Time idle = o.assigned > 0 ? Time{} : m.idle_since;
   const std::pair heartbeat(m.last_heartbeat.agent_incarnation, m.last_heartbeat.sequence);
   const bool is_new = m.status_changed_at == 0;
@@ -728,9 +729,9 @@
     if (gone_.contains(id)) out.gone.push_back(id);
   }
   if (is_leader(now)) {
-    auto& close = to_close_[status.from.member];
-    out.close.assign(close.begin(), close.end());
-    close.clear();
+    auto& cordon = to_cordon_[status.from.member];
+    out.cordon.assign(cordon.begin(), cordon.end());
+    cordon.clear();
     auto& drain = to_drain_[status.from.member];
     out.drain.assign(drain.begin(), drain.end());
     drain.clear();
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -81,10 +81,10 @@
 
 // The leader's word to a member that told its status.
 struct Instructions {
-  std::vector<MachineId> gone;   // released: they and all on them are gone
-  std::vector<MachineId> close;  // to be closed and given back if nothing is on them
-  std::vector<MachineId> drain;  // to be emptied by moving services, then given back
-  bool again = false;            // the status builds upon one that this node doesn't have: tell all
+  std::vector<MachineId> gone;    // released: they and all on them are gone
+  std::vector<MachineId> cordon;  // to be closed and given back if nothing is on them
+  std::vector<MachineId> drain;   // to be emptied by moving services, then given back
+  bool again = false;  // the status builds upon one that this node doesn't have: tell all
 };
 
 // The machines of one member as seen by routing.
@@ -136,7 +136,7 @@
   // the answer to its report. With dozens of dead machines, waiting for each held up all orders.
   void order_lost(const MachineId& machine);
   void machines_gone(const std::vector<MachineId>& machines, Time now);
-  void close_idle(const std::vector<MachineId>& machines);
+  void cordon_idle(const std::vector<MachineId>& machines);
   void drain(const std::vector<MachineId>& machines);
 
   void tell_time(Time now, double wall_now) { priorities_.set_time_of_day(now, wall_now); }
@@ -443,7 +443,7 @@
   };
   std::map<std::string, Arrivals> arrivals_;  // of services, by class
   std::set<JobId> counted_;
-  std::map<MemberId, std::set<MachineId>> to_close_, to_drain_;
+  std::map<MemberId, std::set<MachineId>> to_cordon_, to_drain_;
   Time restless_at_{};  // something waited for room, or was rented
   Time drained_at_{};
 };
--- a/src/coordination/fleet.cpp
+++ b/src/coordination/fleet.cpp
@@ -55,7 +55,7 @@
     pack_demand();
     rent();
     if (in_.calm && plan_.rent.empty()) drain();
-    close_idle();
+    cordon_idle();
     return std::move(plan_);
   }
 
@@ -95,7 +95,7 @@
   void drain();
   bool empties(std::size_t site, const std::set<std::size_t>& leaving,
                std::vector<std::size_t>& to);
-  void close_idle();
+  void cordon_idle();
 
   const FleetInput& in_;
   FleetPlan plan_;
@@ -288,11 +288,11 @@
   return false;
 }
 
-void FleetPlanner::close_idle() {
+void FleetPlanner::cordon_idle() {
   for (const Site& s : sites_) {
     if (s.machine && !s.used && s.machine->tasks == 0 &&
         base::between(s.machine->idle_since, in_.now) >= in_.idle_return) {
-      plan_.close.push_back(s.machine->id);
+      plan_.cordon.push_back(s.machine->id);
     }
   }
 }
--- a/src/coordination/fleet.h
+++ b/src/coordination/fleet.h
@@ -59,7 +59,8 @@
   std::vector<Rent> rent;  // the most urgent first
   // Machines whose services fit elsewhere, where their images are: to be emptied.
   std::vector<MachineId> drain;
-  std::vector<MachineId> close;  // idle and not needed: to be closed by their owners, then released
+  std::vector<MachineId>
+      cordon;  // idle and not needed: to be closed by their owners, then released
 };
 
 FleetPlan plan_fleet(const FleetInput& in);
--- a/src/coordination/fleet_control.cpp
+++ b/src/coordination/fleet_control.cpp
@@ -290,11 +290,11 @@
       to_drain_[partition[id]].insert(id);
     }
   }
-  for (const MachineId& id : plan.close) {
+  for (const MachineId& id : plan.cordon) {
     if (partition[id] == self_.member) {
-      close_idle({id});
+      cordon_idle({id});
     } else {
-      to_close_[partition[id]].insert(id);
+      to_cordon_[partition[id]].insert(id);
     }
   }
 }
--- a/src/coordination/preemption.cpp
+++ b/src/coordination/preemption.cpp
@@ -114,7 +114,7 @@
   Machine* best = nullptr;
   Sacrifice least;
   for (auto& [id, m] : machines_) {
-    if (m.closed || !is_schedulable(m, now) ||
+    if (m.cordoned || !is_schedulable(m, now) ||
         !may_run(spec, m.last_heartbeat.type, m.last_heartbeat.zone, m.last_heartbeat.spot) ||
         (with_image && !m.has_image(spec.image))) {
       continue;
--- a/src/coordination/rounds.cpp
+++ b/src/coordination/rounds.cpp
@@ -33,7 +33,7 @@
   for (const auto& [id, m] : machines_) {
     const auto g = gathered_.find(id);
     if (g != gathered_.end() && g->second.job == spec.id) return;
-    if (g != gathered_.end() || m.closed || !is_schedulable(m, now) ||
+    if (g != gathered_.end() || m.cordoned || !is_schedulable(m, now) ||
         !may_run(spec, m.last_heartbeat.type, m.last_heartbeat.zone, m.last_heartbeat.spot)) {
       continue;
     }
@@ -85,7 +85,7 @@
   const auto since = preempting_.find(spec.id);
   if (since != preempting_.end() && base::between(since->second, now) > kDisplaceFor) return false;
   for (const auto& [id, m] : machines_) {
-    if (m.closed || !is_schedulable(m, now) || !m.has_image(spec.image) ||
+    if (m.cordoned || !is_schedulable(m, now) || !m.has_image(spec.image) ||
         !may_run(spec, m.last_heartbeat.type, m.last_heartbeat.zone, m.last_heartbeat.spot)) {
       continue;
     }
@@ -183,7 +183,7 @@
     for (std::size_t i = 0; i < open.scale.v.size(); ++i) {
       open.scale.v[i] = std::max(open.scale.v[i], type->size.v[i]);
     }
-    if (m.closed || !is_schedulable(m, now)) continue;
+    if (m.cordoned || !is_schedulable(m, now)) continue;
     open.bins.push_back({capacity(m).free});
     open.machines.push_back(&m);
   }
--- a/src/coordination/upkeep.cpp
+++ b/src/coordination/upkeep.cpp
@@ -46,8 +46,8 @@
     }
   }
   for (auto& [id, m] : machines_) {
-    if (m.closed || !failures_.is_faulty(id)) continue;
-    m.closed = true;
+    if (m.cordoned || !failures_.is_faulty(id)) continue;
+    m.cordoned = true;
     spdlog::warn("machine {} fails tasks of jobs that run elsewhere: closed", id.get());
   }
 }
@@ -120,7 +120,7 @@
   std::size_t owned = machines_.size(), late = 0;
   std::optional<Partitions> known;
   for (auto& [id, m] : machines_) {
-    m.give_back = m.closed && cache_.assignments_on(id).empty() && !capacity(m).active;
+    m.give_back = m.cordoned && cache_.assignments_on(id).empty() && !capacity(m).active;
     if (m.draining && is_schedulable(m, now)) {
       if (!known) known = partitions(now, kRoomToMove);
       move_service_away(m, *known, now);
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -206,7 +206,7 @@
   if (status->contact == protocol::WorkerContact::kLost) beat_bell_.ring();
   return {200,
           Json{{"gone", protocol::ids_to_json(said.gone)},
-               {"close", protocol::ids_to_json(said.close)},
+               {"close", protocol::ids_to_json(said.cordon)},
                {"drain", protocol::ids_to_json(said.drain)},
                {"again", said.again}}
               .dump(),
@@ -274,7 +274,7 @@
       c.sibling_reached(sibling.id, now());
       c.status_acknowledged(sibling.id, again ? 0 : status.upto);
       c.machines_gone(gone, now());
-      c.close_idle(ids("close"));
+      c.cordon_idle(ids("close"));
       c.drain(ids("drain"));
     });
     if (!gone.empty()) round_bell_.ring();
