--- a/src/bookkeeping/machines.h
+++ b/src/bookkeeping/machines.h
@@ -63,11 +63,11 @@
   FencingToken last_sent_token;    // the one of the latest answer
   int unacknowledged_replies = 0;  // reports in a row that did not show what was answered before
   std::optional<Time> half_open_since;
-  bool order_lost = false;  // no direct orders until it reports again
-  bool cordoned = false;    // takes no new tasks
-  bool draining = false;    // its services are being moved elsewhere
-  bool give_back = false;   // its release was asked for
-  std::set<TaskId> evict;   // tasks to be stopped, though their jobs live on
+  bool order_lost = false;         // no direct orders until it reports again
+  bool cordoned = false;           // takes no new tasks
+  bool draining = false;           // its services are being moved elsewhere
+  bool release_requested = false;  // its release was asked for
+  std::set<TaskId> evict;          // tasks to be stopped, though their jobs live on
   // Images that it has, as far as its tasks have shown, the latest used last; and those under way.
   std::vector<std::pair<std::string, double>> images;
   std::set<std::string> pulling;
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr Seconds kStoodStill{2.5};  // without a report, a round or a status
-constexpr Seconds kGoneKept{600.0};  // late reports and old lists may still name the machine
+constexpr Seconds kStoodStill{2.5};      // without a report, a round or a status
+constexpr Seconds kReleasedKept{600.0};  // late reports and old lists may still name the machine
 
 constexpr double kFencingTokenRenewal =
     0.5;  // of a lease: workers report a new token this often at most
@@ -240,7 +240,7 @@
   }
   const auto next = next_view(
       members, cache_.view(), excluded_, gather_ownership_claims(now),
-      [this](const MachineId& id) { return gone_.contains(id); }, settings_.value_bytes);
+      [this](const MachineId& id) { return released_.contains(id); }, settings_.value_bytes);
   if (next) {
     txn.guards[protocol::kViewKey] = cache_.version(protocol::kViewKey);
     txn.writes.push_back({protocol::kViewKey, to_json(*next), {}});
@@ -305,7 +305,7 @@
     return {421, protocol::redirect(of->member)};
   }
   if (!has_authority(now)) return {503, protocol::error_body("not entitled to act now")};
-  if (gone_.contains(heartbeat.machine)) return {503, protocol::error_body("released")};
+  if (released_.contains(heartbeat.machine)) return {503, protocol::error_body("released")};
   record_heartbeat(heartbeat, now, true);
   const auto at = machines_.find(heartbeat.machine);
   // A late copy: what came after it has been answered already, and the worker drops this answer.
@@ -331,7 +331,7 @@
 }
 
 void Controller::record_heartbeat(const Heartbeat& heartbeat, Time now, bool renews_lease) {
-  if (gone_.contains(heartbeat.machine)) return;
+  if (released_.contains(heartbeat.machine)) return;
   const auto ended = ended_incarnations_.find(heartbeat.machine);
   if (ended != ended_incarnations_.end() && heartbeat.agent_incarnation <= ended->second) return;
   zones_[heartbeat.machine] = heartbeat.zone;
@@ -497,9 +497,9 @@
   if (const auto at = machines_.find(machine); at != machines_.end()) at->second.order_lost = true;
 }
 
-void Controller::machines_gone(const std::vector<MachineId>& machines, Time now) {
+void Controller::mark_released(const std::vector<MachineId>& machines, Time now) {
   for (const MachineId& id : machines) {
-    if (!gone_.emplace(id, now).second) continue;
+    if (!released_.emplace(id, now).second) continue;
     if (machines_.erase(id) > 0) left_[id] = ++status_revision_;
     unheard_owned_at_ = Time{};  // its tasks are over: at once
     silent_machines_.erase(id);
@@ -507,8 +507,8 @@
     failures_.forget_machine(id);
     spdlog::info("machine {} is gone (the cloud's word)", id.get());
   }
-  std::erase_if(gone_, [&](const auto& g) {
-    return base::between(g.second, now) > kGoneKept && !cache_.assigned().contains(g.first);
+  std::erase_if(released_, [&](const auto& g) {
+    return base::between(g.second, now) > kReleasedKept && !cache_.assigned().contains(g.first);
   });
 }
 
@@ -657,14 +657,14 @@
   return it == zones_.end() ? std::string() : it->second;
 }
 
-std::vector<MachineId> Controller::asked_back() const {
+std::vector<MachineId> Controller::release_requests() const {
   std::vector<MachineId> out;
   for (const auto& [id, m] : machines_) {
-    if (m.give_back) out.push_back(id);
+    if (m.release_requested) out.push_back(id);
   }
   for (const MachineId& id : silent_machines_) {
     const auto at = machines_.find(id);
-    if (at == machines_.end() || !at->second.give_back) out.push_back(id);
+    if (at == machines_.end() || !at->second.release_requested) out.push_back(id);
   }
   return out;
 }
@@ -691,7 +691,7 @@
       least = std::min(least, taken);
   }
   std::erase_if(left_, [&](const auto& l) { return l.second <= least; });
-  s.give_back = asked_back();
+  s.release_requested = release_requests();
   s.misdirected = misdirected(now);
   s.contact = worker_contact(now);
   s.suspects = failures_.suspects();
@@ -714,7 +714,7 @@
   s.from = status.from;
   s.has_state = status.has_state;
   s.upto = status.upto;
-  s.give_back = status.give_back;
+  s.release_requested = status.release_requested;
   s.misdirected = status.misdirected;
   s.ownership_claims = status.ownership_claims;
   s.contact = status.contact;
@@ -722,11 +722,11 @@
   s.last_heartbeat_at = now;
   for (const MachineId& id : status.left) s.machines.erase(id);
   for (const MachineStatus& m : status.machines) {
-    if (!gone_.contains(m.id)) zones_[m.id] = m.zone;
+    if (!released_.contains(m.id)) zones_[m.id] = m.zone;
     s.machines[m.id] = m;
   }
-  for (const MachineId& id : status.give_back) {
-    if (gone_.contains(id)) out.gone.push_back(id);
+  for (const MachineId& id : status.release_requested) {
+    if (released_.contains(id)) out.released.push_back(id);
   }
   if (is_leader(now)) {
     auto& cordon = to_cordon_[status.from.member];
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -81,9 +81,9 @@
 
 // The leader's word to a member that told its status.
 struct Instructions {
-  std::vector<MachineId> gone;    // released: they and all on them are gone
-  std::vector<MachineId> cordon;  // to be closed and given back if nothing is on them
-  std::vector<MachineId> drain;   // to be emptied by moving services, then given back
+  std::vector<MachineId> released;  // released: they and all on them are gone
+  std::vector<MachineId> cordon;    // to be closed and given back if nothing is on them
+  std::vector<MachineId> drain;     // to be emptied by moving services, then given back
   bool again = false;  // the status builds upon one that this node doesn't have: tell all
 };
 
@@ -135,7 +135,7 @@
   // A direct order was not answered: until the machine reports again, what it is to do goes with
   // the answer to its report. With dozens of dead machines, waiting for each held up all orders.
   void order_lost(const MachineId& machine);
-  void machines_gone(const std::vector<MachineId>& machines, Time now);
+  void mark_released(const std::vector<MachineId>& machines, Time now);
   void cordon_idle(const std::vector<MachineId>& machines);
   void drain(const std::vector<MachineId>& machines);
 
@@ -196,7 +196,7 @@
     bool has_state = false;
     std::uint64_t upto = 0;
     std::map<MachineId, MachineStatus> machines;
-    std::vector<MachineId> give_back, misdirected, ownership_claims;
+    std::vector<MachineId> release_requested, misdirected, ownership_claims;
     std::set<JobId> suspects;
     protocol::WorkerContact contact = protocol::WorkerContact::kUnknown;
     Time last_heartbeat_at{};
@@ -223,7 +223,7 @@
   const bookkeeping::MachineCapacity& capacity(const Machine& m) const;
   Resources being_stopped(const Machine& m) const;
   void update_status(Machine& m, Time now);
-  std::vector<MachineId> asked_back() const;
+  std::vector<MachineId> release_requests() const;
   std::vector<MachineId> misdirected(Time now) const;
   // A machine of that owner reported here and was sent there.
   void record_misdirected_heartbeat(const MachineId& machine, const ControllerIncarnation& owner,
@@ -404,7 +404,7 @@
   std::optional<Time> claimed_at_;         // since when there are claims that no view follows yet
   std::map<MachineId, Time> owned_since_;  // for machines never heard: the base of lease proofs
   std::map<MachineId, AgentIncarnation> ended_incarnations_;
-  std::map<MachineId, Time> gone_;
+  std::map<MachineId, Time> released_;
   std::map<TaskId, base::Attempt> absent_;  // cancelled, and certainly never to start
   std::map<MachineId, std::string> zones_;
   std::map<std::pair<TaskId, std::uint64_t>, Time> stop_sent_;
--- a/src/coordination/ends.cpp
+++ b/src/coordination/ends.cpp
@@ -21,7 +21,7 @@
   const auto collect = [&](const MachineId& machine, Machine* m) {
     const auto& tasks = cache_.assignments_on(machine);
     if (tasks.empty()) return;
-    if (gone_.contains(machine)) {
+    if (released_.contains(machine)) {
       for (const auto& [task, assignment] : tasks)
         completions.push_back({task, machine, "machine released", false});
       return;
--- a/src/coordination/fleet_control.cpp
+++ b/src/coordination/fleet_control.cpp
@@ -114,7 +114,7 @@
 std::vector<MachineId> Controller::releases_due(const Partitions& known, Time now) const {
   // An owner that was silent may have come back since a machine was last asked for.
   std::set<MachineId> release = to_release_;
-  for (const MachineId& id : asked_back()) release.insert(id);
+  for (const MachineId& id : release_requests()) release.insert(id);
   // A machine that is silent for its owner and reports elsewhere is well: it is the owner that is
   // out of its reach.
   const auto own_knocked = misdirected(now);
@@ -124,7 +124,7 @@
         !has_member(*cache_.view(), s.from)) {
       continue;
     }
-    release.insert(s.give_back.begin(), s.give_back.end());
+    release.insert(s.release_requested.begin(), s.release_requested.end());
     well.insert(s.misdirected.begin(), s.misdirected.end());
   }
   // ... unless its owner hears it too, and is not heard: then it goes from node to node.
@@ -134,7 +134,7 @@
     }
   }
   std::erase_if(release,
-                [&](const MachineId& id) { return gone_.contains(id) || well.contains(id); });
+                [&](const MachineId& id) { return released_.contains(id) || well.contains(id); });
   return {release.begin(), release.end()};
 }
 
@@ -165,7 +165,7 @@
       boots_.record_up(kind, age, now);
       return true;
     }
-    if (gone_.contains(b.id)) return true;
+    if (released_.contains(b.id)) return true;
     if (!boots_.is_given_up(kind, age, boot_time(b.type), now)) return false;
     spdlog::info("machine {} never came up ({:.0f} s): released", b.id.get(), age.count());
     release.push_back(b.id);
@@ -323,7 +323,7 @@
 
 void Controller::released(const std::vector<MachineId>& machines, Time now) {
   for (const MachineId& id : machines) to_release_.erase(id);
-  machines_gone(machines, now);
+  mark_released(machines, now);
 }
 
 void Controller::listed(const std::vector<protocol::CloudMachine>& machines, Time now,
@@ -336,7 +336,7 @@
   for (const auto& b : booting_) heard.insert(b.id);
   for (const auto& c : machines) {
     listed.insert(c.id);
-    if (gone_.contains(c.id)) continue;
+    if (released_.contains(c.id)) continue;
     zones_.try_emplace(c.id, c.zone);
     if (c.state == protocol::CloudState::kFailed) {
       to_release_.insert(c.id);
--- a/src/coordination/handover.cpp
+++ b/src/coordination/handover.cpp
@@ -130,7 +130,8 @@
     if (is_overdue(m, now)) ++overdue;
   }
   for (const auto& [id, since] : owned_since_) {
-    if (machines_.contains(id) || gone_.contains(id) || cache_.assignments_on(id).empty()) continue;
+    if (machines_.contains(id) || released_.contains(id) || cache_.assignments_on(id).empty())
+      continue;
     ++owned;
     const Seconds missed = base::between(std::max(since, listening_since()), now);
     if (missed > settings_.heartbeat_interval + kWorkerRetry) ++overdue;
@@ -188,7 +189,7 @@
   bool any = false;
   for (const ControllerIncarnation* member : lost) {
     for (const MachineId& id : silent_machines_of(*member, now)) {
-      if (gone_.contains(id)) continue;
+      if (released_.contains(id)) continue;
       any = to.try_emplace(id, *owner_of(hearing, id)).second || any;
     }
   }
@@ -204,7 +205,7 @@
   const auto take = [&](const ControllerIncarnation& by, const std::vector<MachineId>& machines) {
     for (const MachineId& id : machines) {
       const ControllerIncarnation* of = owner(id);
-      if (of && *of != by && !gone_.contains(id)) all.try_emplace(id, by);
+      if (of && *of != by && !released_.contains(id)) all.try_emplace(id, by);
     }
   };
   if (view) {
--- a/src/coordination/upkeep.cpp
+++ b/src/coordination/upkeep.cpp
@@ -120,7 +120,7 @@
   std::size_t owned = machines_.size(), late = 0;
   std::optional<Partitions> known;
   for (auto& [id, m] : machines_) {
-    m.give_back = m.cordoned && cache_.assignments_on(id).empty() && !capacity(m).active;
+    m.release_requested = m.cordoned && cache_.assignments_on(id).empty() && !capacity(m).active;
     if (m.draining && is_schedulable(m, now)) {
       if (!known) known = partitions(now, kRoomToMove);
       move_service_away(m, *known, now);
@@ -140,7 +140,8 @@
       ++late;
   }
   for (const MachineId& id : unheard_owned(now)) {
-    if (machines_.contains(id) || gone_.contains(id) || cache_.assignments_on(id).empty()) continue;
+    if (machines_.contains(id) || released_.contains(id) || cache_.assignments_on(id).empty())
+      continue;
     ++owned;
     const Time since = owned_since_.try_emplace(id, now).first->second;
     // Workers whose node is gone need a while to find their new one.
--- a/src/coordination/view.cpp
+++ b/src/coordination/view.cpp
@@ -61,7 +61,7 @@
                               const std::optional<View>& present,
                               const std::set<MemberId>& excluded,
                               const std::map<MachineId, ControllerIncarnation>& claims,
-                              const std::function<bool(const MachineId&)>& gone,
+                              const std::function<bool(const MachineId&)>& released,
                               std::size_t most_bytes) {
   View next;
   for (const auto& [id, member] : members) {
@@ -74,7 +74,7 @@
   std::size_t bytes = kForMembers * (next.members.size() + 1);
   const auto add_override = [&](const MachineId& machine, const MemberId& member) {
     const std::size_t more = machine.get().size() + 3;
-    if (bytes + more > most_bytes || gone(machine)) return;
+    if (bytes + more > most_bytes || released(machine)) return;
     if (next.overrides.emplace(machine, member).second) bytes += more;
   };
   for (const auto& [machine, incarnation] : claims) {
@@ -90,7 +90,7 @@
     next.epoch = present->epoch;
     // That machines are gone is no reason for a new view: they leave it with the next one.
     View now = *present;
-    std::erase_if(now.overrides, [&](const auto& p) { return gone(p.first); });
+    std::erase_if(now.overrides, [&](const auto& p) { return released(p.first); });
     if (next == now) return {};
   }
   next.epoch = Epoch(next.epoch.get() + 1);
--- a/src/coordination/view.h
+++ b/src/coordination/view.h
@@ -35,7 +35,7 @@
                               const std::optional<View>& present,
                               const std::set<MemberId>& excluded,
                               const std::map<MachineId, ControllerIncarnation>& claims,
-                              const std::function<bool(const MachineId&)>& gone,
+                              const std::function<bool(const MachineId&)>& released,
                               std::size_t most_bytes);
 
 bool has_member(const View& view, const ControllerIncarnation& incarnation);
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -205,7 +205,7 @@
   // Its machines lose their tasks if nobody answers them within their lease.
   if (status->contact == protocol::WorkerContact::kLost) beat_bell_.ring();
   return {200,
-          Json{{"gone", protocol::ids_to_json(said.gone)},
+          Json{{"gone", protocol::ids_to_json(said.released)},
                {"close", protocol::ids_to_json(said.cordon)},
                {"drain", protocol::ids_to_json(said.drain)},
                {"again", said.again}}
@@ -267,17 +267,17 @@
     const auto ids = [&said](const char* field) {
       return protocol::parse_ids<base::MachineId>(said, field);
     };
-    const auto gone = ids("gone");
+    const auto released = ids("gone");
     const bool again = !said.is_object() || said.value("again", true);
     if (again) sibling.bell.ring();
     locked([&](coordination::Controller& c) {
       c.sibling_reached(sibling.id, now());
       c.status_acknowledged(sibling.id, again ? 0 : status.upto);
-      c.machines_gone(gone, now());
+      c.mark_released(released, now());
       c.cordon_idle(ids("close"));
       c.drain(ids("drain"));
     });
-    if (!gone.empty()) round_bell_.ring();
+    if (!released.empty()) round_bell_.ring();
   }
 }
 
--- a/src/protocol/records.cpp
+++ b/src/protocol/records.cpp
@@ -396,7 +396,7 @@
               {"upto", s.upto},
               {"m", std::move(machines)},
               {"left", ids_to_json(s.left)},
-              {"back", ids_to_json(s.give_back)},
+              {"back", ids_to_json(s.release_requested)},
               {"knocked", ids_to_json(s.misdirected)},
               {"claims", ids_to_json(s.ownership_claims)},
               {"suspects", ids_to_json(s.suspects)},
@@ -431,7 +431,7 @@
       s.machines.push_back(std::move(room));
     }
     s.left = parse_ids<MachineId>(body, "left");
-    s.give_back = parse_ids<MachineId>(body, "back");
+    s.release_requested = parse_ids<MachineId>(body, "back");
     s.misdirected = parse_ids<MachineId>(body, "knocked");
     s.ownership_claims = parse_ids<MachineId>(body, "claims");
     s.suspects = parse_ids<JobId>(body, "suspects");
--- a/src/protocol/records.h
+++ b/src/protocol/records.h
@@ -244,10 +244,10 @@
   bool has_state = false;  // its lease in the store was renewed lately
   std::uint64_t since = 0, upto = 0;
   std::vector<MachineStatus> machines;
-  std::vector<MachineId> left;              // no longer among its machines
-  std::vector<MachineId> give_back;         // machines whose release it asks the leader for
-  std::vector<MachineId> misdirected;       // machines of others that lately reported here
-  std::vector<MachineId> ownership_claims;  // ... those of them that can't reach their owners
+  std::vector<MachineId> left;               // no longer among its machines
+  std::vector<MachineId> release_requested;  // machines whose release it asks the leader for
+  std::vector<MachineId> misdirected;        // machines of others that lately reported here
+  std::vector<MachineId> ownership_claims;   // ... those of them that can't reach their owners
   WorkerContact contact = WorkerContact::kUnknown;
   std::vector<JobId> suspects;  // jobs that fail on every machine, as far as it has seen
 };
--- a/tests/world_controllers.cpp
+++ b/tests/world_controllers.cpp
@@ -323,14 +323,14 @@
       if (trace_.is_open()) {
         trace_.write_digest(
             t_, std::string("status ").append(node_name(n)).append(" ").append(node_name(m)),
-            to_json(status, now()).dump() + protocol::ids_to_json(said.gone).dump() +
+            to_json(status, now()).dump() + protocol::ids_to_json(said.released).dump() +
                 protocol::ids_to_json(said.cordon).dump() +
                 protocol::ids_to_json(said.drain).dump());
       }
       c.status_acknowledged(base::MemberId(node_name(m)), said.again ? 0 : status.upto);
       if (said.again) node.next_tell = t_;
       c.sibling_reached(base::MemberId(node_name(m)), now());
-      c.machines_gone(said.gone, now());
+      c.mark_released(said.released, now());
       c.cordon_idle(said.cordon);
       c.drain(said.drain);
     }
