--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -179,11 +179,11 @@
   bool others_have_state(Time now) const;
 
   // --- fleet, for the leader
-  struct FleetActions {
-    FleetPlan plan;
+  struct ScalingActions {
+    ScalingPlan plan;
     std::vector<MachineId> release;
   };
-  FleetActions plan_fleet(Time now, double wall_now);
+  ScalingActions plan_scaling(Time now, double wall_now);
   void listed(const std::vector<protocol::CloudMachine>& machines, Time now, double wall_now);
   void refused(const MachineKind& kind, Time now);
   void rented(const MachineKind& kind, const std::vector<MachineId>& machines, double wall_now);
@@ -323,16 +323,16 @@
   void route_job(Routing& r, const Job& job);
   // The steps of the fleet's plan.
   std::vector<MachineId> releases_due(const Partitions& known, Time now) const;
-  FleetInput fleet_input(const Partitions& known, Time now) const;
-  void drop_booted(FleetInput& in, Time now, double wall_now, std::vector<MachineId>& release);
+  ScalingInput scaling_input(const Partitions& known, Time now) const;
+  void drop_booted(ScalingInput& in, Time now, double wall_now, std::vector<MachineId>& release);
   Seconds boot_time(const std::string& type_name) const;
   double soonest_boot() const;
   std::size_t within_limit(const protocol::JobSpec& spec, std::size_t waiting,
                            std::map<std::string, Resources>& team_room) const;
-  void add_waiting(FleetInput& in, Time now);
-  void add_expected_services(FleetInput& in, Time now) const;
-  void add_movable_services(FleetInput& in) const;
-  void pass_on(const FleetPlan& plan, const Partitions& known, Time now);
+  void add_waiting(ScalingInput& in, Time now);
+  void add_expected_services(ScalingInput& in, Time now) const;
+  void add_movable_services(ScalingInput& in) const;
+  void pass_on(const ScalingPlan& plan, const Partitions& known, Time now);
   // A waiting job that may displace other work, and what was done for it and before it.
   struct Preemption {
     const Job* job;
--- a/src/coordination/fleet.cpp
+++ b/src/coordination/fleet.cpp
@@ -44,17 +44,17 @@
 
 // The steps of one plan. What waits is packed into the room that there is, then into machines that
 // are to be rented; what is left over shows which machines can go.
-class FleetPlanner {
+class ScalingPlanner {
  public:
-  explicit FleetPlanner(const FleetInput& in) : in_(in) {}
+  explicit ScalingPlanner(const ScalingInput& in) : in_(in) {}
 
-  FleetPlan run() {
+  ScalingPlan run() {
     if (!in_.catalogue || in_.catalogue->empty()) return {};
     add_sites();
     count_silent();
     pack_demand();
     rent();
-    if (in_.calm && plan_.rent.empty()) drain();
+    if (in_.calm && plan_.scale_out.empty()) drain();
     cordon_idle();
     return std::move(plan_);
   }
@@ -97,8 +97,8 @@
                std::vector<std::size_t>& to);
   void cordon_idle();
 
-  const FleetInput& in_;
-  FleetPlan plan_;
+  const ScalingInput& in_;
+  ScalingPlan plan_;
   std::vector<Site> sites_;
   std::vector<Bin> bins_;
   std::vector<Group> groups_;  // one for each demand
@@ -108,7 +108,7 @@
   std::map<std::string, double> in_zone_;  // machines, those to be rented too
 };
 
-void FleetPlanner::add_sites() {
+void ScalingPlanner::add_sites() {
   for (const MachineType& t : *in_.catalogue) {
     for (std::size_t i = 0; i < scale_.v.size(); ++i) {
       scale_.v[i] = std::max(scale_.v[i], t.size.v[i]);
@@ -128,7 +128,7 @@
   for (const Site& s : sites_) ++in_zone_[s.kind.zone];
 }
 
-void FleetPlanner::count_silent() {
+void ScalingPlanner::count_silent() {
   for (const MachineStatus* m : in_.machines) {
     ZoneHealth& zone = health_[m->zone];
     ++zone.all;
@@ -136,12 +136,12 @@
   }
 }
 
-bool FleetPlanner::cut_off(const std::string& zone) const {
+bool ScalingPlanner::cut_off(const std::string& zone) const {
   const auto z = health_.find(zone);
   return z != health_.end() && z->second.silent >= 2 && z->second.silent * 2 > z->second.all;
 }
 
-void FleetPlanner::pack_demand() {
+void ScalingPlanner::pack_demand() {
   groups_.reserve(in_.demand.size());
   for (const Demand& d : in_.demand) {
     Group g;
@@ -164,8 +164,8 @@
 }
 
 // What a machine of this kind costs for each task of the group; none if it can't be had or used.
-std::optional<double> FleetPlanner::cost_of(std::size_t group, const MachineType& type,
-                                            const MachineKind& kind) const {
+std::optional<double> ScalingPlanner::cost_of(std::size_t group, const MachineType& type,
+                                              const MachineKind& kind) const {
   const Demand& d = in_.demand[group];
   if (d.spec ? !may_run(*d.spec, kind.type, kind.zone, kind.spot) : kind.spot) return {};
   if (kind.spot && in_.spot_share <= 0) return {};
@@ -186,7 +186,7 @@
   return cost;
 }
 
-std::optional<FleetPlanner::Choice> FleetPlanner::cheapest(std::size_t group) const {
+std::optional<ScalingPlanner::Choice> ScalingPlanner::cheapest(std::size_t group) const {
   std::optional<Choice> best;
   for (const MachineType& t : *in_.catalogue) {
     for (const std::string& zone : t.zones) {
@@ -201,7 +201,7 @@
 }
 
 // What found no room: the cheapest kind for the first group, then whatever else fits into it.
-void FleetPlanner::rent() {
+void ScalingPlanner::rent() {
   std::size_t rented = 0;
   for (const std::size_t first : by_tier_) {
     while (groups_[first].count > 0 && rented < kMostAtOnce) {
@@ -213,11 +213,11 @@
   }
 }
 
-void FleetPlanner::add_rental(const Choice& choice) {
-  const auto same = std::find_if(plan_.rent.begin(), plan_.rent.end(),
-                                 [&](const Rent& r) { return r.kind == choice.kind; });
-  if (same == plan_.rent.end()) {
-    plan_.rent.push_back({choice.kind, 1});
+void ScalingPlanner::add_rental(const Choice& choice) {
+  const auto same = std::find_if(plan_.scale_out.begin(), plan_.scale_out.end(),
+                                 [&](const ScaleOut& r) { return r.kind == choice.kind; });
+  if (same == plan_.scale_out.end()) {
+    plan_.scale_out.push_back({choice.kind, 1});
   } else {
     ++same->count;
   }
@@ -236,7 +236,7 @@
 
 // Machines whose services fit elsewhere, where their images are, at no one's cost: room that is left
 // after all that waits or is expected, on machines that stay anyway.
-void FleetPlanner::drain() {
+void ScalingPlanner::drain() {
   struct Candidate {
     double gain;
     std::size_t site;
@@ -267,8 +267,8 @@
 }
 
 // Do all services of this machine fit elsewhere? Then the room for them is taken, and `to` says where.
-bool FleetPlanner::empties(std::size_t site, const std::set<std::size_t>& leaving,
-                           std::vector<std::size_t>& to) {
+bool ScalingPlanner::empties(std::size_t site, const std::set<std::size_t>& leaving,
+                             std::vector<std::size_t>& to) {
   const auto& services = in_.movable.at(sites_[site].machine->id);
   const auto takes = [&](std::size_t o, const protocol::JobSpec& spec) {
     const MachineStatus* other = sites_[o].machine;
@@ -288,7 +288,7 @@
   return false;
 }
 
-void FleetPlanner::cordon_idle() {
+void ScalingPlanner::cordon_idle() {
   for (const Site& s : sites_) {
     if (s.machine && !s.used && s.machine->tasks == 0 &&
         base::between(s.machine->idle_since, in_.now) >= in_.idle_return) {
@@ -299,8 +299,8 @@
 
 }  // namespace
 
-FleetPlan plan_fleet(const FleetInput& in) {
-  return FleetPlanner(in).run();
+ScalingPlan plan_scaling(const ScalingInput& in) {
+  return ScalingPlanner(in).run();
 }
 
 }  // namespace saddleslip::coordination
--- a/src/coordination/fleet.h
+++ b/src/coordination/fleet.h
@@ -35,7 +35,7 @@
   bool spot_only = false;                   // not worth an ordinary machine of its own
 };
 
-struct FleetInput {
+struct ScalingInput {
   std::vector<Demand> demand;
   std::vector<const MachineStatus*> machines;  // all that report to any controller
   std::vector<protocol::Booting> booting;      // rented, not heard of yet
@@ -50,20 +50,20 @@
   Time now{};
 };
 
-struct Rent {
+struct ScaleOut {
   MachineKind kind;
   int count = 0;
 };
 
-struct FleetPlan {
-  std::vector<Rent> rent;  // the most urgent first
+struct ScalingPlan {
+  std::vector<ScaleOut> scale_out;  // the most urgent first
   // Machines whose services fit elsewhere, where their images are: to be emptied.
   std::vector<MachineId> drain;
   std::vector<MachineId>
       cordon;  // idle and not needed: to be closed by their owners, then released
 };
 
-FleetPlan plan_fleet(const FleetInput& in);
+ScalingPlan plan_scaling(const ScalingInput& in);
 
 bool may_run(const protocol::JobSpec& spec, const std::string& type, const std::string& zone,
              bool spot);
--- a/src/coordination/fleet_control.cpp
+++ b/src/coordination/fleet_control.cpp
@@ -85,8 +85,8 @@
   return share;
 }
 
-Controller::FleetActions Controller::plan_fleet(Time now, double wall_now) {
-  FleetActions actions;
+Controller::ScalingActions Controller::plan_scaling(Time now, double wall_now) {
+  ScalingActions actions;
   if (!is_leader(now) || !has_authority(now) || cache_.catalogue().empty()) return actions;
   count_arrivals(now);
   const Partitions known = partitions(now, kRoomRemembered);
@@ -97,15 +97,15 @@
       base::between(std::max(leader_since_, view_installed_at_), now) < settle) {
     return actions;
   }
-  FleetInput in = fleet_input(known, now);
+  ScalingInput in = scaling_input(known, now);
   drop_booted(in, now, wall_now, actions.release);
   add_waiting(in, now);
   add_expected_services(in, now);
   in.calm = base::between(std::max(restless_at_, leader_since_), now) > kCalm &&
             base::between(drained_at_, now) > kDrainGap;
   if (in.calm) add_movable_services(in);
-  actions.plan = coordination::plan_fleet(in);
-  if (!actions.plan.rent.empty()) restless_at_ = now;
+  actions.plan = coordination::plan_scaling(in);
+  if (!actions.plan.scale_out.empty()) restless_at_ = now;
   pass_on(actions.plan, known, now);
   return actions;
 }
@@ -138,8 +138,8 @@
   return {release.begin(), release.end()};
 }
 
-FleetInput Controller::fleet_input(const Partitions& known, Time now) const {
-  FleetInput in;
+ScalingInput Controller::scaling_input(const Partitions& known, Time now) const {
+  ScalingInput in;
   in.now = now;
   in.catalogue = &cache_.catalogue();
   in.refused = refused_;
@@ -154,7 +154,7 @@
 
 // Forgets the booting machines that have come up, releases those that never do, and counts the others
 // as room while they are likely to come.
-void Controller::drop_booted(FleetInput& in, Time now, double wall_now,
+void Controller::drop_booted(ScalingInput& in, Time now, double wall_now,
                              std::vector<MachineId>& release) {
   std::set<MachineId> heard;
   for (const MachineStatus* m : in.machines) heard.insert(m->id);
@@ -216,7 +216,7 @@
   return n;
 }
 
-void Controller::add_waiting(FleetInput& in, Time now) {
+void Controller::add_waiting(ScalingInput& in, Time now) {
   std::map<JobId, std::size_t> share = timely_share(now, soonest_boot());
   std::map<std::string, Resources> team_room;
   bool waiting = false;
@@ -245,7 +245,7 @@
 }
 
 // Room for the services that arrive while a machine boots.
-void Controller::add_expected_services(FleetInput& in, Time now) const {
+void Controller::add_expected_services(ScalingInput& in, Time now) const {
   const double span =
       std::clamp(base::between(leader_since_, now).count(), kLeastSpan, kArrivalWindow.count());
   for (const auto& [name, a] : arrivals_) {
@@ -264,7 +264,7 @@
   }
 }
 
-void Controller::add_movable_services(FleetInput& in) const {
+void Controller::add_movable_services(ScalingInput& in) const {
   for (const auto& [machine, tasks] : cache_.assigned()) {
     for (const auto& [task, assignment] : tasks) {
       const Job* job = cache_.job(task.job);
@@ -277,7 +277,7 @@
 
 // Tells the owners of machines that are to be emptied or closed: here, or with the answer to their
 // next status.
-void Controller::pass_on(const FleetPlan& plan, const Partitions& known, Time now) {
+void Controller::pass_on(const ScalingPlan& plan, const Partitions& known, Time now) {
   std::map<MachineId, MemberId> partition;
   for (const auto& [member, rooms] : known) {
     for (const MachineStatus* r : rooms) partition[r->id] = member;
--- a/src/node.h
+++ b/src/node.h
@@ -95,8 +95,8 @@
   void read_catalogue();
   void read_list();
   void release(std::vector<base::MachineId> machines);
-  std::deque<Rental> rentals(const coordination::FleetPlan& plan);
-  void rent(const coordination::FleetPlan& plan, Seconds gap);
+  std::deque<Rental> rentals(const coordination::ScalingPlan& plan);
+  void rent(const coordination::ScalingPlan& plan, Seconds gap);
   RentOutcome rent_once(const Rental& r);
   void pay_writes(std::size_t n);
   double write_rate();
@@ -144,7 +144,7 @@
   Seconds deciding_{0};               // how long a round's decisions take, on average
   double write_credit_ = 0;
   Time write_credit_at_{};
-  std::uint64_t hires_ = 0;
+  std::uint64_t rental_count_ = 0;
   std::optional<Rental> open_rental_;  // sent, and not answered for certain
   struct CloudRead {
     Time catalogue{}, list{};
--- a/src/node_fleet.cpp
+++ b/src/node_fleet.cpp
@@ -44,7 +44,8 @@
       read_list();
       std::this_thread::sleep_for(gap);
     }
-    auto actions = locked([](Controller& c) { return c.plan_fleet(now(), base::wall_seconds()); });
+    auto actions =
+        locked([](Controller& c) { return c.plan_scaling(now(), base::wall_seconds()); });
     if (!actions.release.empty()) {
       release(std::move(actions.release));
       std::this_thread::sleep_for(gap);
@@ -88,24 +89,24 @@
   round_bell_.ring();
 }
 
-std::deque<Node::Rental> Node::rentals(const coordination::FleetPlan& plan) {
+std::deque<Node::Rental> Node::rentals(const coordination::ScalingPlan& plan) {
   const protocol::ControllerIncarnation incarnation =
       locked([](Controller& c) { return c.self(); });
   std::deque<Rental> out;
   if (open_rental_) out.push_back(*open_rental_);
-  for (const auto& r : plan.rent) {
-    for (int left = r.count; left > 0; left -= protocol::kMostRented) {
+  for (const auto& r : plan.scale_out) {
+    for (int left = r.count; left > 0; left -= protocol::kMaxRentedPerCall) {
       // Never a name that any node or life has used: lives are numbered by the store.
       out.push_back({"r-" + incarnation.member.get() + "-" +
                          std::to_string(incarnation.incarnation.get()) + "-" +
-                         std::to_string(++hires_),
-                     r.kind, std::min(left, protocol::kMostRented)});
+                         std::to_string(++rental_count_),
+                     r.kind, std::min(left, protocol::kMaxRentedPerCall)});
     }
   }
   return out;
 }
 
-void Node::rent(const coordination::FleetPlan& plan, Seconds gap) {
+void Node::rent(const coordination::ScalingPlan& plan, Seconds gap) {
   const bool was_open = open_rental_.has_value();
   bool rented = false;
   int calls = 0;
--- a/src/protocol/clients.cpp
+++ b/src/protocol/clients.cpp
@@ -218,7 +218,7 @@
                                    {"breed", type},
                                    {"paddock", zone},
                                    {"strays", spot},
-                                   {"how_many", std::clamp(count, 1, kMostRented)}}
+                                   {"how_many", std::clamp(count, 1, kMaxRentedPerCall)}}
                                   .dump(),
                               Seconds(5.0));
   Rented r;
--- a/src/protocol/clients.h
+++ b/src/protocol/clients.h
@@ -68,7 +68,7 @@
   transport::HttpClient watches_;
 };
 
-inline constexpr int kMostRented = 50;  // by one call
+inline constexpr int kMaxRentedPerCall = 50;  // by one call
 
 class CloudClient {
  public:
--- a/tests/packing_test.cpp
+++ b/tests/packing_test.cpp
@@ -141,27 +141,27 @@
   protocol::JobSpec steady, stray;
   steady.request = stray.request = r(1, 1);
   stray.spot = true;
-  FleetInput in;
+  ScalingInput in;
   in.catalogue = &types;
   in.now = Time(std::chrono::seconds(100));
   in.demand = {{r(1, 1), 8, 0, &steady}};
-  auto plan = plan_fleet(in);
-  ASSERT_EQ(plan.rent.size(), 1u);
-  EXPECT_EQ(plan.rent[0].kind, (MachineKind{"big", "a", false}));
-  EXPECT_EQ(plan.rent[0].count, 1);
+  auto plan = plan_scaling(in);
+  ASSERT_EQ(plan.scale_out.size(), 1u);
+  EXPECT_EQ(plan.scale_out[0].kind, (MachineKind{"big", "a", false}));
+  EXPECT_EQ(plan.scale_out[0].count, 1);
   // What boots already is counted.
   in.booting = {{MachineId("i-1"), "big", "a", false, 0}};
-  EXPECT_TRUE(plan_fleet(in).rent.empty());
+  EXPECT_TRUE(plan_scaling(in).scale_out.empty());
   // Refused lately: the next best kind. Spot only for jobs that allow it.
   in.booting.clear();
   in.refused[{"big", "a", false}] = base::after(in.now, Seconds(5));
-  plan = plan_fleet(in);
-  ASSERT_EQ(plan.rent.size(), 1u);
-  EXPECT_EQ(plan.rent[0].kind.type, "small");
+  plan = plan_scaling(in);
+  ASSERT_EQ(plan.scale_out.size(), 1u);
+  EXPECT_EQ(plan.scale_out[0].kind.type, "small");
   in.demand = {{r(1, 1), 4, 0, &stray}};
-  plan = plan_fleet(in);
-  ASSERT_EQ(plan.rent.size(), 1u);
-  EXPECT_TRUE(plan.rent[0].kind.spot);
+  plan = plan_scaling(in);
+  ASSERT_EQ(plan.scale_out.size(), 1u);
+  EXPECT_TRUE(plan.scale_out[0].kind.spot);
 }
 
 }  // namespace saddleslip::coordination
--- a/tests/world.h
+++ b/tests/world.h
@@ -116,7 +116,7 @@
     double load_takes = 0;
     double records_at = -1;  // a load that is under way reads the tasks' records then
     std::uint64_t load_from = 0;
-    std::uint64_t hires = 0;
+    std::uint64_t rental_count = 0;
   };
   struct JobSim {
     protocol::JobSpec spec;
@@ -245,7 +245,7 @@
   int repeated_ = 0;
   int fleet_ = 0;  // machines added by the hundred
   std::map<std::string, int> capacity_;
-  std::map<std::string, std::vector<MachineId>> hires_;
+  std::map<std::string, std::vector<MachineId>> rentals_;
   int releases_ = 0;
 
   std::vector<NodeSim> nodes_;
--- a/tests/world_controllers.cpp
+++ b/tests/world_controllers.cpp
@@ -270,7 +270,7 @@
     commit(n, txn);
     return;
   }
-  auto actions = c.plan_fleet(now(), 1000 + t_);
+  auto actions = c.plan_scaling(now(), 1000 + t_);
   if (cloud_down_) return;
   if (!actions.release.empty()) {
     for (const auto& id : actions.release) {
@@ -281,12 +281,12 @@
     c.released(actions.release, now());
     node.rung = true;
   }
-  for (const auto& r : actions.plan.rent) {
-    const std::string hire = node_name(n) + "-" + std::to_string(c.self().incarnation.get()) + "-" +
-                             std::to_string(++node.hires);
-    if (hires_.contains(hire)) broken("a rental's name is used twice: " + hire);
-    trace_.write(t_, "rent", hire, r.kind.type, r.kind.zone, r.kind.spot, r.count);
-    auto& got = hires_[hire];
+  for (const auto& r : actions.plan.scale_out) {
+    const std::string rental = node_name(n) + "-" + std::to_string(c.self().incarnation.get()) +
+                               "-" + std::to_string(++node.rental_count);
+    if (rentals_.contains(rental)) broken("a rental's name is used twice: " + rental);
+    trace_.write(t_, "rent", rental, r.kind.type, r.kind.zone, r.kind.spot, r.count);
+    auto& got = rentals_[rental];
     const bool offered = !r.kind.spot || spot_offered_;
     for (int i = 0; offered && i < r.count && capacity_[r.kind.type] > 0; ++i) {
       --capacity_[r.kind.type];
