--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -289,7 +289,7 @@
   int preference(const protocol::JobSpec& spec, const Machine& m,
                  std::optional<Seconds> start_within, bool displaces, Time now) const;
   static void record_starts(RecordBatch& batch, RoundPlan& plan);
-  void make_room(const std::vector<WaitingJob>& waiting, const RoundPlan& plan, Time now);
+  void free_capacity(const std::vector<WaitingJob>& waiting, const RoundPlan& plan, Time now);
   void collect_completions(Time now, std::vector<RoundPlan::Completion>& completions);
   bool can_defer(const RoundPlan::Completion& end, const std::set<TaskId>& ended, Time now);
   // Decides which jobs with failures are sound, and closes the machines that turn out to be faulty.
@@ -357,8 +357,8 @@
   std::optional<Sacrifice> sacrifice_on(const Preemption& p, const Machine& m, Time now) const;
   bool preempt_for_one(Preemption& p, Time now);
   // Has it waited so long that it goes before others? Then so many of its tasks do.
-  std::optional<std::size_t> starved(const Job& job, Time now) const;
-  void gather_room(const Job& job, Time now);
+  std::optional<std::size_t> starving_tasks(const Job& job, Time now) const;
+  void reserve_capacity(const Job& job, Time now);
   // Machines that the record has tasks on, that this node owns, and that have not reported to it.
   const std::vector<MachineId>& unheard_owned(Time now);
   Seconds fetch_time(const Machine& m, const protocol::JobSpec& spec) const;
@@ -394,12 +394,14 @@
     int times = 0;
   };
   std::map<MachineId, std::pair<MemberId, Time>> override_since_;
-  struct Gathered {
+  struct CapacityReservation {
     JobId job;
     Time until{};
-    bool starved = false;  // for a job that waited too long, rather than one that displaces others
+    bool for_starving_job =
+        false;  // for a job that waited too long, rather than one that displaces others
   };
-  std::map<MachineId, Gathered> gathered_;  // kept free of other work until the job fits
+  std::map<MachineId, CapacityReservation>
+      reservations_;  // kept free of other work until the job fits
   std::map<MachineId, MisdirectedHeartbeats> misdirected_;  // sent to their owners, and back again
   std::optional<Time> claimed_at_;         // since when there are claims that no view follows yet
   std::map<MachineId, Time> owned_since_;  // for machines never heard: the base of lease proofs
--- a/src/coordination/fleet_control.cpp
+++ b/src/coordination/fleet_control.cpp
@@ -233,7 +233,7 @@
     d.spec = &spec;
     d.spot_only = priorities_.is_spare_time(job);
     in.demand.push_back(d);
-    if (d.spot_only && starved(job, now)) {
+    if (d.spot_only && starving_tasks(job, now)) {
       // It has waited too long for what others leave over: one task, wherever it may run.
       d.count = 1;
       d.spot_only = false;
--- a/src/coordination/job_priorities.cpp
+++ b/src/coordination/job_priorities.cpp
@@ -196,7 +196,7 @@
                       [&](const base::Objective& o) { return o.job_class == spec.job_class; });
 }
 
-std::optional<std::size_t> JobPriorities::overdue_tasks(const Job& job, Time now) const {
+std::optional<std::size_t> JobPriorities::starving_tasks(const Job& job, Time now) const {
   if (job.pending() == 0) return {};
   // What never began has waited since it was submitted, whichever process saw it.
   const bool began = job.assigned > 0 || job.done > 0;
--- a/src/coordination/job_priorities.h
+++ b/src/coordination/job_priorities.h
@@ -44,7 +44,7 @@
   // Work of the lowest priority that nobody set an objective for: it gets what others leave over.
   bool is_spare_time(const bookkeeping::Job& job) const;
   // Has it waited so long that it goes before others? Then so many of its tasks do.
-  std::optional<std::size_t> overdue_tasks(const bookkeeping::Job& job, base::Time now) const;
+  std::optional<std::size_t> starving_tasks(const bookkeeping::Job& job, base::Time now) const;
 
   // The owner's estimate, corrected by what was learned of the class.
   base::Seconds run_time(const protocol::JobSpec& spec) const;
--- a/src/coordination/preemption.cpp
+++ b/src/coordination/preemption.cpp
@@ -119,8 +119,8 @@
         (with_image && !m.has_image(spec.image))) {
       continue;
     }
-    const auto kept = gathered_.find(id);
-    if (kept != gathered_.end() && kept->second.job != spec.id) continue;
+    const auto kept = reservations_.find(id);
+    if (kept != reservations_.end() && kept->second.job != spec.id) continue;
     auto sacrifice = sacrifice_on(p, m, now);
     if (!sacrifice || (best && sacrifice->lost >= least.lost)) continue;
     best = &m;
@@ -130,8 +130,8 @@
   p.taken[best->last_heartbeat.machine] += spec.request;
   // What is made room here is kept for it: given away to what was stopped, it had to be made
   // again and again, and never was enough.
-  gathered_.try_emplace(best->last_heartbeat.machine,
-                        Gathered{spec.id, base::after(now, kPreemptRepeat), false});
+  reservations_.try_emplace(best->last_heartbeat.machine,
+                            CapacityReservation{spec.id, base::after(now, kPreemptRepeat), false});
   for (const TaskId& v : least.tasks) {
     spdlog::info("{}/{} on {} is stopped to make room for {}", v.job.get(), v.no,
                  best->last_heartbeat.machine.get(), spec.id.get());
--- a/src/coordination/rounds.cpp
+++ b/src/coordination/rounds.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr Seconds kGatherFor{60.0};
-constexpr std::size_t kGatherOneOf = 20;  // one machine of so many, and one more
+constexpr Seconds kReservationDuration{60.0};
+constexpr std::size_t kMachinesPerReservation = 20;  // one machine of so many, and one more
 constexpr Seconds kStopRepeat{2.0};
 constexpr int kSlowFetch = 6;  // the pass of machines that can't fetch the image in time
 constexpr Seconds kDisplaceFor{1.5};
@@ -23,17 +23,17 @@
 
 // Keeps a machine free of other work until a task of the job fits on it. Under lasting overload a
 // large task would never find room that small ones did not take first.
-void Controller::gather_room(const Job& job, Time now) {
+void Controller::reserve_capacity(const Job& job, Time now) {
   const auto& spec = job.record.spec;
   const Machine* best = nullptr;
   // Kept free, machines do nothing: when most of what waits has waited long, only a few are.
-  const auto kept = std::count_if(gathered_.begin(), gathered_.end(),
-                                  [](const auto& g) { return g.second.starved; });
-  if (static_cast<std::size_t>(kept) > machines_.size() / kGatherOneOf) return;
+  const auto kept = std::count_if(reservations_.begin(), reservations_.end(),
+                                  [](const auto& g) { return g.second.for_starving_job; });
+  if (static_cast<std::size_t>(kept) > machines_.size() / kMachinesPerReservation) return;
   for (const auto& [id, m] : machines_) {
-    const auto g = gathered_.find(id);
-    if (g != gathered_.end() && g->second.job == spec.id) return;
-    if (g != gathered_.end() || m.cordoned || !is_schedulable(m, now) ||
+    const auto g = reservations_.find(id);
+    if (g != reservations_.end() && g->second.job == spec.id) return;
+    if (g != reservations_.end() || m.cordoned || !is_schedulable(m, now) ||
         !may_run(spec, m.last_heartbeat.type, m.last_heartbeat.zone, m.last_heartbeat.spot)) {
       continue;
     }
@@ -52,7 +52,8 @@
   if (!best) return;
   spdlog::info("machine {} is kept free until {} fits", best->last_heartbeat.machine.get(),
                spec.id.get());
-  gathered_[best->last_heartbeat.machine] = {spec.id, base::after(now, kGatherFor), true};
+  reservations_[best->last_heartbeat.machine] = {spec.id, base::after(now, kReservationDuration),
+                                                 true};
 }
 
 Seconds Controller::fetch_time(const Machine& m, const protocol::JobSpec& spec) const {
@@ -104,9 +105,9 @@
   while (pool_.size() > 4096) pool_.pop_front();
 }
 
-std::optional<std::size_t> Controller::starved(const Job& job, Time now) const {
+std::optional<std::size_t> Controller::starving_tasks(const Job& job, Time now) const {
   if (is_suspect(job.record.spec.id, now)) return {};
-  return priorities_.overdue_tasks(job, now);
+  return priorities_.starving_tasks(job, now);
 }
 
 RoundPlan Controller::plan(Time now, Pace pace) {
@@ -130,7 +131,7 @@
   place(waiting, now, plan);
   record_starts(batch, plan);
   record_deferred_completions(std::move(later), pace, now, batch, plan);
-  make_room(waiting, plan, now);
+  free_capacity(waiting, plan, now);
   plan.more = batch.turned_away();
   if (!batch.empty()) plan.txn = batch.build(self_, installed_view_, priorities_.time_of_day(now));
   return plan;
@@ -219,7 +220,7 @@
   for (std::size_t i = 0; i < waiting.size(); ++i) {
     WaitingJob& w = waiting[i];
     const auto& spec = w.job->record.spec;
-    const auto first = starved(*w.job, now);
+    const auto first = starving_tasks(*w.job, now);
     if (first && w.tasks.size() > *first) w.tasks.resize(*first);
     // One task is enough to see whether a job that failed everywhere still does.
     if (spec.kind != Kind::kGang && is_suspect(spec.id, now)) w.tasks.resize(1);
@@ -286,8 +287,8 @@
                            std::optional<Seconds> start_within, bool displaces, Time now) const {
   if (!may_run(spec, m.last_heartbeat.type, m.last_heartbeat.zone, m.last_heartbeat.spot))
     return -1;
-  const auto kept = gathered_.find(m.last_heartbeat.machine);
-  if (kept != gathered_.end() && kept->second.job != spec.id) return -1;
+  const auto kept = reservations_.find(m.last_heartbeat.machine);
+  if (kept != reservations_.end() && kept->second.job != spec.id) return -1;
   if (failures_.avoids(spec.id, m.last_heartbeat.machine, now)) return -1;
   const bool quick = !start_within || fetch_time(m, spec) < *start_within * 0.75;
   const int image = m.has_image(spec.image)          ? 0
@@ -311,13 +312,13 @@
 }
 
 // For what found no room: machines are kept free, or lower work is stopped.
-void Controller::make_room(const std::vector<WaitingJob>& waiting, const RoundPlan& plan,
-                           Time now) {
+void Controller::free_capacity(const std::vector<WaitingJob>& waiting, const RoundPlan& plan,
+                               Time now) {
   for (const RoundPlan::Start& s : plan.starts) {
-    const auto g = gathered_.find(s.assignment.machine);
-    if (g != gathered_.end() && g->second.job == s.task.job) gathered_.erase(g);
+    const auto g = reservations_.find(s.assignment.machine);
+    if (g != reservations_.end() && g->second.job == s.task.job) reservations_.erase(g);
   }
-  std::erase_if(gathered_, [&](const auto& g) {
+  std::erase_if(reservations_, [&](const auto& g) {
     const Job* job = cache_.job(g.second.job);
     return g.second.until < now || !job || job->pending() == 0;
   });
@@ -328,7 +329,7 @@
       left.emplace_back(w.job, w.tasks.size());
   }
   for (const auto& [job, count] : left) {
-    if (starved(*job, now)) gather_room(*job, now);
+    if (starving_tasks(*job, now)) reserve_capacity(*job, now);
   }
   preempt(left, now);
 }
--- a/src/coordination/routing.cpp
+++ b/src/coordination/routing.cpp
@@ -20,7 +20,7 @@
 constexpr Seconds kRoomFresh{4.0};        // a sibling's room is relied on for this long
 constexpr double kOfferPeriods = 1.2;     // rounds, before a task is offered again
 constexpr std::size_t kLeastOffered = 8;  // tasks of a job that may displace others
-constexpr int kStarvedTier = -1;          // before all others
+constexpr int kStarvingTier = -1;         // before all others
 
 }  // namespace
 
@@ -190,7 +190,7 @@
   std::vector<Turn> turns;
   turns.reserve(jobs.size());
   for (const Job* job : jobs) {
-    const int tier = starved(*job, now) ? kStarvedTier : priorities_.tier(*job);
+    const int tier = starving_tasks(*job, now) ? kStarvingTier : priorities_.tier(*job);
     turns.push_back({tier, priorities_.due(*job, now), job->startable_since(), job});
   }
   std::stable_sort(turns.begin(), turns.end());
@@ -356,7 +356,7 @@
   const std::size_t room = r.room();
   // A gang starts only if all its tasks find room in one round.
   if (gang && room < job.pending()) return;
-  const auto ahead = starved(job, r.now);
+  const auto ahead = starving_tasks(job, r.now);
   if (room == 0 && !ahead && !r.may_displace) return;
   std::size_t most = ahead ? *ahead : std::max<std::size_t>(room, kLeastOffered);
   if (!gang && is_suspect(r.spec().id, r.now)) most = 1;
--- a/tests/job_priorities_test.cpp
+++ b/tests/job_priorities_test.cpp
@@ -105,11 +105,11 @@
   add(kFirst, Rank::kStandard, {});
   add(kMiddle, Rank::kStandard, {kFirst});
   const Time later = base::after(now_, Seconds(500));
-  EXPECT_TRUE(priorities_.overdue_tasks(job(kFirst), later));
-  EXPECT_FALSE(priorities_.overdue_tasks(job(kMiddle), later));
+  EXPECT_TRUE(priorities_.starving_tasks(job(kFirst), later));
+  EXPECT_FALSE(priorities_.starving_tasks(job(kMiddle), later));
   cache_.remember_final(kFirst, {protocol::JobStatus::kDone, 1480});
-  EXPECT_FALSE(priorities_.overdue_tasks(job(kMiddle), later));
-  EXPECT_TRUE(priorities_.overdue_tasks(job(kMiddle), base::after(later, Seconds(110))));
+  EXPECT_FALSE(priorities_.starving_tasks(job(kMiddle), later));
+  EXPECT_TRUE(priorities_.starving_tasks(job(kMiddle), base::after(later, Seconds(110))));
 }
 
 }  // namespace saddleslip::coordination
