--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -345,7 +345,7 @@
     Resources request;
     Seconds lost;
   };
-  struct Sacrifice {
+  struct PreemptionCandidate {
     std::vector<TaskId> tasks;
     double lost = 0;  // core seconds
   };
@@ -354,7 +354,8 @@
   double over_team_limit(const protocol::JobSpec& spec) const;
   bool may_stop(const Preemption& p, const Job& other) const;
   std::vector<Victim> candidates(const Preemption& p, const Machine& m, Time now) const;
-  std::optional<Sacrifice> sacrifice_on(const Preemption& p, const Machine& m, Time now) const;
+  std::optional<PreemptionCandidate> preemption_on(const Preemption& p, const Machine& m,
+                                                   Time now) const;
   bool preempt_for_one(Preemption& p, Time now);
   // Has it waited so long that it goes before others? Then so many of its tasks do.
   std::optional<std::size_t> starving_tasks(const Job& job, Time now) const;
--- a/src/coordination/preemption.cpp
+++ b/src/coordination/preemption.cpp
@@ -80,8 +80,9 @@
 }
 
 // What would have to be stopped on this machine for one task of the job; none if that can't be done.
-std::optional<Controller::Sacrifice> Controller::sacrifice_on(const Preemption& p, const Machine& m,
-                                                              Time now) const {
+std::optional<Controller::PreemptionCandidate> Controller::preemption_on(const Preemption& p,
+                                                                         const Machine& m,
+                                                                         Time now) const {
   const auto& spec = p.job->record.spec;
   Resources room = capacity(m).free;
   room += being_stopped(m);
@@ -93,7 +94,7 @@
     most += capacity(m).preemptible;
     if (!most.fits(spec.request)) return {};
   }
-  Sacrifice out;
+  PreemptionCandidate out;
   double excess = p.over_limit;
   for (const Victim& v : candidates(p, m, now)) {
     if (room.fits(spec.request) && excess < kNoCores) break;
@@ -112,7 +113,7 @@
   const auto& spec = p.job->record.spec;
   const bool with_image = displaces_for_image(*p.job, now);
   Machine* best = nullptr;
-  Sacrifice least;
+  PreemptionCandidate least;
   for (auto& [id, m] : machines_) {
     if (m.cordoned || !is_schedulable(m, now) ||
         !may_run(spec, m.last_heartbeat.type, m.last_heartbeat.zone, m.last_heartbeat.spot) ||
@@ -121,10 +122,10 @@
     }
     const auto kept = reservations_.find(id);
     if (kept != reservations_.end() && kept->second.job != spec.id) continue;
-    auto sacrifice = sacrifice_on(p, m, now);
-    if (!sacrifice || (best && sacrifice->lost >= least.lost)) continue;
+    auto candidate = preemption_on(p, m, now);
+    if (!candidate || (best && candidate->lost >= least.lost)) continue;
     best = &m;
-    least = std::move(*sacrifice);
+    least = std::move(*candidate);
   }
   if (!best) return false;
   p.taken[best->last_heartbeat.machine] += spec.request;
