--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -16,8 +16,8 @@
     0.5;  // of a lease: workers report a new token this often at most
 // A machine that hears no answer goes from node to node, and comes by within this.
 constexpr Seconds kHalfOpenRound{20.0};
-constexpr std::size_t kMostSuspects = 256;  // named in one status
-constexpr std::size_t kMostOwners = 20000;  // remembered; more are worked out anew
+constexpr std::size_t kMaxCrashLoopingJobs = 256;  // named in one status
+constexpr std::size_t kMostOwners = 20000;         // remembered; more are worked out anew
 
 }  // namespace
 
@@ -694,8 +694,9 @@
   s.release_requested = release_requests();
   s.misdirected = misdirected(now);
   s.contact = worker_contact(now);
-  s.suspects = failures_.suspects();
-  if (s.suspects.size() > kMostSuspects) s.suspects.resize(kMostSuspects);
+  s.crash_looping_jobs = failures_.crash_looping_jobs();
+  if (s.crash_looping_jobs.size() > kMaxCrashLoopingJobs)
+    s.crash_looping_jobs.resize(kMaxCrashLoopingJobs);
   if (cache_.leader() && cache_.leader()->member == to) s.ownership_claims = ownership_claims(now);
   return s;
 }
@@ -718,7 +719,7 @@
   s.misdirected = status.misdirected;
   s.ownership_claims = status.ownership_claims;
   s.contact = status.contact;
-  s.suspects = {status.suspects.begin(), status.suspects.end()};
+  s.crash_looping_jobs = {status.crash_looping_jobs.begin(), status.crash_looping_jobs.end()};
   s.last_heartbeat_at = now;
   for (const MachineId& id : status.left) s.machines.erase(id);
   for (const MachineStatus& m : status.machines) {
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -197,7 +197,7 @@
     std::uint64_t upto = 0;
     std::map<MachineId, MachineStatus> machines;
     std::vector<MachineId> release_requested, misdirected, ownership_claims;
-    std::set<JobId> suspects;
+    std::set<JobId> crash_looping_jobs;
     protocol::WorkerContact contact = protocol::WorkerContact::kUnknown;
     Time last_heartbeat_at{};
   };
@@ -293,11 +293,11 @@
   void collect_completions(Time now, std::vector<RoundPlan::Completion>& completions);
   bool can_defer(const RoundPlan::Completion& end, const std::set<TaskId>& ended, Time now);
   // Decides which jobs with failures are sound, and closes the machines that turn out to be faulty.
-  void judge_failures(Time now);
+  void evaluate_failures(Time now);
   // Has a task of the job been running here for so long, on a machine where none of it failed?
   bool runs_for_long(const Job& job, Time now) const;
   // Does the job fail on every machine, as far as this controller or a sibling has seen?
-  bool is_suspect(const JobId& job, Time now) const;
+  bool is_crash_looping(const JobId& job, Time now) const;
   // How long an attempt ran that is over, as far as this controller saw.
   Seconds run_before_end(const RoundPlan::Completion& end) const;
   void learn_run_time(const RoundPlan::Completion& end);
--- a/src/coordination/failure_tracker.cpp
+++ b/src/coordination/failure_tracker.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-constexpr int kFaultyAfter = 2;              // failures of sound jobs
-constexpr int kFaultyAfterSoleFailures = 3;  // unrelated jobs that failed on this machine alone
-constexpr std::size_t kSuspectAfter = 2;     // machines on which a job failed
-constexpr Seconds kAvoidAfterFailure{30.0};  // before a task goes to the same machine again
-constexpr Seconds kFirstBackoff{2.0};        // doubles with each further failure
+constexpr int kFaultyAfter = 2;                // failures of sound jobs
+constexpr int kFaultyAfterSoleFailures = 3;    // unrelated jobs that failed on this machine alone
+constexpr std::size_t kCrashLoopingAfter = 2;  // machines on which a job failed
+constexpr Seconds kAvoidAfterFailure{30.0};    // before a task goes to the same machine again
+constexpr Seconds kFirstBackoff{2.0};          // doubles with each further failure
 constexpr Seconds kLongestBackoff{60.0};
 constexpr Seconds kShortestSoundRun{8.0};  // long enough to tell a task that fails at its start
 constexpr double kSoundRunFactor = 2.0;    // of the longest run that ended in a failure
@@ -35,7 +35,7 @@
   failed_on_[machine].insert(job);
   // Tasks that were started together fail together: they count as one failure.
   const bool after_retry = now >= failures.retry_at;
-  if (failures.last_failure.size() < kSuspectAfter || !after_retry) return;
+  if (failures.last_failure.size() < kCrashLoopingAfter || !after_retry) return;
   failures.backoff = std::clamp(failures.backoff * 2.0, kFirstBackoff, kLongestBackoff);
   failures.retry_at = base::after(now, failures.backoff);
 }
@@ -84,13 +84,14 @@
   return sole_failures(machine) >= kFaultyAfterSoleFailures;
 }
 
-bool FailureTracker::is_suspect(const JobId& job) const {
+bool FailureTracker::is_crash_looping(const JobId& job) const {
   const auto at = jobs_.find(job);
-  return at != jobs_.end() && !at->second.sound && at->second.last_failure.size() >= kSuspectAfter;
+  return at != jobs_.end() && !at->second.sound &&
+         at->second.last_failure.size() >= kCrashLoopingAfter;
 }
 
 bool FailureTracker::may_retry(const JobId& job, Time now) const {
-  return !is_suspect(job) || now >= jobs_.at(job).retry_at;
+  return !is_crash_looping(job) || now >= jobs_.at(job).retry_at;
 }
 
 bool FailureTracker::avoids(const JobId& job, const MachineId& machine, Time now) const {
@@ -107,10 +108,10 @@
   return std::max(kShortestSoundRun, at->second.longest_run * kSoundRunFactor);
 }
 
-std::vector<JobId> FailureTracker::suspects() const {
+std::vector<JobId> FailureTracker::crash_looping_jobs() const {
   std::vector<JobId> out;
   for (const auto& [job, failures] : jobs_) {
-    if (is_suspect(job)) out.push_back(job);
+    if (is_crash_looping(job)) out.push_back(job);
   }
   return out;
 }
--- a/src/coordination/failure_tracker.h
+++ b/src/coordination/failure_tracker.h
@@ -33,7 +33,7 @@
 
   bool is_faulty(const base::MachineId& machine) const;
   // Has it failed on several machines without a sign that it can succeed?
-  bool is_suspect(const base::JobId& job) const;
+  bool is_crash_looping(const base::JobId& job) const;
   // May a task of the job be started again? False while its retries back off.
   bool may_retry(const base::JobId& job, base::Time now) const;
   // Should the job's tasks keep away from the machine, since one failed there a moment ago?
@@ -41,7 +41,7 @@
   // How long a task of the job must run before it shows that the job is sound.
   base::Seconds long_run(const base::JobId& job) const;
 
-  std::vector<base::JobId> suspects() const;
+  std::vector<base::JobId> crash_looping_jobs() const;
   // Jobs with failures that are not known to be sound.
   std::vector<base::JobId> unproven() const;
 
--- a/src/coordination/fleet_control.cpp
+++ b/src/coordination/fleet_control.cpp
@@ -48,7 +48,7 @@
   for (const auto& [id, job] : cache_.jobs()) {
     const auto& spec = job.record.spec;
     if (spec.kind != protocol::Kind::kArray || !spec.deadline || job.cancelled() ||
-        job.done >= spec.tasks || is_suspect(id, now)) {
+        job.done >= spec.tasks || is_crash_looping(id, now)) {
       continue;
     }
     double by = priorities_.due(job, now);
@@ -222,7 +222,7 @@
   bool waiting = false;
   for (const auto& [id, job] : cache_.jobs()) {
     const auto& spec = job.record.spec;
-    if (job.pending() == 0 || is_suspect(id, now)) continue;
+    if (job.pending() == 0 || is_crash_looping(id, now)) continue;
     std::size_t n = within_limit(spec, job.pending(), team_room);
     if (n > 0 && spec.kind == protocol::Kind::kArray && spec.deadline) n = std::min(n, share[id]);
     if (n == 0) continue;
--- a/src/coordination/rounds.cpp
+++ b/src/coordination/rounds.cpp
@@ -106,7 +106,7 @@
 }
 
 std::optional<std::size_t> Controller::starving_tasks(const Job& job, Time now) const {
-  if (is_suspect(job.record.spec.id, now)) return {};
+  if (is_crash_looping(job.record.spec.id, now)) return {};
   return priorities_.starving_tasks(job, now);
 }
 
@@ -223,7 +223,7 @@
     const auto first = starving_tasks(*w.job, now);
     if (first && w.tasks.size() > *first) w.tasks.resize(*first);
     // One task is enough to see whether a job that failed everywhere still does.
-    if (spec.kind != Kind::kGang && is_suspect(spec.id, now)) w.tasks.resize(1);
+    if (spec.kind != Kind::kGang && is_crash_looping(spec.id, now)) w.tasks.resize(1);
     Group g;
     g.request = spec.request;
     g.count = w.tasks.size();
@@ -325,7 +325,7 @@
   std::vector<std::pair<const Job*, std::size_t>> left;
   for (const WaitingJob& w : waiting) {
     // Nothing gives way to a job that fails everywhere.
-    if (!w.tasks.empty() && !is_suspect(w.job->record.spec.id, now))
+    if (!w.tasks.empty() && !is_crash_looping(w.job->record.spec.id, now))
       left.emplace_back(w.job, w.tasks.size());
   }
   for (const auto& [job, count] : left) {
--- a/src/coordination/routing.cpp
+++ b/src/coordination/routing.cpp
@@ -198,7 +198,7 @@
 }
 
 bool Controller::may_displace(const Job& job, Time now) const {
-  return !is_suspect(job.record.spec.id, now) && priorities_.may_displace(job);
+  return !is_crash_looping(job.record.spec.id, now) && priorities_.may_displace(job);
 }
 
 // Most machines of a full fleet have room for nothing that waits: they are passed over in one go, not
@@ -359,7 +359,7 @@
   const auto ahead = starving_tasks(job, r.now);
   if (room == 0 && !ahead && !r.may_displace) return;
   std::size_t most = ahead ? *ahead : std::max<std::size_t>(room, kLeastOffered);
-  if (!gang && is_suspect(r.spec().id, r.now)) most = 1;
+  if (!gang && is_crash_looping(r.spec().id, r.now)) most = 1;
   r.waiting = tasks_to_offer(job, most, r.now);
   r.next = 0;
   if (gang && r.waiting.size() < job.pending()) return;
--- a/src/coordination/upkeep.cpp
+++ b/src/coordination/upkeep.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr Seconds kSuspicionFresh{5.0};  // a sibling's word that a job fails everywhere
+constexpr Seconds kCrashLoopingReportFresh{5.0};  // a sibling's word that a job fails everywhere
 constexpr Seconds kUnheardFor{0.3};
 constexpr Seconds kLostReply{6.0};
 constexpr Seconds kRoomToMove{1.5};
@@ -35,7 +35,7 @@
   });
 }
 
-void Controller::judge_failures(Time now) {
+void Controller::evaluate_failures(Time now) {
   for (const JobId& id : failures_.unproven()) {
     const Job* job = cache_.job(id);
     const bool completed = job ? job->done > 0 : is_done(cache_.final_state(id));
@@ -52,13 +52,13 @@
   }
 }
 
-bool Controller::is_suspect(const JobId& id, Time now) const {
-  if (failures_.is_suspect(id)) return true;
+bool Controller::is_crash_looping(const JobId& id, Time now) const {
+  if (failures_.is_crash_looping(id)) return true;
   const Job* job = cache_.job(id);
   if (job && job->done > 0) return false;
   return std::any_of(siblings_.begin(), siblings_.end(), [&](const auto& s) {
-    return base::between(s.second.last_heartbeat_at, now) < kSuspicionFresh &&
-           s.second.suspects.contains(id);
+    return base::between(s.second.last_heartbeat_at, now) < kCrashLoopingReportFresh &&
+           s.second.crash_looping_jobs.contains(id);
   });
 }
 
@@ -173,7 +173,7 @@
     }
   }
   silent_machines_ = std::move(next);
-  judge_failures(now);
+  evaluate_failures(now);
   watch_contact(now);
   std::erase_if(absent_, [&](const auto& a) { return !cache_.job(a.first.job); });
 }
--- a/src/protocol/records.cpp
+++ b/src/protocol/records.cpp
@@ -399,7 +399,7 @@
               {"back", ids_to_json(s.release_requested)},
               {"knocked", ids_to_json(s.misdirected)},
               {"claims", ids_to_json(s.ownership_claims)},
-              {"suspects", ids_to_json(s.suspects)},
+              {"suspects", ids_to_json(s.crash_looping_jobs)},
               {"contact", to_string(s.contact)}};
 }
 
@@ -434,7 +434,7 @@
     s.release_requested = parse_ids<MachineId>(body, "back");
     s.misdirected = parse_ids<MachineId>(body, "knocked");
     s.ownership_claims = parse_ids<MachineId>(body, "claims");
-    s.suspects = parse_ids<JobId>(body, "suspects");
+    s.crash_looping_jobs = parse_ids<JobId>(body, "suspects");
     s.contact = parse_contact(body.value("contact", ""));
     return s;
   } catch (const Json::exception&) {
--- a/src/protocol/records.h
+++ b/src/protocol/records.h
@@ -249,7 +249,7 @@
   std::vector<MachineId> misdirected;        // machines of others that lately reported here
   std::vector<MachineId> ownership_claims;   // ... those of them that can't reach their owners
   WorkerContact contact = WorkerContact::kUnknown;
-  std::vector<JobId> suspects;  // jobs that fail on every machine, as far as it has seen
+  std::vector<JobId> crash_looping_jobs;  // jobs that fail on every machine, as far as it has seen
 };
 Json to_json(const MemberStatus& status, Time now);
 std::optional<MemberStatus> parse_status(const Json& body, Time now);
--- a/tests/failure_tracker_test.cpp
+++ b/tests/failure_tracker_test.cpp
@@ -28,7 +28,7 @@
     for (const MachineId& machine : {m1_, m2_, m3_}) fail(broken_, machine, i);
   }
   for (const MachineId& machine : {m1_, m2_, m3_}) EXPECT_FALSE(tracker_.is_faulty(machine));
-  EXPECT_TRUE(tracker_.is_suspect(broken_));
+  EXPECT_TRUE(tracker_.is_crash_looping(broken_));
 }
 
 // A faulty machine is found by a job that succeeds elsewhere, also with a broken one beside it.
