--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -73,10 +73,10 @@
 };
 
 // How much of the store's write rate a round may use.
-enum class Pace {
-  kUrgent,  // more than its share is used up: only what users wait for
+enum class WriteBudget {
+  kExhausted,  // more than its share is used up: only what users wait for
   kNormal,
-  kSpare,  // also records that could wait
+  kSurplus,  // also records that could wait
 };
 
 // The leader's word to a member that told its status.
@@ -156,7 +156,7 @@
   void offers_lost(const MemberId& member, const std::vector<protocol::Offers>& offers);
   // Splits waiting tasks of this node's jobs among the parts; own shares go to its own pool.
   std::map<MemberId, protocol::Offers> route(Time now);
-  RoundPlan plan(Time now, Pace pace);
+  RoundPlan plan(Time now, WriteBudget write_budget);
   // The plan was committed at this version: the starts to send at once.
   std::vector<Order> committed(const RoundPlan& plan, Version version, Time now);
   // Stops for tasks that are to go, to be sent at once rather than with the next report's answer.
@@ -273,13 +273,15 @@
   static void record_completion(RoundPlan::Completion end, RecordBatch& batch, RoundPlan& plan);
   // Records what must be on record now; returns the ends that can wait.
   std::vector<RoundPlan::Completion> record_completions(
-      std::vector<RoundPlan::Completion> completions, Pace pace, Time now, RecordBatch& batch,
-      RoundPlan& plan);
+      std::vector<RoundPlan::Completion> completions, WriteBudget write_budget, Time now,
+      RecordBatch& batch, RoundPlan& plan);
   std::set<TaskId> settle_large_records(std::vector<RoundPlan::Completion>& completions,
                                         const RecordBatch& batch) const;
-  void record_deferred_completions(std::vector<RoundPlan::Completion> completions, Pace pace,
-                                   Time now, RecordBatch& batch, RoundPlan& plan);
-  std::vector<WaitingJob> waiting_jobs(Pace pace, Time now, const RecordBatch& batch);
+  void record_deferred_completions(std::vector<RoundPlan::Completion> completions,
+                                   WriteBudget write_budget, Time now, RecordBatch& batch,
+                                   RoundPlan& plan);
+  std::vector<WaitingJob> waiting_jobs(WriteBudget write_budget, Time now,
+                                       const RecordBatch& batch);
   void find_zones(WaitingJob& w) const;
   OpenMachines open_machines(Time now);
   std::vector<int> order_by_due(const std::vector<WaitingJob>& waiting,
--- a/src/coordination/ends.cpp
+++ b/src/coordination/ends.cpp
@@ -142,8 +142,8 @@
 }
 
 std::vector<RoundPlan::Completion> Controller::record_completions(
-    std::vector<RoundPlan::Completion> completions, Pace pace, Time now, RecordBatch& batch,
-    RoundPlan& plan) {
+    std::vector<RoundPlan::Completion> completions, WriteBudget write_budget, Time now,
+    RecordBatch& batch, RoundPlan& plan) {
   std::set<TaskId> ended;
   for (const RoundPlan::Completion& completion : completions) ended.insert(completion.task);
   std::erase_if(completion_seen_at_, [&](const auto& e) { return !ended.contains(e.first); });
@@ -155,7 +155,7 @@
     const Job* job = cache_.job(completion.task.job);
     const bool urgent = job && priorities_.is_urgent(*job);
     const bool waits = can_defer(completion, ended, now) && !together.contains(completion.task);
-    if (waits || (pace == Pace::kUrgent && !urgent)) {
+    if (waits || (write_budget == WriteBudget::kExhausted && !urgent)) {
       deferred.push_back(std::move(completion));
     } else {
       due[job ? priorities_.tier(*job) : kLastTier].push_back(std::move(completion));
@@ -171,7 +171,7 @@
 // Ends that can wait go along with what is written anyway, or while writes are plentiful: the ones
 // seen first go first.
 void Controller::record_deferred_completions(std::vector<RoundPlan::Completion> completions,
-                                             Pace pace, Time now, RecordBatch& batch,
+                                             WriteBudget write_budget, Time now, RecordBatch& batch,
                                              RoundPlan& plan) {
   const auto seen = [&](const RoundPlan::Completion& completion) {
     const auto at = completion_seen_at_.find(completion.task);
@@ -181,7 +181,8 @@
                    [&](const auto& a, const auto& b) { return seen(a) < seen(b); });
   for (RoundPlan::Completion& completion : completions) {
     const Job* job = cache_.job(completion.task.job);
-    if (job && (pace == Pace::kSpare || batch.writes_record_of(*job, completion.task.no)))
+    if (job &&
+        (write_budget == WriteBudget::kSurplus || batch.writes_record_of(*job, completion.task.no)))
       record_completion(std::move(completion), batch, plan);
   }
 }
--- a/src/coordination/rounds.cpp
+++ b/src/coordination/rounds.cpp
@@ -110,7 +110,7 @@
   return priorities_.starving_tasks(job, now);
 }
 
-RoundPlan Controller::plan(Time now, Pace pace) {
+RoundPlan Controller::plan(Time now, WriteBudget write_budget) {
   note_running(now);
   RoundPlan plan;
   if (!has_authority(now)) {
@@ -126,18 +126,18 @@
   std::vector<RoundPlan::Completion> completions;
   collect_completions(now, completions);
   std::vector<RoundPlan::Completion> later =
-      record_completions(std::move(completions), pace, now, batch, plan);
-  std::vector<WaitingJob> waiting = waiting_jobs(pace, now, batch);
+      record_completions(std::move(completions), write_budget, now, batch, plan);
+  std::vector<WaitingJob> waiting = waiting_jobs(write_budget, now, batch);
   place(waiting, now, plan);
   record_starts(batch, plan);
-  record_deferred_completions(std::move(later), pace, now, batch, plan);
+  record_deferred_completions(std::move(later), write_budget, now, batch, plan);
   free_capacity(waiting, plan, now);
   plan.more = batch.turned_away();
   if (!batch.empty()) plan.txn = batch.build(self_, installed_view_, priorities_.time_of_day(now));
   return plan;
 }
 
-std::vector<Controller::WaitingJob> Controller::waiting_jobs(Pace pace, Time now,
+std::vector<Controller::WaitingJob> Controller::waiting_jobs(WriteBudget write_budget, Time now,
                                                              const RecordBatch& batch) {
   std::erase_if(pool_, [&](const PoolEntry& p) { return p.until < now; });
   std::vector<WaitingJob> waiting;
@@ -145,7 +145,7 @@
   for (const PoolEntry& p : pool_) {
     const Job* job = cache_.job(p.job);
     if (!job || job->cancelled() || job->blocked) continue;
-    if (pace == Pace::kUrgent && !priorities_.is_urgent(*job)) continue;
+    if (write_budget == WriteBudget::kExhausted && !priorities_.is_urgent(*job)) continue;
     if (!failures_.may_retry(p.job, now)) continue;
     const auto [at, is_new] = index.try_emplace(p.job, waiting.size());
     if (is_new) waiting.push_back({job, {}, {}, true});
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -23,10 +23,10 @@
 constexpr Seconds kStateCall{1.5};
 constexpr Seconds kShortPause{0.2};
 constexpr Seconds kOrderCall{1.0};
-constexpr Seconds kLeastGap{0.05};   // between two rounds: what comes in a burst shares one
-constexpr double kRoundShare = 6;    // a round waits so many times as long as its decisions take
-constexpr double kUrgentDebt = 0.4;  // seconds' worth of writes that urgent work may run ahead
-constexpr double kPlenty = 0.6;      // seconds' worth saved up: records that could wait go too
+constexpr Seconds kLeastGap{0.05};     // between two rounds: what comes in a burst shares one
+constexpr double kRoundShare = 6;      // a round waits so many times as long as its decisions take
+constexpr double kMaxDebt = 0.4;       // seconds' worth of writes that urgent work may run ahead
+constexpr double kSurplusShare = 0.6;  // seconds' worth saved up: records that could wait go too
 constexpr std::size_t kMostOrders = 512;
 constexpr std::size_t kMaxUnsentCancellations = 1024;  // cancellations that a sibling has not taken
 // An answer of changes that were missed takes several times its size once it is parsed.
@@ -519,8 +519,8 @@
 // This node's share of the store's write rate, with a second's worth saved up at most. Paid after the
 // commit, so that nothing is planned and then left to grow old: while in debt, only what users wait
 // for goes on, and the batch of the rest is wider for it.
-void Node::pay_writes(std::size_t n) {
-  write_credit_ -= static_cast<double>(n);
+void Node::spend_writes(std::size_t n) {
+  write_budget_ -= static_cast<double>(n);
 }
 
 double Node::write_rate() {
@@ -530,18 +530,19 @@
   return settings_.state_write_rps * 0.85 / static_cast<double>(std::max<std::size_t>(1, members));
 }
 
-coordination::Pace Node::await_writes() {
+coordination::WriteBudget Node::await_write_budget() {
   const double rate = write_rate();
   const Time t = now();
-  write_credit_ = std::min(rate, write_credit_ + base::between(write_credit_at_, t).count() * rate);
-  write_credit_at_ = t;
-  const double over = -write_credit_ - rate * kUrgentDebt;
+  write_budget_ = std::min(rate, write_budget_ + base::between(write_budget_at_, t).count() * rate);
+  write_budget_at_ = t;
+  const double over = -write_budget_ - rate * kMaxDebt;
   if (over > 0) {
     pause(Seconds(over / rate));
-    return await_writes();
+    return await_write_budget();
   }
-  if (write_credit_ <= 0) return coordination::Pace::kUrgent;
-  return write_credit_ > rate * kPlenty ? coordination::Pace::kSpare : coordination::Pace::kNormal;
+  if (write_budget_ <= 0) return coordination::WriteBudget::kExhausted;
+  return write_budget_ > rate * kSurplusShare ? coordination::WriteBudget::kSurplus
+                                              : coordination::WriteBudget::kNormal;
 }
 
 void Node::rounds() {
@@ -557,7 +558,7 @@
 
 void Node::one_round() {
   for (int i = 0; i < 6; ++i) {
-    const auto pace = await_writes();
+    const auto write_budget = await_write_budget();
     const Time began = now();
     auto routed = locked([](coordination::Controller& c) {
       c.install_view(now());
@@ -578,7 +579,7 @@
       }
       s->bell.ring();
     }
-    const auto plan = locked([&](auto& c) { return c.plan(now(), pace); });
+    const auto plan = locked([&](auto& c) { return c.plan(now(), write_budget); });
     deciding_ = deciding_ * 0.7 + base::between(began, now()) * 0.3;
     std::vector<coordination::Order> orders;
     const bool went = !plan.empty() && commit_plan(plan, orders);
@@ -596,17 +597,17 @@
       return finish ? finish : c.divide_one(now());
     });
     if (!txn) break;
-    pay_writes(txn->writes.size());
+    spend_writes(txn->writes.size());
     if (!commit(*txn, kStateCall)) break;
   }
   // Records of jobs that are over: when there are writes to spare, or too many of them.
-  const bool plenty = await_writes() == coordination::Pace::kSpare;
+  const bool plenty = await_write_budget() == coordination::WriteBudget::kSurplus;
   const auto orphans = locked([&](coordination::Controller& c) {
     const bool due = plenty || c.cache().orphans().size() > kMostOrphans;
     return due ? c.sweep_orphans() : std::nullopt;
   });
   if (orphans) {
-    pay_writes(orphans->writes.size());
+    spend_writes(orphans->writes.size());
     commit(*orphans, kStateCall);
   }
   read_unresolved_dependencies();
@@ -632,7 +633,7 @@
 bool Node::commit_plan(const coordination::RoundPlan& plan,
                        std::vector<coordination::Order>& orders) {
   const auto done = state_.commit(plan.txn, kStateCall);
-  pay_writes(plan.txn.writes.size());
+  spend_writes(plan.txn.writes.size());
   switch (done.outcome) {
     case Outcome::kDone:
       orders = locked([&](coordination::Controller& c) {
--- a/src/node.h
+++ b/src/node.h
@@ -98,9 +98,9 @@
   std::deque<Rental> rentals(const coordination::ScalingPlan& plan);
   void rent(const coordination::ScalingPlan& plan, Seconds gap);
   RentOutcome rent_once(const Rental& r);
-  void pay_writes(std::size_t n);
+  void spend_writes(std::size_t n);
   double write_rate();
-  coordination::Pace await_writes();
+  coordination::WriteBudget await_write_budget();
 
   template <class F>
   auto locked(F f) {
@@ -142,8 +142,8 @@
 
   std::uint64_t jobs_unblocked_ = 0;  // as counted by the ledger after the last round
   Seconds deciding_{0};               // how long a round's decisions take, on average
-  double write_credit_ = 0;
-  Time write_credit_at_{};
+  double write_budget_ = 0;
+  Time write_budget_at_{};
   std::uint64_t rental_count_ = 0;
   std::optional<Rental> open_rental_;  // sent, and not answered for certain
   struct CloudRead {
--- a/tests/world_controllers.cpp
+++ b/tests/world_controllers.cpp
@@ -217,7 +217,7 @@
         nodes_[m].rung = true;
       }
     }
-    const auto plan = c.plan(now(), coordination::Pace::kNormal);
+    const auto plan = c.plan(now(), coordination::WriteBudget::kNormal);
     bool went = false;
     if (!plan.empty()) {
       const auto done = commit(n, plan.txn);
