--- a/src/node.cpp
+++ b/src/node.cpp
@@ -18,8 +18,8 @@
 
 using base::Seconds;
 
-constexpr Seconds kUserCall{1.2};   // users wait 2 s for a status
-constexpr Seconds kProofGap{0.04};  // between two looks at the store's changes for polls
+constexpr Seconds kUserCall{1.2};     // users wait 2 s for a status
+constexpr Seconds kBarrierGap{0.04};  // between two looks at the store's changes for polls
 constexpr Seconds kStateCall{1.5};
 constexpr Seconds kShortPause{0.2};
 constexpr Seconds kOrderCall{1.0};
@@ -75,7 +75,7 @@
       workers_(static_cast<std::size_t>(std::max(4, settings_.sockets / 8))),
       controller_(settings_),
       users_(settings_, mutex_, controller_,
-             {[this] { return prove_current(); },
+             {[this] { return read_barrier(); },
               [this](const std::string& key) { return users_store_.get(key, kUserCall); },
               [this](const Transaction& txn) { return users_store_.commit(txn, kStateCall); },
               [] { return base::wall_seconds(); }, [this] { round_bell_.ring(); },
@@ -423,37 +423,38 @@
   }
 }
 
-bool Node::prove_current() {
-  std::unique_lock lock(proof_mutex_);
+bool Node::read_barrier() {
+  std::unique_lock lock(barrier_mutex_);
   const std::uint64_t mine =
-      proofs_begun_ + 1;  // what has begun already may miss what is asked for
+      barriers_begun_ + 1;  // what has begun already may miss what is asked for
   const Time deadline = base::after(now(), kUserCall);
-  while (proofs_done_ < mine) {
-    if (proving_) {
-      if (proved_.wait_until(lock, deadline) == std::cv_status::timeout && proofs_done_ < mine) {
+  while (barriers_done_ < mine) {
+    if (barrier_running_) {
+      if (barrier_done_.wait_until(lock, deadline) == std::cv_status::timeout &&
+          barriers_done_ < mine) {
         return false;
       }
       continue;
     }
-    proving_ = true;
+    barrier_running_ = true;
     // Under load the polls of a moment share a look.
-    const Seconds gap = kProofGap - base::between(proof_at_, now());
+    const Seconds gap = kBarrierGap - base::between(barrier_began_at_, now());
     if (gap.count() > 0) {
       lock.unlock();
       pause(gap);
       lock.lock();
     }
-    const std::uint64_t n = ++proofs_begun_;
-    proof_at_ = now();
+    const std::uint64_t n = ++barriers_begun_;
+    barrier_began_at_ = now();
     lock.unlock();
     const bool assignment = catch_up(kUserCall);
     lock.lock();
-    proof_held_ = assignment;
-    proofs_done_ = n;
-    proving_ = false;
-    proved_.notify_all();
+    barrier_succeeded_ = assignment;
+    barriers_done_ = n;
+    barrier_running_ = false;
+    barrier_done_.notify_all();
   }
-  return proof_held_;
+  return barrier_succeeded_;
 }
 
 bool Node::catch_up(Seconds timeout) {
--- a/src/node.h
+++ b/src/node.h
@@ -123,15 +123,15 @@
 
   // One look at the store's changes serves all polls that came before it began: it proves this
   // process's copy current, or makes it so.
-  bool prove_current();
+  bool read_barrier();
   bool catch_up(Seconds timeout);
   // False: it came too late for a copy that was begun anew meanwhile.
   bool take_in(const protocol::StateClient::Watched& w);
-  std::mutex proof_mutex_;
-  std::condition_variable proved_;
-  std::uint64_t proofs_begun_ = 0, proofs_done_ = 0;
-  bool proving_ = false, proof_held_ = false;
-  Time proof_at_{};
+  std::mutex barrier_mutex_;
+  std::condition_variable barrier_done_;
+  std::uint64_t barriers_begun_ = 0, barriers_done_ = 0;
+  bool barrier_running_ = false, barrier_succeeded_ = false;
+  Time barrier_began_at_{};
 
   Bell beat_bell_, round_bell_, fleet_bell_;
   std::vector<std::unique_ptr<Sibling>> siblings_;
--- a/src/users.cpp
+++ b/src/users.cpp
@@ -54,7 +54,7 @@
   // Another node may have told more than this one has heard of: what is not final is told only from
   // a copy that was proved current after the question came. A live record only ever becomes a final
   // one, so what that copy lacks is final, and read from the store, or was never accepted.
-  if (!store_.current()) return Known::kCantTell;
+  if (!store_.read_barrier()) return Known::kCantTell;
   // It is cancelled with any job that it depends on: another node may have told so, and this one must not
   // say "queued" for want of a final state that it has not read.
   const auto unresolved =
@@ -95,7 +95,7 @@
     return ids;
   };
   if (!locked(not_known).empty()) {
-    if (!store_.current()) return {Known::kCantTell, {}, false};
+    if (!store_.read_barrier()) return {Known::kCantTell, {}, false};
     const std::vector<JobId> ids = locked(not_known);
     for (std::size_t i = 0; i < ids.size(); ++i) {
       if (i == kMaxDependenciesRead) return {Known::kCantTell, {}, false};
--- a/src/users.h
+++ b/src/users.h
@@ -16,7 +16,7 @@
  public:
   struct Store {
     // Brings the local copy up to the store's state at a moment after the call; false: could not.
-    std::function<bool()> current;
+    std::function<bool()> read_barrier;
     std::function<protocol::StateClient::Got(const std::string& key)> get;
     std::function<protocol::StateClient::Committed(const protocol::Transaction& txn)> commit;
     std::function<double()> wall;   // the time of day
