--- a/src/bookkeeping/ledger.cpp
+++ b/src/bookkeeping/ledger.cpp
@@ -134,7 +134,7 @@
       record->spec.dependencies = std::move(at->second.record.spec.dependencies);
     at->second.record = std::move(*record);
     at->second.version = item.version;
-    if (at->second.record.piece != 0 && at->second.whole.empty()) divide(at->second, now);
+    if (at->second.record.piece != 0 && at->second.whole.empty()) split_chunks(at->second, now);
     stamp_assigned_machines(at->second);
     if (at->second.record.cancelled) cancel_dependents(id);
     return;
@@ -309,7 +309,7 @@
   }
 }
 
-void StateCache::divide(Job& job, Time now) {
+void StateCache::split_chunks(Job& job, Time now) {
   job.whole = std::move(job.chunks);
   job.chunks.clear();
   job.chunks.resize(job.record.chunks());
--- a/src/bookkeeping/ledger.h
+++ b/src/bookkeeping/ledger.h
@@ -165,7 +165,7 @@
   void mark_dependency_done(Job& job, double done_at);
   void put_chunk(const Item& item, Time now);
   // The job's record says that its chunks are divided into pieces.
-  void divide(Job& job, Time now);
+  void split_chunks(Job& job, Time now);
   // The pieces of that chunk that have no record of their own are as the chunk's says.
   void derive_pieces(Job& job, std::uint32_t chunk, Time now);
   // What the record of some tasks says now takes the place of what it said before.
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -161,10 +161,10 @@
   std::vector<Order> committed(const RoundPlan& plan, Version version, Time now);
   // Stops for tasks that are to go, to be sent at once rather than with the next report's answer.
   std::vector<Order> stops(Time now);
-  std::optional<Transaction> finish_one(Time now);
+  std::optional<Transaction> finalize_one_job(Time now);
   // Divides the chunks of a job that no value of the store holds any more.
-  std::optional<Transaction> divide_one(Time now);
-  std::optional<Transaction> sweep_orphans();
+  std::optional<Transaction> split_one_record(Time now);
+  std::optional<Transaction> collect_garbage();
 
   // --- siblings
   // What `to` is to be told: what changed since what it has, as far as it has said so.
--- a/src/coordination/intake.cpp
+++ b/src/coordination/intake.cpp
@@ -96,14 +96,14 @@
   return txn;
 }
 
-bool may_finish(const bookkeeping::Job& job) {
+bool may_finalize(const bookkeeping::Job& job) {
   // A cancelled job stays until nothing of it is on a machine: its tasks count for the team.
   if (job.assigned > 0) return false;
   return job.cancelled_on_record() || job.done == job.record.spec.tasks;
 }
 
-std::optional<Transaction> divide_chunks(const bookkeeping::Job& job, protocol::Version view,
-                                         const base::Settings& settings) {
+std::optional<Transaction> split_chunks(const bookkeeping::Job& job, protocol::Version view,
+                                        const base::Settings& settings) {
   const protocol::JobRecord& record = job.record;
   const TaskNo fit = protocol::chunk_size(record.chunk, 1, settings.value_bytes);
   if (record.piece != 0 || record.chunk <= fit || record.spec.tasks <= fit) return {};
@@ -117,16 +117,16 @@
   return txn;
 }
 
-std::optional<Transaction> finish(const bookkeeping::Job& job, std::size_t txn_ops,
-                                  double time_of_day) {
-  if (!may_finish(job)) return {};
+std::optional<Transaction> finalize(const bookkeeping::Job& job, std::size_t txn_ops,
+                                    double time_of_day) {
+  if (!may_finalize(job)) return {};
   Transaction txn;
-  add_finish(txn, job, time_of_day);
+  add_finalization(txn, job, time_of_day);
   guard_task_records(txn, job, txn_ops);
   return txn;
 }
 
-void add_finish(Transaction& txn, const bookkeeping::Job& job, double time_of_day) {
+void add_finalization(Transaction& txn, const bookkeeping::Job& job, double time_of_day) {
   const auto& spec = job.record.spec;
   // A cancellation between the last end and here wins: users were told so.
   txn.guards[protocol::job_key(spec.id)] = job.version;
--- a/src/coordination/record_batch.cpp
+++ b/src/coordination/record_batch.cpp
@@ -18,7 +18,8 @@
 constexpr std::size_t kMaxBytes = 48u << 10;  // a transaction holds 64 KiB in all
 constexpr std::size_t kBytesOfRecord = 200;   // about; and for each task that is held:
 constexpr std::size_t kBytesOfHeld = 48;
-constexpr std::size_t kWritesOfFinish = 3;  // a job that leaves: its state, its record, its row
+constexpr std::size_t kWritesPerFinalization =
+    3;  // a job that leaves: its state, its record, its row
 
 // A job of several records whose tasks share or avoid zones: no single record shows where all of its
 // tasks are, so its starts stand in a row.
@@ -121,7 +122,7 @@
   return protocol::encoded_size_bound(record) <= settings_.value_bytes;
 }
 
-std::set<JobId> RecordBatch::finished_jobs() const {
+std::set<JobId> RecordBatch::finalized_jobs() const {
   struct Counts {
     TaskNo done = 0, assigned = 0;
   };
@@ -134,28 +135,28 @@
         static_cast<TaskNo>(e.record.assigned.size()) - static_cast<TaskNo>(before.assigned.size());
   }
   std::size_t all_writes = writes();
-  std::set<JobId> finished;
+  std::set<JobId> finalized;
   for (const auto& [id, counts] : after) {
     const Job& job = *cache_.job(id);
     const bool over = job.cancelled_on_record() || counts.done >= job.record.spec.tasks;
     if (counts.assigned > 0 || !over || !cache_.is_settled(job)) continue;
-    if (all_writes + kWritesOfFinish > settings_.txn_ops) continue;
-    all_writes += kWritesOfFinish;
-    finished.insert(id);
+    if (all_writes + kWritesPerFinalization > settings_.txn_ops) continue;
+    all_writes += kWritesPerFinalization;
+    finalized.insert(id);
   }
-  return finished;
+  return finalized;
 }
 
 Transaction RecordBatch::build(const protocol::ControllerIncarnation& self, Version view,
                                double time_of_day) const {
   Transaction txn;
   txn.guards[protocol::kViewKey] = view;
-  const std::set<JobId> finished = finished_jobs();
+  const std::set<JobId> finalized = finalized_jobs();
   for (const auto& [id, e] : edits_) {
     const std::string key = e.job->record.record_key(id.chunk);
     txn.guards[key] = e.job->chunks[id.chunk].version;
     guard_whole_chunk(txn, *e.job, id.chunk);
-    if (finished.contains(id.job)) continue;
+    if (finalized.contains(id.job)) continue;
     protocol::ChunkRecord record = e.record;
     if (e.has_starts) {
       record.next = Attempt(record.next.get() + 1);
@@ -164,9 +165,9 @@
     txn.writes.push_back({key, to_json(record, e.job->chunk_first(id.chunk)), {}});
   }
   add_rows(txn, self);
-  for (const JobId& id : finished) add_finish(txn, *cache_.job(id), time_of_day);
+  for (const JobId& id : finalized) add_finalization(txn, *cache_.job(id), time_of_day);
   // Last: they take only what room for conditions is left.
-  for (const JobId& id : finished) guard_task_records(txn, *cache_.job(id), settings_.txn_ops);
+  for (const JobId& id : finalized) guard_task_records(txn, *cache_.job(id), settings_.txn_ops);
   return txn;
 }
 
--- a/src/coordination/record_batch.h
+++ b/src/coordination/record_batch.h
@@ -62,7 +62,7 @@
   std::size_t writes() const { return edits_.size() + teams_.size() + serialized_.size(); }
   bool has_room_for_start(const bookkeeping::Job& job, base::TaskNo no,
                           const protocol::Assignment& assignment) const;
-  std::set<base::JobId> finished_jobs() const;
+  std::set<base::JobId> finalized_jobs() const;
   static void guard_whole_chunk(protocol::Transaction& txn, const bookkeeping::Job& job,
                                 std::uint32_t piece);
   void add_rows(protocol::Transaction& txn, const protocol::ControllerIncarnation& self) const;
--- a/src/coordination/upkeep.cpp
+++ b/src/coordination/upkeep.cpp
@@ -178,28 +178,28 @@
   std::erase_if(absent_, [&](const auto& a) { return !cache_.job(a.first.job); });
 }
 
-std::optional<Transaction> Controller::finish_one(Time now) {
+std::optional<Transaction> Controller::finalize_one_job(Time now) {
   if (!has_incarnation_ || !cache_.view()) return {};
   for (const auto& [id, job] : cache_.jobs()) {
-    if (!may_finish(job)) continue;
+    if (!may_finalize(job)) continue;
     const ControllerIncarnation* home = home_of(*cache_.view(), id);
     if (!home || *home != self_ || !cache_.is_settled(job)) continue;
-    return finish(job, settings_.txn_ops, priorities_.time_of_day(now));
+    return finalize(job, settings_.txn_ops, priorities_.time_of_day(now));
   }
   return {};
 }
 
-std::optional<Transaction> Controller::divide_one(Time now) {
+std::optional<Transaction> Controller::split_one_record(Time now) {
   if (!has_authority(now) || cache_.format() < protocol::kFormatWithPieces) return {};
   for (const auto& [id, job] : cache_.jobs()) {
     const ControllerIncarnation* home = home_of(*cache_.view(), id);
     if (!home || *home != self_ || job.cancelled_on_record()) continue;
-    if (auto txn = divide_chunks(job, installed_view_, settings_)) return txn;
+    if (auto txn = split_chunks(job, installed_view_, settings_)) return txn;
   }
   return {};
 }
 
-std::optional<Transaction> Controller::sweep_orphans() {
+std::optional<Transaction> Controller::collect_garbage() {
   if (!has_incarnation_ || !cache_.view() || cache_.orphans().empty()) return {};
   Transaction txn;
   for (const auto& [key, version] : cache_.orphans()) {
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -594,8 +594,8 @@
   }
   for (int i = 0; i < 8; ++i) {
     const auto txn = locked([](auto& c) {
-      auto finish = c.finish_one(now());
-      return finish ? finish : c.divide_one(now());
+      auto finish = c.finalize_one_job(now());
+      return finish ? finish : c.split_one_record(now());
     });
     if (!txn) break;
     spend_writes(txn->writes.size());
@@ -605,7 +605,7 @@
   const bool plenty = await_write_budget() == coordination::WriteBudget::kSurplus;
   const auto orphans = locked([&](coordination::Controller& c) {
     const bool due = plenty || c.cache().orphans().size() > kMostOrphans;
-    return due ? c.sweep_orphans() : std::nullopt;
+    return due ? c.collect_garbage() : std::nullopt;
   });
   if (orphans) {
     spend_writes(orphans->writes.size());
--- a/tests/world_controllers.cpp
+++ b/tests/world_controllers.cpp
@@ -235,7 +235,8 @@
     send(c.stops(now()));
     if (plan.empty() || (went && !plan.more)) break;
   }
-  for (const auto& txn : {c.finish_one(now()), c.divide_one(now()), c.sweep_orphans()}) {
+  for (const auto& txn :
+       {c.finalize_one_job(now()), c.split_one_record(now()), c.collect_garbage()}) {
     if (!txn) continue;
     const auto done = commit(n, *txn);
     if (done.outcome == Outcome::kDone) {
