--- a/src/node.cpp
+++ b/src/node.cpp
@@ -51,20 +51,20 @@
 
 }  // namespace
 
-void Node::Bell::ring() {
+void Node::WakeupEvent::notify() {
   {
     const std::lock_guard lock(mutex_);
-    if (is_rung_) return;
-    is_rung_ = true;
+    if (is_set_) return;
+    is_set_ = true;
   }
-  rung_.notify_one();
+  is_set_condition_.notify_one();
 }
 
-bool Node::Bell::wait(Seconds most) {
+bool Node::WakeupEvent::wait(Seconds most) {
   std::unique_lock lock(mutex_);
-  const bool rung = rung_.wait_for(lock, most, [this] { return is_rung_; });
-  is_rung_ = false;
-  return rung;
+  const bool is_set = is_set_condition_.wait_for(lock, most, [this] { return is_set_; });
+  is_set_ = false;
+  return is_set;
 }
 
 Node::Node(base::Settings settings)
@@ -78,7 +78,7 @@
              {[this] { return read_barrier(); },
               [this](const std::string& key) { return users_store_.get(key, kUserCall); },
               [this](const Transaction& txn) { return users_store_.commit(txn, kStateCall); },
-              [] { return base::wall_seconds(); }, [this] { round_bell_.ring(); },
+              [] { return base::wall_seconds(); }, [this] { round_wakeup_.notify(); },
               [this](const JobId& id) { broadcast_cancellation(id); }}) {
   for (const base::Sibling& s : settings_.siblings) {
     siblings_.push_back(std::make_unique<Sibling>(s));
@@ -101,12 +101,12 @@
       settings_.peer_listen,
       transport::ServerLimits{std::max(16, settings_.sockets / 20), 16, kMaxSiblingBody, "", 0},
       [this](const Request& r) { return serve_sibling(r); });
-  threads_.emplace_back([this] { watch(); });
-  threads_.emplace_back([this] { beat(); });
-  threads_.emplace_back([this] { rounds(); });
-  threads_.emplace_back([this] { fleet(); });
-  for (int i = 0; i < kSenders; ++i) threads_.emplace_back([this] { send_orders(); });
-  for (auto& s : siblings_) threads_.emplace_back([this, &s] { tell_sibling(*s); });
+  threads_.emplace_back([this] { watch_loop(); });
+  threads_.emplace_back([this] { renew_lease_loop(); });
+  threads_.emplace_back([this] { round_loop(); });
+  threads_.emplace_back([this] { scale_loop(); });
+  for (int i = 0; i < kSenders; ++i) threads_.emplace_back([this] { send_orders_loop(); });
+  for (auto& s : siblings_) threads_.emplace_back([this, &s] { sync_peer_loop(*s); });
   spdlog::info("{} serves on {}, siblings on {}", settings_.member.get(), settings_.listen.str(),
                settings_.peer_listen.str());
 }
@@ -177,7 +177,7 @@
     }
     return r;
   });
-  if (news) round_bell_.ring();
+  if (news) round_wakeup_.notify();
   return {reply.status, reply.body, 0};
 }
 
@@ -201,9 +201,9 @@
     for (const JobId& id : cancelled) c.notify_cancelled(id);
     return c.heard_status(*status, now());
   });
-  if (!offers.empty() || !cancelled.empty()) round_bell_.ring();
+  if (!offers.empty() || !cancelled.empty()) round_wakeup_.notify();
   // Its machines lose their tasks if nobody answers them within their lease.
-  if (status->contact == protocol::WorkerContact::kLost) beat_bell_.ring();
+  if (status->contact == protocol::WorkerContact::kLost) lease_wakeup_.notify();
   return {200,
           Json{{"gone", protocol::ids_to_json(said.released)},
                {"close", protocol::ids_to_json(said.cordon)},
@@ -221,14 +221,14 @@
       s->cancelled.push_back(id);
       if (s->cancelled.size() > kMaxUnsentCancellations) s->cancelled.pop_front();
     }
-    s->bell.ring();
+    s->wakeup.notify();
   }
 }
 
-void Node::tell_sibling(Sibling& sibling) {
+void Node::sync_peer_loop(Sibling& sibling) {
   const Seconds period = settings_.tuning.round_period * 0.7;
   for (;;) {
-    sibling.bell.wait(period);
+    sibling.wakeup.wait(period);
     std::vector<protocol::Offers> offers;
     std::deque<JobId> cancelled;
     {
@@ -250,7 +250,7 @@
     if (!answer.ok()) {
       if (!offers.empty()) {
         locked([&](auto& c) { c.offers_lost(sibling.id, offers); });
-        round_bell_.ring();
+        round_wakeup_.notify();
       }
       pause(kShortPause);
       continue;
@@ -269,7 +269,7 @@
     };
     const auto released = ids("gone");
     const bool again = !said.is_object() || said.value("again", true);
-    if (again) sibling.bell.ring();
+    if (again) sibling.wakeup.notify();
     locked([&](coordination::Controller& c) {
       c.sibling_reached(sibling.id, now());
       c.status_acknowledged(sibling.id, again ? 0 : status.upto);
@@ -277,26 +277,26 @@
       c.cordon_idle(ids("close"));
       c.drain(ids("drain"));
     });
-    if (!released.empty()) round_bell_.ring();
+    if (!released.empty()) round_wakeup_.notify();
   }
 }
 
 // --- the state service
 
-void Node::beat() {
+void Node::renew_lease_loop() {
   const Seconds ttl = settings_.tuning.member_ttl;
   const Seconds period = ttl / 4.0, timeout = std::min(Seconds(1.0), ttl / 4.0);
   for (;;) {
     std::optional<base::LeaseId> lease = locked([this](auto&) { return lease_; });
     if (!loaded_) {
-      beat_bell_.wait(kShortPause);
+      lease_wakeup_.wait(kShortPause);
       continue;
     }
     if (!lease) {
       const Time sent = now();
       lease = state_.create_lease(ttl, timeout);
       if (!lease) {
-        beat_bell_.wait(kShortPause * 2.0);
+        lease_wakeup_.wait(kShortPause * 2.0);
         continue;
       }
       const protocol::ControllerIncarnation incarnation{settings_.member,
@@ -309,7 +309,7 @@
       if (done.outcome != Outcome::kDone) {
         locked([](auto& c) { c.end_incarnation(); });
         state_.delete_lease(*lease, timeout);
-        beat_bell_.wait(kShortPause * 2.0);
+        lease_wakeup_.wait(kShortPause * 2.0);
         continue;
       }
       const std::lock_guard lock(mutex_);
@@ -318,7 +318,7 @@
       controller_.lease_acquired(sent);
       spdlog::info("member {} begins life {}", incarnation.member.get(),
                    incarnation.incarnation.get());
-      for (auto& s : siblings_) s->bell.ring();
+      for (auto& s : siblings_) s->wakeup.notify();
     }
     locked([](auto& c) { c.tell_time(now(), base::wall_seconds()); });
     const Time sent = now();
@@ -348,8 +348,8 @@
           c.cache().apply(*txn, done.revision, now());
           c.install_view(now());
         });
-        round_bell_.ring();
-        fleet_bell_.ring();
+        round_wakeup_.notify();
+        fleet_wakeup_.notify();
         continue;
       }
       if (done.outcome == Outcome::kConflict) refresh(done.failed);
@@ -358,8 +358,8 @@
             locked([](auto& c) { return c.propose_ownership_claims(now()); })) {
       commit(*propose_ownership_claims, kStateCall);
     }
-    round_bell_.ring();
-    beat_bell_.wait(period);
+    round_wakeup_.notify();
+    lease_wakeup_.wait(period);
   }
 }
 
@@ -396,7 +396,7 @@
   return true;
 }
 
-void Node::watch() {
+void Node::watch_loop() {
   bool ready = false;
   for (;;) {
     if (!ready) {
@@ -485,14 +485,14 @@
     loaded_ = true;
     members = true;
   }
-  if (members) beat_bell_.ring();
-  if (changed) round_bell_.ring();
+  if (members) lease_wakeup_.notify();
+  if (changed) round_wakeup_.notify();
   return true;
 }
 
 void Node::refresh(const std::vector<std::string>& keys) {
   for (const std::string& key : keys) {
-    if (key == protocol::kViewKey) beat_bell_.ring();
+    if (key == protocol::kViewKey) lease_wakeup_.notify();
     // Only what stands for itself may be read ahead of the watch. The view and the rows of starts
     // stand for all that was committed before them: known without it, a team's use would miss
     // other nodes' starts.
@@ -546,9 +546,9 @@
                                               : coordination::WriteBudget::kNormal;
 }
 
-void Node::rounds() {
+void Node::round_loop() {
   for (;;) {
-    round_bell_.wait(settings_.tuning.round_period);
+    round_wakeup_.wait(settings_.tuning.round_period);
     // What comes in a burst shares a round. The longer its decisions take, the fewer are made, and
     // the more each of them takes in.
     pause(std::clamp(deciding_ * kRoundShare, kLeastGap, settings_.tuning.round_period * 0.7));
@@ -578,7 +578,7 @@
         const std::lock_guard lock(s->mutex);
         if (s->offers.size() < 64) s->offers.push_back(std::move(at->second));
       }
-      s->bell.ring();
+      s->wakeup.notify();
     }
     const auto plan = locked([&](auto& c) { return c.plan(now(), write_budget); });
     deciding_ = deciding_ * 0.7 + base::between(began, now()) * 0.3;
@@ -614,7 +614,7 @@
   read_unresolved_dependencies();
   // What this node's own records made ready waits for no other event.
   const std::uint64_t ready = locked([](auto& c) { return c.cache().jobs_unblocked(); });
-  if (ready != jobs_unblocked_) round_bell_.ring();
+  if (ready != jobs_unblocked_) round_wakeup_.notify();
   jobs_unblocked_ = ready;
 }
 
@@ -670,7 +670,7 @@
   orders_ready_.notify_all();
 }
 
-void Node::send_orders() {
+void Node::send_orders_loop() {
   for (;;) {
     coordination::Order o;
     {
--- a/src/node.h
+++ b/src/node.h
@@ -38,16 +38,16 @@
   using Request = transport::Request;
 
   // A flag that a loop waits for.
-  class Bell {
+  class WakeupEvent {
    public:
-    void ring();
+    void notify();
     // False if it wasn't rung within that time.
     bool wait(Seconds most);
 
    private:
     std::mutex mutex_;
-    std::condition_variable rung_;
-    bool is_rung_ = false;
+    std::condition_variable is_set_condition_;
+    bool is_set_ = false;
   };
 
   // What one sibling is told: offers and cancellations at once, status regularly.
@@ -58,7 +58,7 @@
     std::mutex mutex;
     std::vector<protocol::Offers> offers;
     std::deque<base::JobId> cancelled;  // not yet told; bounded
-    Bell bell;
+    WakeupEvent wakeup;
   };
 
   // Users
@@ -69,22 +69,22 @@
 
   // Siblings
   Reply serve_sibling(const Request& req);
-  void tell_sibling(Sibling& sibling);
+  void sync_peer_loop(Sibling& sibling);
   void broadcast_cancellation(const base::JobId& id);
 
   // Loops
-  void beat();
-  void watch();
+  void renew_lease_loop();
+  void watch_loop();
   bool load();
-  void rounds();
+  void round_loop();
   void one_round();
   bool commit_plan(const coordination::RoundPlan& plan, std::vector<coordination::Order>& orders);
   bool commit(const protocol::Transaction& txn, Seconds timeout);
   void refresh(const std::vector<std::string>& keys);
   void read_unresolved_dependencies();
-  void send_orders();
+  void send_orders_loop();
   void enqueue(std::vector<coordination::Order> orders);
-  void fleet();
+  void scale_loop();
   // A request for machines, under a name of its own.
   struct Rental {
     std::string name;
@@ -133,7 +133,7 @@
   bool barrier_running_ = false, barrier_succeeded_ = false;
   Time barrier_began_at_{};
 
-  Bell beat_bell_, round_bell_, fleet_bell_;
+  WakeupEvent lease_wakeup_, round_wakeup_, fleet_wakeup_;
   std::vector<std::unique_ptr<Sibling>> siblings_;
 
   std::mutex orders_mutex_;
--- a/src/node_fleet.cpp
+++ b/src/node_fleet.cpp
@@ -27,10 +27,10 @@
 
 }  // namespace
 
-void Node::fleet() {
+void Node::scale_loop() {
   const Seconds gap(kCallGap / settings_.cloud_rps);
   for (;;) {
-    fleet_bell_.wait(std::max(gap, kLeastTurn));
+    fleet_wakeup_.wait(std::max(gap, kLeastTurn));
     if (!locked([](Controller& c) { return c.is_leader(now()); })) {
       open_rental_.reset();
       continue;
@@ -86,7 +86,7 @@
   }
   spdlog::info("released:{}", names);
   locked([&](Controller& c) { c.released(machines, now()); });
-  round_bell_.ring();
+  round_wakeup_.notify();
 }
 
 std::deque<Node::Rental> Node::rentals(const coordination::ScalingPlan& plan) {
--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -61,7 +61,7 @@
     for (NodeSim& node : nodes_) {
       if (!node.up || !node.loaded) continue;
       node.controller->handle_heartbeat(late.heartbeat, now());
-      node.rung = true;
+      node.round_due = true;
     }
   }
   step_workers();
--- a/tests/world.h
+++ b/tests/world.h
@@ -109,9 +109,9 @@
     std::unique_ptr<Users> users;
     std::unique_ptr<std::mutex> mutex;
     bool upgraded = false;  // with next_limits: keeps to them, as the version before did not
-    bool up = false, loaded = false, rung = true, beat_now = true;
+    bool up = false, loaded = false, round_due = true, renew_now = true;
     std::optional<base::LeaseId> lease;
-    double next_beat = 0, next_round = 0, next_tell = 0, next_fleet = 0, busy_until = 0;
+    double next_renewal = 0, next_round = 0, next_tell = 0, next_fleet = 0, busy_until = 0;
     double back_at = -1, frozen_until = -1;
     double load_takes = 0;
     double records_at = -1;  // a load that is under way reads the tasks' records then
@@ -169,7 +169,7 @@
   // the controllers
   void start_node(std::size_t n);
   void step_node(std::size_t n);
-  void beat(std::size_t n);
+  void renew_lease(std::size_t n);
   void load(std::size_t n);
   // Does a controller take in what another tells it now?
   bool takes_word(std::size_t from, std::size_t n) const;
--- a/tests/world_controllers.cpp
+++ b/tests/world_controllers.cpp
@@ -39,12 +39,12 @@
       Users::Store{[this, n] { return catch_up(n); },
                    [this, n](const std::string& key) { return get(n, key); },
                    [this, n](const protocol::Transaction& txn) { return commit(n, txn); },
-                   [this] { return 1000 + t_; }, [this, n] { nodes_[n].rung = true; },
+                   [this] { return 1000 + t_; }, [this, n] { nodes_[n].round_due = true; },
                    [this, n](const JobId& id) { broadcast_cancellation(n, id); }});
   node.up = true;
   node.loaded = false;
   node.lease.reset();
-  node.next_beat = node.next_round = node.next_tell = node.next_fleet = node.busy_until = 0;
+  node.next_renewal = node.next_round = node.next_tell = node.next_fleet = node.busy_until = 0;
   node.back_at = node.records_at = -1;
 }
 
@@ -57,7 +57,7 @@
   for (std::size_t m = 0; m < nodes_.size(); ++m) {
     if (!takes_word(n, m)) continue;
     nodes_[m].controller->notify_cancelled(id);
-    nodes_[m].rung = true;
+    nodes_[m].round_due = true;
   }
 }
 
@@ -90,9 +90,9 @@
   std::uint64_t upto = cache.revision().get();
   for (const Change& change : changes_) {
     if (change.revision <= cache.revision().get() || change.at + lag > t_) continue;
-    if (cache.apply(change.item, now())) node.rung = true;
+    if (cache.apply(change.item, now())) node.round_due = true;
     if (change.item.key == protocol::kViewKey || change.item.key == protocol::kLeadKey)
-      node.beat_now = true;
+      node.renew_now = true;
     upto = std::max(upto, change.revision);
   }
   cache.advance_to(base::Revision(upto));
@@ -117,11 +117,11 @@
   }
 }
 
-void World::beat(std::size_t n) {
+void World::renew_lease(std::size_t n) {
   NodeSim& node = nodes_[n];
   const auto ttl = node.settings.tuning.member_ttl;
-  node.next_beat = t_ + ttl.count() / 4;
-  node.beat_now = false;
+  node.next_renewal = t_ + ttl.count() / 4;
+  node.renew_now = false;
   if (!state_reachable(n)) return;
   if (!node.lease) {
     leases_[++next_lease_] = {ttl.count(), t_ + ttl.count()};
@@ -142,7 +142,7 @@
   if (lease == leases_.end()) {
     node.lease.reset();
     node.controller->end_incarnation();
-    node.beat_now = true;
+    node.renew_now = true;
     return;
   }
   node.controller->tell_time(now(), 1000 + t_);
@@ -156,8 +156,8 @@
     if (done.outcome == Outcome::kDone) {
       node.controller->cache().apply(*txn, done.revision, now());
       node.controller->install_view(now());
-      node.beat_now = true;
-      node.rung = true;
+      node.renew_now = true;
+      node.round_due = true;
     }
   }
 }
@@ -180,7 +180,7 @@
 void World::round(std::size_t n) {
   NodeSim& node = nodes_[n];
   auto& c = *node.controller;
-  node.rung = false;
+  node.round_due = false;
   node.next_round = t_ + node.settings.tuning.round_period.count();
   const auto send = [&](const std::vector<coordination::Order>& orders) {
     for (const auto& o : orders) {
@@ -214,7 +214,7 @@
             (m != n && cut(node_name(n), node_name(m))))
           continue;
         nodes_[m].controller->add_offers(offers, now());
-        nodes_[m].rung = true;
+        nodes_[m].round_due = true;
       }
     }
     const auto plan = c.plan(now(), coordination::WriteBudget::kNormal);
@@ -241,7 +241,7 @@
     const auto done = commit(n, *txn);
     if (done.outcome == Outcome::kDone) {
       c.cache().apply(*txn, done.revision, now());
-      node.rung = true;
+      node.round_due = true;
     }
   }
   read_unresolved_dependencies(n);
@@ -280,7 +280,7 @@
       ++releases_;
     }
     c.released(actions.release, now());
-    node.rung = true;
+    node.round_due = true;
   }
   for (const auto& r : actions.plan.scale_out) {
     const std::string rental = node_name(n) + "-" + std::to_string(c.self().incarnation.get()) +
@@ -314,7 +314,7 @@
     const double lag = watch_lag_.contains(n) ? watch_lag_[n] : 0;
     take_in(n, lag);
   }
-  if (t_ >= node.next_beat || node.beat_now) beat(n);
+  if (t_ >= node.next_renewal || node.renew_now) renew_lease(n);
   if (t_ >= node.next_tell) {
     node.next_tell = t_ + 0.7;
     for (std::size_t m = 0; m < nodes_.size(); ++m) {
@@ -336,7 +336,7 @@
       c.drain(said.drain);
     }
   }
-  if (t_ >= node.next_round || node.rung) round(n);
+  if (t_ >= node.next_round || node.round_due) round(n);
   if (t_ >= node.next_fleet) fleet(n);
 }
 
--- a/tests/world_workers.cpp
+++ b/tests/world_workers.cpp
@@ -110,7 +110,7 @@
   if (w.copies_after >= 0) late_heartbeats_.push_back({t_ + w.copies_after, heartbeat});
   const auto reply = nodes_[n].controller->handle_heartbeat(heartbeat, now());
   trace_.write(t_, "report", w.id, node_name(n), reply.status, reply.body);
-  nodes_[n].rung = true;
+  nodes_[n].round_due = true;
   if (w.deaf) {
     next();
     w.next_heartbeat += kNoResponse;
