--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -117,11 +117,11 @@
   if (root.contains("siblings") && !root.at("siblings").is_null()) {
     if (!root.at("siblings").is_array()) throw BadSettings("settings: siblings must be an array");
     for (const Json& p : root.at("siblings")) {
-      Sibling sib{MemberId(need_string(p, "member", "siblings.")),
-                  p.contains("area") ? need_string(p, "area", "siblings.") : "",
-                  parse_address(need_string(p, "address", "siblings."), "siblings.address")};
+      Peer sib{MemberId(need_string(p, "member", "siblings.")),
+               p.contains("area") ? need_string(p, "area", "siblings.") : "",
+               parse_address(need_string(p, "address", "siblings."), "siblings.address")};
       if (sib.member == s.member) throw BadSettings("settings: siblings names this member");
-      s.siblings.push_back(std::move(sib));
+      s.peers.push_back(std::move(sib));
     }
   }
   const Json& services = need(root, "endpoints", "");
@@ -130,7 +130,7 @@
 
   const Json& params = section(root, "settings");
   s.size = static_cast<int>(
-      number_or(params, "size", static_cast<double>(s.siblings.size() + 1), "settings.", 1));
+      number_or(params, "size", static_cast<double>(s.peers.size() + 1), "settings.", 1));
   if (params.contains("zones") && params.at("zones").is_array()) {
     for (const Json& z : params.at("zones")) {
       if (!z.is_string()) throw BadSettings("settings: settings.zones must hold strings");
@@ -180,7 +180,7 @@
 
   // A member's authority must end, and its machines be taken over, well inside a worker's lease.
   s.controller_zones.insert(s.zone);
-  for (const Sibling& sib : s.siblings) s.controller_zones.insert(sib.zone);
+  for (const Peer& sib : s.peers) s.controller_zones.insert(sib.zone);
   s.tuning.member_ttl =
       std::max(kLeastTtl, std::min({s.tuning.member_ttl, s.worker_lease * 0.45, longest_ttl(s)}));
   return s;
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -26,7 +26,7 @@
 // "10.0.0.1:8080"; throws BadSettings.
 Address parse_address(const std::string& text, const std::string& field);
 
-struct Sibling {
+struct Peer {
   MemberId member;
   std::string zone;
   Address address;
@@ -64,7 +64,7 @@
   std::string zone;
   Address listen;
   Address peer_listen;
-  std::vector<Sibling> siblings;
+  std::vector<Peer> peers;
   Address cloud;
   Address state;
   int size = 1;
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -269,10 +269,10 @@
     return true;
   };
   if (!reads_format(self_.member)) return {};
-  for (const base::Sibling& sibling : settings_.siblings) {
+  for (const base::Peer& peer : settings_.peers) {
     // The transaction takes conditions on so many members; a larger cluster is upgraded all the same.
     const bool has_room = txn.guards.size() < settings_.txn_ops * protocol::kGuardsPerWrite;
-    if (!has_room || !reads_format(sibling.member)) return {};
+    if (!has_room || !reads_format(peer.member)) return {};
   }
   txn.writes.push_back({protocol::kFormatKey, protocol::kFormat, {}});
   return txn;
@@ -685,9 +685,9 @@
   s.upto = status_revision_;
   // What every sibling knows to have left need not be kept.
   std::uint64_t least = status_revision_;
-  for (const base::Sibling& sibling : settings_.siblings) {
+  for (const base::Peer& peer : settings_.peers) {
     // One that has nothing is told all.
-    if (const std::uint64_t taken = acknowledged_revisions_[sibling.member]; taken > 0)
+    if (const std::uint64_t taken = acknowledged_revisions_[peer.member]; taken > 0)
       least = std::min(least, taken);
   }
   std::erase_if(left_, [&](const auto& l) { return l.second <= least; });
@@ -701,16 +701,16 @@
   return s;
 }
 
-Instructions Controller::heard_status(const MemberStatus& status, Time now) {
+Instructions Controller::handle_peer_status(const MemberStatus& status, Time now) {
   Instructions out;
-  const auto before = siblings_.find(status.from.member);
-  if (status.since != 0 && (before == siblings_.end() || before->second.from != status.from ||
+  const auto before = peers_.find(status.from.member);
+  if (status.since != 0 && (before == peers_.end() || before->second.from != status.from ||
                             before->second.upto != status.since)) {
     // It builds upon a telling that never came, or that was of another life.
     out.again = true;
     return out;
   }
-  Sibling& s = siblings_[status.from.member];
+  Peer& s = peers_[status.from.member];
   if (status.since == 0) s.machines.clear();
   s.from = status.from;
   s.has_state = status.has_state;
@@ -740,8 +740,8 @@
   return out;
 }
 
-bool Controller::others_have_state(Time now) const {
-  return std::any_of(siblings_.begin(), siblings_.end(), [&](const auto& s) {
+bool Controller::peers_have_state(Time now) const {
+  return std::any_of(peers_.begin(), peers_.end(), [&](const auto& s) {
     return s.second.has_state && base::between(s.second.last_heartbeat_at, now) < Seconds(2.5);
   });
 }
@@ -756,8 +756,8 @@
   }
   if (!cache_.view()) return out;
   for (const ControllerIncarnation& member : cache_.view()->members) {
-    const auto s = siblings_.find(member.member);
-    if (member == self_ || s == siblings_.end() || s->second.from != member ||
+    const auto s = peers_.find(member.member);
+    if (member == self_ || s == peers_.end() || s->second.from != member ||
         base::between(s->second.last_heartbeat_at, now) > remembered) {
       continue;
     }
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -169,14 +169,14 @@
   // --- siblings
   // What `to` is to be told: what changed since what it has, as far as it has said so.
   MemberStatus status(const MemberId& to, Time now);
-  Instructions heard_status(const MemberStatus& status, Time now);
+  Instructions handle_peer_status(const MemberStatus& status, Time now);
   // The sibling took in the status up to there (0: it asks for all).
   void status_acknowledged(const MemberId& by, std::uint64_t upto) {
     acknowledged_revisions_[by] = upto;
   }
-  void sibling_reached(const MemberId& member, Time now) { reached_[member] = now; }
+  void peer_reached(const MemberId& member, Time now) { reached_[member] = now; }
   // Has another controller, heard of lately, a lease while this one has none?
-  bool others_have_state(Time now) const;
+  bool peers_have_state(Time now) const;
 
   // --- fleet, for the leader
   struct ScalingActions {
@@ -191,7 +191,7 @@
   void released(const std::vector<MachineId>& machines, Time now);
 
  private:
-  struct Sibling {
+  struct Peer {
     ControllerIncarnation from;
     bool has_state = false;
     std::uint64_t upto = 0;
@@ -425,7 +425,7 @@
   Time unheard_owned_at_{};
   std::map<JobId, Time> preempting_;
 
-  std::map<MemberId, Sibling> siblings_;
+  std::map<MemberId, Peer> peers_;
   std::uint64_t status_revision_ = 0;        // counts changes of what siblings are told
   std::map<MachineId, std::uint64_t> left_;  // machines no longer owned, by that count
   std::map<MemberId, std::uint64_t>
--- a/src/coordination/fleet_control.cpp
+++ b/src/coordination/fleet_control.cpp
@@ -119,7 +119,7 @@
   // out of its reach.
   const auto own_knocked = misdirected(now);
   std::set<MachineId> well(own_knocked.begin(), own_knocked.end());
-  for (const auto& [member, s] : siblings_) {
+  for (const auto& [member, s] : peers_) {
     if (base::between(s.last_heartbeat_at, now) > kStatusFresh ||
         !has_member(*cache_.view(), s.from)) {
       continue;
--- a/src/coordination/handover.cpp
+++ b/src/coordination/handover.cpp
@@ -52,9 +52,9 @@
     const ControllerIncarnation* of = owner(id);
     // Sent to another owner, or an earlier life of it: that tells nothing of this one.
     if (!of || b.owner != *of) continue;
-    const auto s = of ? siblings_.find(of->member) : siblings_.end();
+    const auto s = of ? peers_.find(of->member) : peers_.end();
     bool lost = false;
-    if (s != siblings_.end() && s->second.from == *of &&
+    if (s != peers_.end() && s->second.from == *of &&
         base::between(s->second.last_heartbeat_at, now) < kStatusRecent) {
       // The owner itself says whether it hears the machine.
       const auto& rooms = s->second.machines;
@@ -147,8 +147,8 @@
 protocol::WorkerContact Controller::contact_of(const ControllerIncarnation& member,
                                                Time now) const {
   if (member == self_) return worker_contact(now);
-  const auto at = siblings_.find(member.member);
-  const bool known = at != siblings_.end() && at->second.from == member &&
+  const auto at = peers_.find(member.member);
+  const bool known = at != peers_.end() && at->second.from == member &&
                      base::between(at->second.last_heartbeat_at, now) < kStatusRecent;
   return known ? at->second.contact : protocol::WorkerContact::kUnknown;
 }
@@ -162,14 +162,14 @@
       if (is_overdue(m, now)) out.push_back(id);
     }
   } else {
-    for (const auto& [id, room] : siblings_.at(member.member).machines) {
+    for (const auto& [id, room] : peers_.at(member.member).machines) {
       if (room.late) out.push_back(id);
     }
   }
   for (const auto& [id, tasks] : cache_.assigned()) {
     const ControllerIncarnation* of = owner(id);
-    const bool reports = member == self_ ? machines_.contains(id)
-                                         : siblings_.at(member.member).machines.contains(id);
+    const bool reports =
+        member == self_ ? machines_.contains(id) : peers_.at(member.member).machines.contains(id);
     if (of && *of == member && !reports) out.push_back(id);
   }
   return out;
@@ -210,7 +210,7 @@
   };
   if (view) {
     take(self_, ownership_claims(now));
-    for (const auto& [member, s] : siblings_) {
+    for (const auto& [member, s] : peers_) {
       if (has_member(*view, s.from) && base::between(s.last_heartbeat_at, now) < kStatusRecent) {
         take(s.from, s.ownership_claims);
       }
--- a/src/coordination/upkeep.cpp
+++ b/src/coordination/upkeep.cpp
@@ -56,7 +56,7 @@
   if (failures_.is_crash_looping(id)) return true;
   const Job* job = cache_.job(id);
   if (job && job->done > 0) return false;
-  return std::any_of(siblings_.begin(), siblings_.end(), [&](const auto& s) {
+  return std::any_of(peers_.begin(), peers_.end(), [&](const auto& s) {
     return base::between(s.second.last_heartbeat_at, now) < kCrashLoopingReportFresh &&
            s.second.crash_looping_jobs.contains(id);
   });
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -35,7 +35,7 @@
 constexpr std::size_t kMostFinalsRead = 16;  // in one round
 constexpr int kMostThreads = 192;            // that serve requests; a process may have 2,000 in all
 constexpr int kSenders = 8;                  // of direct orders
-constexpr std::size_t kMaxSiblingBody = 2u << 20;  // a status lists all machines of a part
+constexpr std::size_t kMaxPeerBody = 2u << 20;  // a status lists all machines of a part
 
 base::Time now() {
   return base::SteadyClock::now();
@@ -80,8 +80,8 @@
               [this](const Transaction& txn) { return users_store_.commit(txn, kStateCall); },
               [] { return base::wall_seconds(); }, [this] { round_wakeup_.notify(); },
               [this](const JobId& id) { broadcast_cancellation(id); }}) {
-  for (const base::Sibling& s : settings_.siblings) {
-    siblings_.push_back(std::make_unique<Sibling>(s));
+  for (const base::Peer& s : settings_.peers) {
+    peers_.push_back(std::make_unique<Peer>(s));
   }
 }
 
@@ -99,14 +99,14 @@
       [this](const Request& r) { return serve(r); });
   peer_server_ = std::make_unique<transport::HttpServer>(
       settings_.peer_listen,
-      transport::ServerLimits{std::max(16, settings_.sockets / 20), 16, kMaxSiblingBody, "", 0},
-      [this](const Request& r) { return serve_sibling(r); });
+      transport::ServerLimits{std::max(16, settings_.sockets / 20), 16, kMaxPeerBody, "", 0},
+      [this](const Request& r) { return serve_peer(r); });
   threads_.emplace_back([this] { watch_loop(); });
   threads_.emplace_back([this] { renew_lease_loop(); });
   threads_.emplace_back([this] { round_loop(); });
   threads_.emplace_back([this] { scale_loop(); });
   for (int i = 0; i < kSenders; ++i) threads_.emplace_back([this] { send_orders_loop(); });
-  for (auto& s : siblings_) threads_.emplace_back([this, &s] { sync_peer_loop(*s); });
+  for (auto& s : peers_) threads_.emplace_back([this, &s] { sync_peer_loop(*s); });
   spdlog::info("{} serves on {}, siblings on {}", settings_.member.get(), settings_.listen.str(),
                settings_.peer_listen.str());
 }
@@ -156,7 +156,7 @@
                     if (c.cache().catalogue().empty()) return false;
                     // In an outage of the state service all are alike, and being passed over would
                     // only outlast it. A node that alone is refused should be passed over.
-                    return c.has_lease(t) || (was_ready_ && !c.others_have_state(t));
+                    return c.has_lease(t) || (was_ready_ && !c.peers_have_state(t));
                   });
   if (ok) was_ready_ = true;
   return ok ? Reply{200, R"({"ready":true})", 0} : error(503, "not ready", 1);
@@ -183,7 +183,7 @@
 
 // --- siblings
 
-Node::Reply Node::serve_sibling(const Request& req) {
+Node::Reply Node::serve_peer(const Request& req) {
   if (req.path != "/sibling" || req.method != "POST") return error(404, "no such path");
   const Json body = Json::parse(req.body, nullptr, false);
   if (!body.is_object() || !body.contains("status")) return error(400, "malformed");
@@ -199,7 +199,7 @@
   const auto said = locked([&](coordination::Controller& c) {
     for (const auto& o : offers) c.add_offers(o, now());
     for (const JobId& id : cancelled) c.notify_cancelled(id);
-    return c.heard_status(*status, now());
+    return c.handle_peer_status(*status, now());
   });
   if (!offers.empty() || !cancelled.empty()) round_wakeup_.notify();
   // Its machines lose their tasks if nobody answers them within their lease.
@@ -215,7 +215,7 @@
 
 // Best effort: that a cancelled task is gone in time rests on the end of authority and of leases.
 void Node::broadcast_cancellation(const JobId& id) {
-  for (auto& s : siblings_) {
+  for (auto& s : peers_) {
     {
       const std::lock_guard lock(s->mutex);
       s->cancelled.push_back(id);
@@ -225,18 +225,18 @@
   }
 }
 
-void Node::sync_peer_loop(Sibling& sibling) {
+void Node::sync_peer_loop(Peer& peer) {
   const Seconds period = settings_.tuning.round_period * 0.7;
   for (;;) {
-    sibling.wakeup.wait(period);
+    peer.wakeup.wait(period);
     std::vector<protocol::Offers> offers;
     std::deque<JobId> cancelled;
     {
-      const std::lock_guard lock(sibling.mutex);
-      offers.swap(sibling.offers);
-      cancelled = sibling.cancelled;
+      const std::lock_guard lock(peer.mutex);
+      offers.swap(peer.offers);
+      cancelled = peer.cancelled;
     }
-    const auto status = locked([&](auto& c) { return c.status(sibling.id, now()); });
+    const auto status = locked([&](auto& c) { return c.status(peer.id, now()); });
     Json body = {{"status", to_json(status, now())}};
     if (!offers.empty()) {
       body["offers"] = Json::array();
@@ -246,10 +246,10 @@
       body["cancelled"] = Json::array();
       for (const JobId& id : cancelled) body["cancelled"].push_back(id.get());
     }
-    const auto answer = sibling.http.post("/sibling", body.dump(), Seconds(1.0));
+    const auto answer = peer.http.post("/sibling", body.dump(), Seconds(1.0));
     if (!answer.ok()) {
       if (!offers.empty()) {
-        locked([&](auto& c) { c.offers_lost(sibling.id, offers); });
+        locked([&](auto& c) { c.offers_lost(peer.id, offers); });
         round_wakeup_.notify();
       }
       pause(kShortPause);
@@ -257,9 +257,9 @@
     }
     if (!cancelled.empty()) {
       // Those that came meanwhile stand behind them, unless the bound took some.
-      const std::lock_guard lock(sibling.mutex);
-      while (!sibling.cancelled.empty() && !cancelled.empty()) {
-        if (sibling.cancelled.front() == cancelled.front()) sibling.cancelled.pop_front();
+      const std::lock_guard lock(peer.mutex);
+      while (!peer.cancelled.empty() && !cancelled.empty()) {
+        if (peer.cancelled.front() == cancelled.front()) peer.cancelled.pop_front();
         cancelled.pop_front();
       }
     }
@@ -269,10 +269,10 @@
     };
     const auto released = ids("gone");
     const bool again = !said.is_object() || said.value("again", true);
-    if (again) sibling.wakeup.notify();
+    if (again) peer.wakeup.notify();
     locked([&](coordination::Controller& c) {
-      c.sibling_reached(sibling.id, now());
-      c.status_acknowledged(sibling.id, again ? 0 : status.upto);
+      c.peer_reached(peer.id, now());
+      c.status_acknowledged(peer.id, again ? 0 : status.upto);
       c.mark_released(released, now());
       c.cordon_idle(ids("close"));
       c.drain(ids("drain"));
@@ -318,7 +318,7 @@
       controller_.lease_acquired(sent);
       spdlog::info("member {} begins life {}", incarnation.member.get(),
                    incarnation.incarnation.get());
-      for (auto& s : siblings_) s->wakeup.notify();
+      for (auto& s : peers_) s->wakeup.notify();
     }
     locked([](auto& c) { c.tell_time(now(), base::wall_seconds()); });
     const Time sent = now();
@@ -571,7 +571,7 @@
       }
       return out;
     });
-    for (auto& s : siblings_) {
+    for (auto& s : peers_) {
       const auto at = routed.find(s->id);
       if (at == routed.end()) continue;
       {
--- a/src/node.h
+++ b/src/node.h
@@ -51,8 +51,8 @@
   };
 
   // What one sibling is told: offers and cancellations at once, status regularly.
-  struct Sibling {
-    explicit Sibling(const base::Sibling& s) : id(s.member), http(s.address, 2) {}
+  struct Peer {
+    explicit Peer(const base::Peer& s) : id(s.member), http(s.address, 2) {}
     base::MemberId id;
     transport::HttpClient http;
     std::mutex mutex;
@@ -68,8 +68,8 @@
   Reply handle_heartbeat(const std::string& body);
 
   // Siblings
-  Reply serve_sibling(const Request& req);
-  void sync_peer_loop(Sibling& sibling);
+  Reply serve_peer(const Request& req);
+  void sync_peer_loop(Peer& peer);
   void broadcast_cancellation(const base::JobId& id);
 
   // Loops
@@ -134,7 +134,7 @@
   Time barrier_began_at_{};
 
   WakeupEvent lease_wakeup_, round_wakeup_, fleet_wakeup_;
-  std::vector<std::unique_ptr<Sibling>> siblings_;
+  std::vector<std::unique_ptr<Peer>> peers_;
 
   std::mutex orders_mutex_;
   std::condition_variable orders_ready_;
--- a/tests/sibling_test.cpp
+++ b/tests/sibling_test.cpp
@@ -29,15 +29,15 @@
   const auto s = settings();
   Controller c(s);
   const Time now(std::chrono::seconds(1000));
-  EXPECT_TRUE(c.heard_status(status(7, 3, 5), now).again);   // nothing was told before
-  EXPECT_FALSE(c.heard_status(status(7, 0, 5), now).again);  // all
-  EXPECT_FALSE(c.heard_status(status(7, 5, 6), now).again);
-  EXPECT_TRUE(c.heard_status(status(7, 5, 8), now).again);  // 6 was taken, not 5
-  EXPECT_TRUE(c.heard_status(status(9, 6, 8), now).again);  // another life counts anew
-  EXPECT_FALSE(c.heard_status(status(9, 0, 2), now).again);
+  EXPECT_TRUE(c.handle_peer_status(status(7, 3, 5), now).again);   // nothing was told before
+  EXPECT_FALSE(c.handle_peer_status(status(7, 0, 5), now).again);  // all
+  EXPECT_FALSE(c.handle_peer_status(status(7, 5, 6), now).again);
+  EXPECT_TRUE(c.handle_peer_status(status(7, 5, 8), now).again);  // 6 was taken, not 5
+  EXPECT_TRUE(c.handle_peer_status(status(9, 6, 8), now).again);  // another life counts anew
+  EXPECT_FALSE(c.handle_peer_status(status(9, 0, 2), now).again);
   // One whose offers were lost is forgotten until it tells all again.
   c.offers_lost(MemberId("n1"), {});
-  EXPECT_TRUE(c.heard_status(status(9, 2, 3), now).again);
+  EXPECT_TRUE(c.handle_peer_status(status(9, 2, 3), now).again);
 }
 
 // What a sibling has not taken is told again; one that asks for all gets all.
--- a/tests/world.h
+++ b/tests/world.h
@@ -111,7 +111,7 @@
     bool upgraded = false;  // with next_limits: keeps to them, as the version before did not
     bool up = false, loaded = false, round_due = true, renew_now = true;
     std::optional<base::LeaseId> lease;
-    double next_renewal = 0, next_round = 0, next_tell = 0, next_fleet = 0, busy_until = 0;
+    double next_renewal = 0, next_round = 0, next_peer_sync = 0, next_fleet = 0, busy_until = 0;
     double back_at = -1, frozen_until = -1;
     double load_takes = 0;
     double records_at = -1;  // a load that is under way reads the tasks' records then
--- a/tests/world_controllers.cpp
+++ b/tests/world_controllers.cpp
@@ -9,15 +9,15 @@
 
 void World::start_node(std::size_t n) {
   NodeSim& node = nodes_[n];
-  Json siblings = Json::array();
+  Json peers = Json::array();
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
-    if (i != n) siblings.push_back({{"member", node_name(i)}, {"address", "10.0.0.1:1"}});
+    if (i != n) peers.push_back({{"member", node_name(i)}, {"address", "10.0.0.1:1"}});
   }
   Json j = {
       {"member", node_name(n)},
       {"serve_on", "10.0.0.1:1"},
       {"peer_listen", "10.0.0.1:2"},
-      {"siblings", siblings},
+      {"siblings", peers},
       {"endpoints", {{"cloud", "10.0.0.1:3"}, {"state", "10.0.0.1:4"}}},
       {"settings",
        {{"size", nodes_.size()},
@@ -44,7 +44,7 @@
   node.up = true;
   node.loaded = false;
   node.lease.reset();
-  node.next_renewal = node.next_round = node.next_tell = node.next_fleet = node.busy_until = 0;
+  node.next_renewal = node.next_round = node.next_peer_sync = node.next_fleet = node.busy_until = 0;
   node.back_at = node.records_at = -1;
 }
 
@@ -315,12 +315,12 @@
     take_in(n, lag);
   }
   if (t_ >= node.next_renewal || node.renew_now) renew_lease(n);
-  if (t_ >= node.next_tell) {
-    node.next_tell = t_ + 0.7;
+  if (t_ >= node.next_peer_sync) {
+    node.next_peer_sync = t_ + 0.7;
     for (std::size_t m = 0; m < nodes_.size(); ++m) {
       if (!takes_word(n, m)) continue;
       const auto status = c.status(base::MemberId(node_name(m)), now());
-      const auto said = nodes_[m].controller->heard_status(status, now());
+      const auto said = nodes_[m].controller->handle_peer_status(status, now());
       if (trace_.is_open()) {
         trace_.write_digest(
             t_, std::string("status ").append(node_name(n)).append(" ").append(node_name(m)),
@@ -329,8 +329,8 @@
                 protocol::ids_to_json(said.drain).dump());
       }
       c.status_acknowledged(base::MemberId(node_name(m)), said.again ? 0 : status.upto);
-      if (said.again) node.next_tell = t_;
-      c.sibling_reached(base::MemberId(node_name(m)), now());
+      if (said.again) node.next_peer_sync = t_;
+      c.peer_reached(base::MemberId(node_name(m)), now());
       c.mark_released(said.released, now());
       c.cordon_idle(said.cordon);
       c.drain(said.drain);
