--- a/src/bookkeeping/ledger.cpp
+++ b/src/bookkeeping/ledger.cpp
@@ -361,7 +361,7 @@
   job.done -= chunk.record.done_count();
   chunk.record = std::move(record);
   chunk.version = version;
-  job.moved = now;
+  job.last_progress_at = now;
   job.assigned += static_cast<TaskNo>(chunk.record.assigned.size());
   job.done += chunk.record.done_count();
 }
--- a/src/bookkeeping/ledger.h
+++ b/src/bookkeeping/ledger.h
@@ -50,8 +50,8 @@
   std::vector<Chunk> whole;
   TaskNo done = 0;
   TaskNo assigned = 0;
-  Time seen{};   // when this process first saw it
-  Time moved{};  // when a task of it last began or ended, as far as this process saw
+  Time seen{};              // when this process first saw it
+  Time last_progress_at{};  // when a task of it last began or ended, as far as this process saw
   // Another controller has told that its cancellation is committed; the copy does not show it yet.
   bool notify_cancelled = false;
   // A job that it needs, directly or through others, is cancelled on record: so is this one, whatever
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr Seconds kStoodStill{2.5};      // without a report, a round or a status
+constexpr Seconds kPauseDetected{2.5};   // without a report, a round or a status
 constexpr Seconds kReleasedKept{600.0};  // late reports and old lists may still name the machine
 
 constexpr double kFencingTokenRenewal =
@@ -280,22 +280,23 @@
 
 // --- workers
 
-void Controller::note_running(Time now) {
-  if (last_running_ != Time{} && base::between(last_running_, now) > kStoodStill) {
-    spdlog::warn("stood still for {:.1f} s", base::between(last_running_, now).count());
-    resumed_at_ = now;
+void Controller::detect_pause(Time now) {
+  if (last_running_at_ != Time{} && base::between(last_running_at_, now) > kPauseDetected) {
+    spdlog::warn("stood still for {:.1f} s", base::between(last_running_at_, now).count());
+    resumed_after_pause_at_ = now;
   }
-  last_running_ = std::max(last_running_, now);
+  last_running_at_ = std::max(last_running_at_, now);
 }
 
 // Since when this process could hear machines: while it might not answer, or stood still, they went from
 // node to node, and that is no silence.
 Time Controller::listening_since() const {
-  return authority_since_ ? std::max(*authority_since_, resumed_at_) : resumed_at_;
+  return authority_since_ ? std::max(*authority_since_, resumed_after_pause_at_)
+                          : resumed_after_pause_at_;
 }
 
 WorkerReply Controller::handle_heartbeat(const Heartbeat& heartbeat, Time now) {
-  note_running(now);
+  detect_pause(now);
   if (!cache_.view() || cache_.view()->members.empty()) {
     return {503, protocol::error_body("no view yet")};
   }
@@ -670,7 +671,7 @@
 }
 
 MemberStatus Controller::status(const MemberId& to, Time now) {
-  note_running(now);
+  detect_pause(now);
   MemberStatus s;
   s.from = self_;
   s.has_state = has_lease(now);
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -231,7 +231,7 @@
   // Machines that come back again and again: they reach this node, and not their owner.
   std::vector<MachineId> ownership_claims(Time now);
   // Notices that this process stood still, its clock running on.
-  void note_running(Time now);
+  void detect_pause(Time now);
   Time listening_since() const;
   // Does this controller hear the machines that it owns?
   protocol::WorkerContact worker_contact(Time now) const;
@@ -310,7 +310,7 @@
   // The steps of routing.
   struct Routing;
   bool is_offered(const TaskId& task, Time now) const;
-  void tidy_offers(Time now);
+  void prune_offers(Time now);
   std::vector<const Job*> jobs_to_route(Time now) const;
   void sort_by_turn(std::vector<const Job*>& jobs, Time now) const;
   bool may_displace(const Job& job, Time now) const;
@@ -384,7 +384,8 @@
   FencingToken base_fencing_token_;
   Time view_installed_at_{};
   std::optional<Time> authority_since_;
-  Time last_running_{}, resumed_at_{};  // when this process was last seen to run, and went on
+  Time last_running_at_{},
+      resumed_after_pause_at_{};  // when this process was last seen to run, and went on
   std::optional<Time> many_silent_at_;
   std::optional<Time> unheard_since_;  // while it hears hardly any of its machines
 
@@ -406,7 +407,8 @@
   std::map<MachineId, CapacityReservation>
       reservations_;  // kept free of other work until the job fits
   std::map<MachineId, MisdirectedHeartbeats> misdirected_;  // sent to their owners, and back again
-  std::optional<Time> claimed_at_;         // since when there are claims that no view follows yet
+  std::optional<Time>
+      claims_pending_since_;               // since when there are claims that no view follows yet
   std::map<MachineId, Time> owned_since_;  // for machines never heard: the base of lease proofs
   std::map<MachineId, AgentIncarnation> ended_incarnations_;
   std::map<MachineId, Time> released_;
@@ -417,7 +419,7 @@
   std::set<MachineId> silent_machines_;        // owned, silent, and to be released for proof
   std::deque<PoolEntry> pool_;
   std::unordered_map<TaskId, Time> offered_;
-  Time tidied_{};
+  Time offers_pruned_at_{};
   std::set<JobId> accepted_;
   std::map<JobId, std::size_t> displacing_;  // how often a part was asked to make room
   FailureTracker failures_;
@@ -449,8 +451,8 @@
   std::map<std::string, Arrivals> arrivals_;  // of services, by class
   std::set<JobId> counted_;
   std::map<MemberId, std::set<MachineId>> to_cordon_, to_drain_;
-  Time restless_at_{};  // something waited for room, or was rented
-  Time drained_at_{};
+  Time last_unplaced_work_at_{};  // something waited for room, or was rented
+  Time last_drain_at_{};
 };
 
 }  // namespace saddleslip::coordination
--- a/src/coordination/fleet_control.cpp
+++ b/src/coordination/fleet_control.cpp
@@ -101,11 +101,11 @@
   drop_booted(in, now, wall_now, actions.release);
   add_waiting(in, now);
   add_expected_services(in, now);
-  in.calm = base::between(std::max(restless_at_, leader_since_), now) > kCalm &&
-            base::between(drained_at_, now) > kDrainGap;
+  in.calm = base::between(std::max(last_unplaced_work_at_, leader_since_), now) > kCalm &&
+            base::between(last_drain_at_, now) > kDrainGap;
   if (in.calm) add_movable_services(in);
   actions.plan = coordination::plan_scaling(in);
-  if (!actions.plan.scale_out.empty()) restless_at_ = now;
+  if (!actions.plan.scale_out.empty()) last_unplaced_work_at_ = now;
   pass_on(actions.plan, known, now);
   return actions;
 }
@@ -241,7 +241,7 @@
     }
     waiting = true;
   }
-  if (waiting) restless_at_ = now;
+  if (waiting) last_unplaced_work_at_ = now;
 }
 
 // Room for the services that arrive while a machine boots.
@@ -283,7 +283,7 @@
     for (const MachineStatus* r : rooms) partition[r->id] = member;
   }
   for (const MachineId& id : plan.drain) {
-    drained_at_ = now;
+    last_drain_at_ = now;
     if (partition[id] == self_.member) {
       drain({id});
     } else {
--- a/src/coordination/handover.cpp
+++ b/src/coordination/handover.cpp
@@ -218,16 +218,16 @@
   }
   const bool owners_lost = fail_over_silent_machines(now, all);
   if (all.empty()) {
-    claimed_at_.reset();
+    claims_pending_since_.reset();
     return all;
   }
-  if (!claimed_at_) claimed_at_ = now;
+  if (!claims_pending_since_) claims_pending_since_ = now;
   const bool complete = stored || owners_lost;
-  if (!complete &&
-      base::between(*claimed_at_, now) < settings_.heartbeat_interval * 0.5 + Seconds(1.0)) {
+  if (!complete && base::between(*claims_pending_since_, now) <
+                       settings_.heartbeat_interval * 0.5 + Seconds(1.0)) {
     return {};
   }
-  claimed_at_.reset();
+  claims_pending_since_.reset();
   spdlog::info("{} machines can't reach their owners: handed over", all.size());
   return all;
 }
--- a/src/coordination/job_priorities.cpp
+++ b/src/coordination/job_priorities.cpp
@@ -200,8 +200,8 @@
   if (job.pending() == 0) return {};
   // What never began has waited since it was submitted, whichever process saw it.
   const bool began = job.assigned > 0 || job.done > 0;
-  const double waited =
-      began ? base::between(job.moved, now).count() : time_of_day(now) - job.startable_since();
+  const double waited = began ? base::between(job.last_progress_at, now).count()
+                              : time_of_day(now) - job.startable_since();
   if (waited < settings_.tuning.longest_wait.count()) return {};
   return std::max<std::size_t>(1, job.pending() / kOverdueShare);
 }
--- a/src/coordination/rounds.cpp
+++ b/src/coordination/rounds.cpp
@@ -111,7 +111,7 @@
 }
 
 RoundPlan Controller::plan(Time now, WriteBudget write_budget) {
-  note_running(now);
+  detect_pause(now);
   RoundPlan plan;
   if (!has_authority(now)) {
     authority_since_.reset();
--- a/src/coordination/routing.cpp
+++ b/src/coordination/routing.cpp
@@ -156,10 +156,10 @@
 }
 
 // Forgets offers and jobs that are no more; now and then is enough.
-void Controller::tidy_offers(Time now) {
+void Controller::prune_offers(Time now) {
   const Seconds patience = settings_.tuning.round_period * kOfferPeriods;
-  if (base::between(tidied_, now) <= patience) return;
-  tidied_ = now;
+  if (base::between(offers_pruned_at_, now) <= patience) return;
+  offers_pruned_at_ = now;
   std::erase_if(offered_, [&](const auto& o) { return base::between(o.second, now) > patience; });
   std::erase_if(displacing_, [&](const auto& d) { return !cache_.job(d.first); });
   std::erase_if(accepted_, [&](const JobId& id) { return !cache_.job(id); });
@@ -377,7 +377,7 @@
 
 std::map<MemberId, protocol::Offers> Controller::route(Time now) {
   if (!has_authority(now)) return {};
-  tidy_offers(now);
+  prune_offers(now);
   std::vector<const Job*> jobs = jobs_to_route(now);
   if (jobs.empty()) return {};
   priorities_.update(now);
