--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -143,10 +143,10 @@
     for (const Json& t : params.at("teams")) {
       Team team;
       const std::string w = "settings.teams.";
-      team.cores = number_or(t, "cpus", 0, w);
-      team.cores_max = number_or(t, "cpus_max", 0, w);
-      team.gpus = number_or(t, "gpus", 0, w);
-      team.gpus_max = number_or(t, "gpus_max", 0, w);
+      team.guaranteed_cores = number_or(t, "cpus", 0, w);
+      team.max_cores = number_or(t, "cpus_max", 0, w);
+      team.guaranteed_gpus = number_or(t, "gpus", 0, w);
+      team.max_gpus = number_or(t, "gpus_max", 0, w);
       if (!s.teams.emplace(need_string(t, "name", w), team).second) {
         throw BadSettings("settings: a team is named twice");
       }
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -33,8 +33,8 @@
 };
 
 struct Team {
-  double cores = 0, cores_max = 0;  // 0: no guarantee, no limit
-  double gpus = 0, gpus_max = 0;
+  double guaranteed_cores = 0, max_cores = 0;  // 0: no guarantee, no limit
+  double guaranteed_gpus = 0, max_gpus = 0;
 };
 
 struct Objective {
--- a/src/bookkeeping/ledger.cpp
+++ b/src/bookkeeping/ledger.cpp
@@ -437,9 +437,9 @@
   return it == team_use_.end() ? Resources{} : it->second;
 }
 
-bool StateCache::limited(const std::string& team) const {
+bool StateCache::has_quota_limit(const std::string& team) const {
   const auto it = settings_.teams.find(team);
-  return it != settings_.teams.end() && (it->second.cores_max > 0 || it->second.gpus_max > 0);
+  return it != settings_.teams.end() && (it->second.max_cores > 0 || it->second.max_gpus > 0);
 }
 
 Version StateCache::version(const std::string& key) const {
--- a/src/bookkeeping/ledger.h
+++ b/src/bookkeeping/ledger.h
@@ -135,7 +135,7 @@
   // Counts jobs that came, went or were cancelled.
   std::uint64_t job_changes() const { return job_changes_; }
   Resources team_use(const std::string& team) const;
-  bool limited(const std::string& team) const;
+  bool has_quota_limit(const std::string& team) const;
   Version version(const std::string& key) const;
 
   const std::optional<View>& view() const { return view_; }
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -329,7 +329,7 @@
   void drop_booted(ScalingInput& in, Time now, double wall_now, std::vector<MachineId>& release);
   Seconds boot_time(const std::string& type_name) const;
   double soonest_boot() const;
-  std::size_t within_limit(const protocol::JobSpec& spec, std::size_t waiting,
+  std::size_t within_quota(const protocol::JobSpec& spec, std::size_t waiting,
                            std::map<std::string, Resources>& team_room) const;
   void add_waiting(ScalingInput& in, Time now);
   void add_expected_services(ScalingInput& in, Time now) const;
@@ -338,7 +338,7 @@
   // A waiting job that may displace other work, and what was done for it and before it.
   struct Preemption {
     const Job* job;
-    double over_limit;                       // cores that its team must give up first
+    double cores_over_quota;                 // cores that its team must give up first
     std::map<std::string, double> stopping;  // cores of each team that were told to stop
     std::map<MachineId, Resources> taken;    // room that was made for the job
   };
@@ -353,7 +353,7 @@
   };
   void preempt(const std::vector<std::pair<const Job*, std::size_t>>& waiting, Time now);
   std::map<std::string, double> stopping_cores() const;
-  double over_team_limit(const protocol::JobSpec& spec) const;
+  double cores_over_quota(const protocol::JobSpec& spec) const;
   bool may_stop(const Preemption& p, const Job& other) const;
   std::vector<Victim> candidates(const Preemption& p, const Machine& m, Time now) const;
   std::optional<PreemptionCandidate> preemption_on(const Preemption& p, const Machine& m,
--- a/src/coordination/ends.cpp
+++ b/src/coordination/ends.cpp
@@ -83,11 +83,11 @@
   const Time seen = completion_seen_at_.try_emplace(completion.task, now).first->second;
   if (base::between(seen, now) > settings_.tuning.record_within) return false;
   // A team near its limit waits for the room that the record still counts.
-  if (cache_.limited(job->record.spec.team)) {
+  if (cache_.has_quota_limit(job->record.spec.team)) {
     const base::Team& team = settings_.teams.at(job->record.spec.team);
     const Resources use = cache_.team_use(job->record.spec.team);
-    if ((team.cores_max > 0 && use.cores() > team.cores_max * kNearLimit) ||
-        (team.gpus_max > 0 && use.gpus() > team.gpus_max * kNearLimit)) {
+    if ((team.max_cores > 0 && use.cores() > team.max_cores * kNearLimit) ||
+        (team.max_gpus > 0 && use.gpus() > team.max_gpus * kNearLimit)) {
       return false;
     }
   }
--- a/src/coordination/fleet_control.cpp
+++ b/src/coordination/fleet_control.cpp
@@ -198,17 +198,17 @@
 }
 
 // How many of the job's waiting tasks its team's limit lets start; takes them from the team's room.
-std::size_t Controller::within_limit(const protocol::JobSpec& spec, std::size_t waiting,
+std::size_t Controller::within_quota(const protocol::JobSpec& spec, std::size_t waiting,
                                      std::map<std::string, Resources>& team_room) const {
-  if (!cache_.limited(spec.team)) return waiting;
+  if (!cache_.has_quota_limit(spec.team)) return waiting;
   const base::Team& team = settings_.teams.at(spec.team);
   auto [room, is_new] = team_room.try_emplace(spec.team);
   if (is_new) {
-    room->second.v = {team.cores_max, team.gpus_max, 0};
+    room->second.v = {team.max_cores, team.max_gpus, 0};
     room->second -= cache_.team_use(spec.team);
   }
   std::size_t n = waiting;
-  if (team.cores_max > 0 && spec.request.cores() > 0) {
+  if (team.max_cores > 0 && spec.request.cores() > 0) {
     const double fit = room->second.cores() / spec.request.cores() + 1e-9;
     n = std::min(n, static_cast<std::size_t>(std::max(0.0, fit)));
   }
@@ -223,7 +223,7 @@
   for (const auto& [id, job] : cache_.jobs()) {
     const auto& spec = job.record.spec;
     if (job.pending() == 0 || is_crash_looping(id, now)) continue;
-    std::size_t n = within_limit(spec, job.pending(), team_room);
+    std::size_t n = within_quota(spec, job.pending(), team_room);
     if (n > 0 && spec.kind == protocol::Kind::kArray && spec.deadline) n = std::min(n, share[id]);
     if (n == 0) continue;
     Demand d;
--- a/src/coordination/intake.cpp
+++ b/src/coordination/intake.cpp
@@ -33,8 +33,8 @@
   if (!fits) return std::string("a task fits no machine type that the job allows");
   const double n = spec.kind == Kind::kArray ? 1 : spec.tasks;
   const base::Team& limit = team->second;
-  if ((limit.cores_max > 0 && spec.request.cores() * n > limit.cores_max + 1e-6) ||
-      (limit.gpus_max > 0 && spec.request.gpus() * n > limit.gpus_max + 1e-6)) {
+  if ((limit.max_cores > 0 && spec.request.cores() * n > limit.max_cores + 1e-6) ||
+      (limit.max_gpus > 0 && spec.request.gpus() * n > limit.max_gpus + 1e-6)) {
     return "the job needs more than the limit of team " + spec.team;
   }
   return {};
--- a/src/coordination/job_priorities.cpp
+++ b/src/coordination/job_priorities.cpp
@@ -45,7 +45,9 @@
 
 void JobPriorities::update_guarantees() {
   guaranteed_.clear();
-  const auto has_guarantee = [](const base::Team& t) { return t.cores > 0 || t.gpus > 0; };
+  const auto has_guarantee = [](const base::Team& t) {
+    return t.guaranteed_cores > 0 || t.guaranteed_gpus > 0;
+  };
   if (std::none_of(settings_.teams.begin(), settings_.teams.end(),
                    [&](const auto& t) { return has_guarantee(t.second); })) {
     return;
@@ -124,7 +126,7 @@
     return first != second ? first < second : a->record.spec.id < b->record.spec.id;
   });
   Resources left;
-  left.v = {team.cores, team.gpus, kAnyMemory};
+  left.v = {team.guaranteed_cores, team.guaranteed_gpus, kAnyMemory};
   for (const Job* job : jobs) {
     const auto& spec = job->record.spec;
     const Resources dependencies = spec.request * static_cast<double>(spec.tasks - job->done);
--- a/src/coordination/preemption.cpp
+++ b/src/coordination/preemption.cpp
@@ -30,23 +30,23 @@
 }
 
 // By how many cores one more task of the job would exceed its team's limit.
-double Controller::over_team_limit(const protocol::JobSpec& spec) const {
-  if (!cache_.limited(spec.team)) return 0;
+double Controller::cores_over_quota(const protocol::JobSpec& spec) const {
+  if (!cache_.has_quota_limit(spec.team)) return 0;
   const base::Team& team = settings_.teams.at(spec.team);
   Resources use = cache_.team_use(spec.team);
   use += spec.request;
-  return team.cores_max > 0 ? std::max(0.0, use.cores() - team.cores_max) : 0;
+  return team.max_cores > 0 ? std::max(0.0, use.cores() - team.max_cores) : 0;
 }
 
 bool Controller::may_stop(const Preemption& p, const Job& other) const {
   const auto& spec = p.job->record.spec;
   const auto& o = other.record.spec;
   // At its team's limit only the team's own lower work can give way.
-  if (p.over_limit > kNoCores && o.team != spec.team) return false;
+  if (p.cores_over_quota > kNoCores && o.team != spec.team) return false;
   // What other jobs wait for is stopped as if it were one of them; what stops others does so by its own
   // rank. So nothing that was stopped stops what it gave way to in its turn.
   if (priorities_.rank(other) > spec.rank) return true;
-  if (p.over_limit > kNoCores) return false;
+  if (p.cores_over_quota > kNoCores) return false;
   // Only what another team runs beyond its guarantee, and no more of it than that: a job within
   // the guarantee, once stopped, would stop others in its turn, and so on for ever.
   if (!priorities_.is_guaranteed(*p.job) || o.team == spec.team || o.kind == Kind::kService ||
@@ -57,7 +57,7 @@
   const auto stopping = p.stopping.find(o.team);
   const double ends = stopping == p.stopping.end() ? 0 : stopping->second;
   return team != settings_.teams.end() &&
-         cache_.team_use(o.team).cores() - ends > team->second.cores + kNoCores;
+         cache_.team_use(o.team).cores() - ends > team->second.guaranteed_cores + kNoCores;
 }
 
 // The tasks on the machine that the job may have stopped, what loses the least first.
@@ -95,7 +95,7 @@
     if (!most.fits(spec.request)) return {};
   }
   PreemptionCandidate out;
-  double excess = p.over_limit;
+  double excess = p.cores_over_quota;
   for (const Victim& v : candidates(p, m, now)) {
     if (room.fits(spec.request) && excess < kNoCores) break;
     excess -= v.request.cores();
@@ -156,7 +156,7 @@
   for (const auto& [job, count] : waiting) {
     const auto& spec = job->record.spec;
     if (!priorities_.may_displace(*job) || preempting_.contains(spec.id)) continue;
-    Preemption p{job, over_team_limit(spec), stopping, {}};
+    Preemption p{job, cores_over_quota(spec), stopping, {}};
     for (std::size_t left = count; left > 0; --left) {
       if (!preempt_for_one(p, now)) break;
     }
--- a/src/coordination/record_batch.cpp
+++ b/src/coordination/record_batch.cpp
@@ -82,8 +82,8 @@
   if (!job || job->blocked || job->cancelled()) return {};
   if (!has_room_for_start(*job, task.no, assignment)) return {};
   const auto& spec = job->record.spec;
-  const bool limited = cache_.limited(spec.team);
-  const std::string team = limited ? protocol::team_key(spec.team) : "";
+  const bool has_quota_limit = cache_.has_quota_limit(spec.team);
+  const std::string team = has_quota_limit ? protocol::team_key(spec.team) : "";
   const std::string row = starts_in_a_row(*job) ? protocol::row_key(spec.id) : "";
   std::size_t more = writes_record_of(*job, task.no) ? 0 : 1;
   if (!team.empty() && !teams_.contains(team)) ++more;
--- a/src/coordination/rounds.cpp
+++ b/src/coordination/rounds.cpp
@@ -264,13 +264,13 @@
       return false;
     }
   }
-  if (cache_.limited(spec.team)) {
+  if (cache_.has_quota_limit(spec.team)) {
     const base::Team& team = settings_.teams.at(spec.team);
     Resources use = cache_.team_use(spec.team);
     use += planned;
     use += spec.request;
-    if ((team.cores_max > 0 && use.cores() > team.cores_max + 1e-6) ||
-        (team.gpus_max > 0 && use.gpus() > team.gpus_max + 1e-6)) {
+    if ((team.max_cores > 0 && use.cores() > team.max_cores + 1e-6) ||
+        (team.max_gpus > 0 && use.gpus() > team.max_gpus + 1e-6)) {
       return false;
     }
   }
--- a/tests/job_priorities_test.cpp
+++ b/tests/job_priorities_test.cpp
@@ -17,7 +17,7 @@
 class Priorities : public ::testing::Test {
  protected:
   Priorities() : cache_(settings_), priorities_(settings_, cache_) {
-    settings_.teams["t"].cores = 10;
+    settings_.teams["t"].guaranteed_cores = 10;
     priorities_.set_time_of_day(now_, 1000);
   }
 
@@ -76,7 +76,7 @@
 
 // An inherited rank makes a sweep go first, and stops no other work.
 TEST_F(Priorities, AnInheritedRankDisplacesNothing) {
-  settings_.teams["t"].cores = 0;
+  settings_.teams["t"].guaranteed_cores = 0;
   add(kFirst, Rank::kIdle, {});
   add(kLast, Rank::kUrgent, {kFirst}, Seconds(200));
   EXPECT_FALSE(priorities_.may_displace(job(kFirst)));
