--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -156,7 +156,7 @@
   const std::string key = protocol::member_key(self_.member);
   Transaction txn;
   // Guarded: carried out late, it must not take the place of a later life's.
-  txn.guards[key] = cache_.version(key);
+  txn.preconditions[key] = cache_.version(key);
   txn.writes.push_back(
       {key, to_json(protocol::Member{self_, reaches_others, protocol::kFormat}), lease});
   return txn;
@@ -195,14 +195,14 @@
       View next = *view;
       next.epoch = Epoch(next.epoch.get() + 1);
       next.members[static_cast<std::size_t>(old - view->members.begin())] = self_;
-      txn.guards[protocol::kViewKey] = cache_.version(protocol::kViewKey);
-      txn.guards[protocol::member_key(self_.member)] =
+      txn.preconditions[protocol::kViewKey] = cache_.version(protocol::kViewKey);
+      txn.preconditions[protocol::member_key(self_.member)] =
           cache_.version(protocol::member_key(self_.member));
       txn.writes.push_back({protocol::kViewKey, to_json(next), {}});
       return txn;
     }
   }
-  txn.guards[protocol::kLeadKey] = cache_.version(protocol::kLeadKey);
+  txn.preconditions[protocol::kLeadKey] = cache_.version(protocol::kLeadKey);
   const auto& leader = cache_.leader();
   // A leader whose member has begun another life is no more.
   const auto present = leader ? members.find(leader->member) : members.end();
@@ -211,7 +211,7 @@
     // A node that reaches nobody while others reach each other is the one that is cut off: it must
     // not lead. Where nobody reaches anybody, any leader is better than none.
     if (others > 0 && reached == 0 && others_reach) return {};
-    txn.guards[protocol::member_key(self_.member)] =
+    txn.preconditions[protocol::member_key(self_.member)] =
         cache_.version(protocol::member_key(self_.member));
     txn.writes.push_back({protocol::kLeadKey, to_json(self_), lease});
     return txn;
@@ -242,13 +242,13 @@
       members, cache_.view(), excluded_, gather_ownership_claims(now),
       [this](const MachineId& id) { return released_.contains(id); }, settings_.value_bytes);
   if (next) {
-    txn.guards[protocol::kViewKey] = cache_.version(protocol::kViewKey);
+    txn.preconditions[protocol::kViewKey] = cache_.version(protocol::kViewKey);
     txn.writes.push_back({protocol::kViewKey, to_json(*next), {}});
   }
   for (const auto& [machine, incarnation] : cache_.ownership_claims()) {
     if (txn.writes.size() + 1 >= settings_.txn_ops) break;
     const std::string key = protocol::claim_key(machine);
-    txn.guards[key] = cache_.version(key);
+    txn.preconditions[key] = cache_.version(key);
     txn.writes.push_back({key, {}, {}});
   }
   if (txn.writes.empty()) return {};
@@ -260,18 +260,19 @@
 std::optional<Transaction> Controller::propose_format_upgrade() const {
   if (cache_.format() >= protocol::kFormat) return {};
   Transaction txn;
-  txn.guards[protocol::kFormatKey] = cache_.version(protocol::kFormatKey);
+  txn.preconditions[protocol::kFormatKey] = cache_.version(protocol::kFormatKey);
   const auto reads_format = [&](const MemberId& id) {
     const auto at = cache_.members().find(id);
     if (at == cache_.members().end() || at->second.format < protocol::kFormat) return false;
     const std::string key = protocol::member_key(id);
-    txn.guards[key] = cache_.version(key);
+    txn.preconditions[key] = cache_.version(key);
     return true;
   };
   if (!reads_format(self_.member)) return {};
   for (const base::Peer& peer : settings_.peers) {
     // The transaction takes conditions on so many members; a larger cluster is upgraded all the same.
-    const bool has_room = txn.guards.size() < settings_.txn_ops * protocol::kGuardsPerWrite;
+    const bool has_room =
+        txn.preconditions.size() < settings_.txn_ops * protocol::kPreconditionsPerWrite;
     if (!has_room || !reads_format(peer.member)) return {};
   }
   txn.writes.push_back({protocol::kFormatKey, protocol::kFormat, {}});
--- a/src/coordination/fleet_control.cpp
+++ b/src/coordination/fleet_control.cpp
@@ -316,7 +316,7 @@
 
 std::optional<Transaction> Controller::fleet_record() const {
   Transaction txn;
-  txn.guards[protocol::kLeadKey] = cache_.version(protocol::kLeadKey);
+  txn.preconditions[protocol::kLeadKey] = cache_.version(protocol::kLeadKey);
   txn.writes.push_back({protocol::kFleetKey, to_json(booting_, settings_.value_bytes - 1024), {}});
   return txn;
 }
--- a/src/coordination/handover.cpp
+++ b/src/coordination/handover.cpp
@@ -79,12 +79,12 @@
   const auto reached = reached_.find(leader->member);
   if (reached != reached_.end() && base::between(reached->second, now) < kReachable) return {};
   Transaction txn;
-  txn.guards[protocol::kViewKey] = installed_view_;
+  txn.preconditions[protocol::kViewKey] = installed_view_;
   for (const MachineId& id : ownership_claims(now)) {
     const std::string key = protocol::claim_key(id);
     if (cache_.version(key).get() != 0) continue;
     if (txn.writes.size() >= settings_.txn_ops) break;
-    txn.guards[key] = Version(0);
+    txn.preconditions[key] = Version(0);
     txn.writes.push_back({key, to_json(self_), {}});
     spdlog::info("machine {} can't reach its owner: claimed", id.get());
   }
--- a/src/coordination/intake.cpp
+++ b/src/coordination/intake.cpp
@@ -60,9 +60,9 @@
   const JobId& id = record.spec.id;
   Transaction txn;
   // Neither live nor over: an id is accepted once, whichever nodes its retries reach.
-  txn.guards[protocol::job_key(id)] = base::Version(0);
-  txn.guards[protocol::final_key(id)] = base::Version(0);
-  if (record.dependency_lists) txn.guards[protocol::dependency_lists_key(id)] = lists;
+  txn.preconditions[protocol::job_key(id)] = base::Version(0);
+  txn.preconditions[protocol::final_key(id)] = base::Version(0);
+  if (record.dependency_lists) txn.preconditions[protocol::dependency_lists_key(id)] = lists;
   txn.writes.push_back({protocol::job_key(id), to_json(record), {}});
   return txn;
 }
@@ -78,7 +78,7 @@
   for (std::size_t i = 0; i < values.size(); ++i) {
     if (i % most == 0) {
       out.emplace_back();
-      out.back().guards[protocol::dependency_lists_key(id)] = lists;
+      out.back().preconditions[protocol::dependency_lists_key(id)] = lists;
     }
     out.back().writes.push_back(
         {protocol::dependency_list_key(id, record.dependency_lists->set, i), values[i], {}});
@@ -91,7 +91,7 @@
   next.cancelled = true;
   Transaction txn;
   // The version is the one that starts guard: none can be recorded after this.
-  txn.guards[protocol::job_key(job.spec.id)] = version;
+  txn.preconditions[protocol::job_key(job.spec.id)] = version;
   txn.writes.push_back({protocol::job_key(job.spec.id), to_json(next), {}});
   return txn;
 }
@@ -110,9 +110,9 @@
   protocol::JobRecord next = record;
   next.piece = fit;
   Transaction txn;
-  txn.guards[protocol::kViewKey] = view;
+  txn.preconditions[protocol::kViewKey] = view;
   // Starts guard this version: none can be recorded by the chunks' own records after this.
-  txn.guards[protocol::job_key(record.spec.id)] = job.version;
+  txn.preconditions[protocol::job_key(record.spec.id)] = job.version;
   txn.writes.push_back({protocol::job_key(record.spec.id), to_json(next), {}});
   return txn;
 }
@@ -129,7 +129,7 @@
 void add_finalization(Transaction& txn, const bookkeeping::Job& job, double time_of_day) {
   const auto& spec = job.record.spec;
   // A cancellation between the last end and here wins: users were told so.
-  txn.guards[protocol::job_key(spec.id)] = job.version;
+  txn.preconditions[protocol::job_key(spec.id)] = job.version;
   protocol::FinalState state;
   state.status =
       job.cancelled_on_record() ? protocol::JobStatus::kCancelled : protocol::JobStatus::kDone;
@@ -146,9 +146,9 @@
 // anyway, since a task that is done stays done, and nothing starts but under the job's version.
 void guard_task_records(Transaction& txn, const bookkeeping::Job& job, std::size_t txn_ops) {
   for (std::size_t c = 0; c < job.chunks.size(); ++c) {
-    if (txn.guards.size() >= txn_ops * protocol::kGuardsPerWrite) return;
+    if (txn.preconditions.size() >= txn_ops * protocol::kPreconditionsPerWrite) return;
     if (job.chunks[c].version.get() == 0) continue;
-    txn.guards[job.record.record_key(static_cast<std::uint32_t>(c))] = job.chunks[c].version;
+    txn.preconditions[job.record.record_key(static_cast<std::uint32_t>(c))] = job.chunks[c].version;
   }
 }
 
--- a/src/coordination/record_batch.cpp
+++ b/src/coordination/record_batch.cpp
@@ -150,17 +150,17 @@
 Transaction RecordBatch::build(const protocol::ControllerIncarnation& self, Version view,
                                double time_of_day) const {
   Transaction txn;
-  txn.guards[protocol::kViewKey] = view;
+  txn.preconditions[protocol::kViewKey] = view;
   const std::set<JobId> finalized = finalized_jobs();
   for (const auto& [id, e] : edits_) {
     const std::string key = e.job->record.record_key(id.chunk);
-    txn.guards[key] = e.job->chunks[id.chunk].version;
+    txn.preconditions[key] = e.job->chunks[id.chunk].version;
     guard_whole_chunk(txn, *e.job, id.chunk);
     if (finalized.contains(id.job)) continue;
     protocol::ChunkRecord record = e.record;
     if (e.has_starts) {
       record.next = Attempt(record.next.get() + 1);
-      txn.guards[protocol::job_key(id.job)] = e.job->version;
+      txn.preconditions[protocol::job_key(id.job)] = e.job->version;
     }
     txn.writes.push_back({key, to_json(record, e.job->chunk_first(id.chunk)), {}});
   }
@@ -176,7 +176,7 @@
 void RecordBatch::guard_whole_chunk(Transaction& txn, const Job& job, std::uint32_t piece) {
   if (job.whole.empty()) return;
   const std::uint32_t chunk = piece / job.record.pieces_of_chunk();
-  txn.guards[protocol::chunk_key(job.record.spec.id, chunk)] = job.whole[chunk].version;
+  txn.preconditions[protocol::chunk_key(job.record.spec.id, chunk)] = job.whole[chunk].version;
 }
 
 // Starts of a team with a limit stand in a row, whoever makes them: its use, as counted from the local
@@ -184,7 +184,7 @@
 void RecordBatch::add_rows(Transaction& txn, const protocol::ControllerIncarnation& self) const {
   for (const auto& keys : {teams_, serialized_}) {
     for (const std::string& key : keys) {
-      txn.guards[key] = cache_.version(key);
+      txn.preconditions[key] = cache_.version(key);
       txn.writes.push_back({key, to_json(self), {}});
     }
   }
--- a/src/coordination/upkeep.cpp
+++ b/src/coordination/upkeep.cpp
@@ -206,11 +206,11 @@
     const ControllerIncarnation* home = home_of(*cache_.view(), JobId(key));
     if (!home || *home != self_) continue;
     if (txn.writes.size() >= settings_.txn_ops) break;
-    txn.guards[key] = version;
+    txn.preconditions[key] = version;
     // Only what belongs to no job: one that this copy has not heard of yet is not over.
     const auto chunk = protocol::parse_chunk_key(key);
     const auto job = chunk ? chunk->job : protocol::job_of_dependency_key(key);
-    if (job) txn.guards[protocol::job_key(*job)] = Version(0);
+    if (job) txn.preconditions[protocol::job_key(*job)] = Version(0);
     txn.writes.push_back({key, {}, {}});
   }
   if (txn.writes.empty()) return {};
--- a/src/node_fleet.cpp
+++ b/src/node_fleet.cpp
@@ -62,7 +62,7 @@
   const auto txn = locked([&](Controller& c) -> std::optional<Transaction> {
     if (to_json(c.cache().catalogue()) == value) return {};
     Transaction x;
-    x.guards[protocol::kLeadKey] = c.cache().version(protocol::kLeadKey);
+    x.preconditions[protocol::kLeadKey] = c.cache().version(protocol::kLeadKey);
     x.writes.push_back({protocol::kCatalogueKey, value, {}});
     return x;
   });
--- a/src/protocol/clients.cpp
+++ b/src/protocol/clients.cpp
@@ -44,9 +44,9 @@
       watches_(address, 1) {}
 
 StateClient::Committed StateClient::commit(const Transaction& txn, Seconds timeout) {
-  Json guards = Json::array();
-  for (const auto& [key, version] : txn.guards) {
-    guards.push_back({{"key", key}, {"mark", version.get()}});
+  Json preconditions = Json::array();
+  for (const auto& [key, version] : txn.preconditions) {
+    preconditions.push_back({{"key", key}, {"mark", version.get()}});
   }
   Json writes = Json::array();
   for (const Put& p : txn.writes) {
@@ -59,7 +59,7 @@
     writes.push_back(std::move(w));
   }
   const Answer a = http_.post(
-      "/commit", Json{{"guards", std::move(guards)}, {"writes", std::move(writes)}}.dump(),
+      "/commit", Json{{"guards", std::move(preconditions)}, {"writes", std::move(writes)}}.dump(),
       timeout);
   Committed c;
   if (a.sent == Sent::kNo) {
--- a/src/protocol/records.h
+++ b/src/protocol/records.h
@@ -84,10 +84,10 @@
 };
 
 // The store takes so many conditions for each change that a transaction may hold.
-inline constexpr std::size_t kGuardsPerWrite = 4;
+inline constexpr std::size_t kPreconditionsPerWrite = 4;
 
 struct Transaction {
-  std::map<std::string, Version> guards;
+  std::map<std::string, Version> preconditions;
   std::vector<Put> writes;
 };
 
--- a/src/users.cpp
+++ b/src/users.cpp
@@ -172,7 +172,7 @@
   const Json value = to_json(*record.dependency_lists);
   if (version.get() == 0 || before.item.value != value) {
     Transaction txn;
-    txn.guards[key] = version;
+    txn.preconditions[key] = version;
     txn.writes.push_back({key, value, {}});
     const auto done = store_.commit(txn);
     if (done.outcome != Outcome::kDone) return {};
--- a/tests/users_test.cpp
+++ b/tests/users_test.cpp
@@ -72,7 +72,7 @@
       return done;
     }
     EXPECT_LE(txn.writes.size(), settings_.txn_ops);
-    EXPECT_LE(txn.guards.size(), settings_.txn_ops * protocol::kGuardsPerWrite);
+    EXPECT_LE(txn.preconditions.size(), settings_.txn_ops * protocol::kPreconditionsPerWrite);
     for (const auto& write : txn.writes)
       EXPECT_LE(write.value->dump().size(), settings_.value_bytes);
     if (commits_left_ == 0) {
--- a/tests/world_state.cpp
+++ b/tests/world_state.cpp
@@ -23,7 +23,7 @@
 
 StateClient::Committed World::apply(const protocol::Transaction& txn) {
   StateClient::Committed c;
-  for (const auto& [key, version] : txn.guards) {
+  for (const auto& [key, version] : txn.preconditions) {
     const auto at = store_.find(key);
     if ((at == store_.end() ? 0 : at->second.version) != version.get()) c.failed.push_back(key);
   }
@@ -50,9 +50,9 @@
 void World::check_limits(std::size_t node, const protocol::Transaction& txn) {
   const auto& limits = nodes_[node].settings;
   if (txn.writes.size() > limits.txn_ops ||
-      txn.guards.size() > limits.txn_ops * protocol::kGuardsPerWrite)
+      txn.preconditions.size() > limits.txn_ops * protocol::kPreconditionsPerWrite)
     broken("a transaction of " + std::to_string(txn.writes.size()) + " changes and " +
-           std::to_string(txn.guards.size()) + " conditions");
+           std::to_string(txn.preconditions.size()) + " conditions");
   for (const auto& w : txn.writes) {
     if (w.value && w.value->dump().size() > limits.value_bytes)
       broken("a value too large for the store: " + w.key);
@@ -93,7 +93,7 @@
   std::ostringstream out;
   out << "commit " << node_name(node) << " outcome " << static_cast<int>(done.outcome)
       << " revision " << done.revision.get();
-  for (const auto& [key, version] : txn.guards) out << ' ' << key << '@' << version.get();
+  for (const auto& [key, version] : txn.preconditions) out << ' ' << key << '@' << version.get();
   for (const auto& w : txn.writes) {
     out << ' ' << w.key << '=' << (w.value ? w.value->dump() : "removed");
     if (w.lease) out << '~' << w.lease->get();
