--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -27,7 +27,7 @@
   std::ifstream in(std::string(SCENARIOS) + "/" + GetParam() + ".txt");
   std::stringstream text;
   text << in.rdbuf();
-  World world;
+  SimulatedCluster world;
   world.trace_as(GetParam());
   for (const std::string& what : world.run(text.str())) ADD_FAILURE() << what;
 }
--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -14,22 +14,22 @@
   return name;
 }
 
-Time World::now() const {
+Time SimulatedCluster::now() const {
   return Time(std::chrono::duration_cast<base::SteadyClock::duration>(base::Seconds(1000 + t_)));
 }
 
-void World::broken(const std::string& what) {
+void SimulatedCluster::broken(const std::string& what) {
   std::ostringstream out;
   out.precision(4);
   out << "at " << t_ << ": " << what;
   failures_.push_back(out.str());
 }
 
-bool World::cut(const std::string& a, const std::string& b) const {
+bool SimulatedCluster::cut(const std::string& a, const std::string& b) const {
   return cuts_.contains({a, b}) || cuts_.contains({b, a});
 }
 
-void World::step() {
+void SimulatedCluster::step() {
   t_ += kStep;
   expire_leases();
   for (std::size_t i = 0; i < late_commits_.size();) {
@@ -58,7 +58,7 @@
     }
     const LateHeartbeat late = late_heartbeats_[i];
     late_heartbeats_.erase(late_heartbeats_.begin() + static_cast<std::ptrdiff_t>(i));
-    for (NodeSim& node : nodes_) {
+    for (SimulatedController& node : nodes_) {
       if (!node.up || !node.loaded) continue;
       node.controller->handle_heartbeat(late.heartbeat, now());
       node.round_due = true;
@@ -70,7 +70,7 @@
   check_rules();
 }
 
-std::vector<std::string> World::run(const std::string& text) {
+std::vector<std::string> SimulatedCluster::run(const std::string& text) {
   std::istringstream in(text);
   std::string line;
   int number = 0;
--- a/tests/world.h
+++ b/tests/world.h
@@ -53,7 +53,7 @@
 
 class CommandLine;
 
-class World {
+class SimulatedCluster {
  public:
   // Runs a scenario's text; returns what went wrong, line by line (empty: all as expected).
   std::vector<std::string> run(const std::string& text);
@@ -103,7 +103,7 @@
     double at;
     protocol::Heartbeat heartbeat;
   };
-  struct NodeSim {
+  struct SimulatedController {
     base::Settings settings;
     std::unique_ptr<coordination::Controller> controller;
     std::unique_ptr<Users> users;
@@ -118,7 +118,7 @@
     std::uint64_t load_from = 0;
     std::uint64_t rental_count = 0;
   };
-  struct JobSim {
+  struct SimulatedJob {
     protocol::JobSpec spec;
     double run = 10;
     std::optional<double> fails_after;  // submitted with a mistake: each task fails after so long
@@ -183,16 +183,16 @@
   bool cut(const std::string& a, const std::string& b) const;
 
   // users and rules
-  void submit(std::size_t node, JobSim& job);
+  void submit(std::size_t node, SimulatedJob& job);
   void poll();
   void check_start(const Worker& w, const TaskId& task);
   // Is every job that it needs done, by what its tasks did and by its final record?
-  bool dependencies_are_done(const JobSim& job) const;
+  bool dependencies_are_done(const SimulatedJob& job) const;
   // When the user of a job that it depends on, through any number of steps, was told of its cancellation.
-  std::optional<double> dependency_cancelled_at(const JobSim& job) const;
+  std::optional<double> dependency_cancelled_at(const SimulatedJob& job) const;
   // Was the cancellation of the job, or of one that it depends on, asked for?
-  bool cancellation_asked(const JobSim& job) const;
-  void check_answer(JobSim& job, const std::string& status);
+  bool cancellation_asked(const SimulatedJob& job) const;
+  void check_answer(SimulatedJob& job, const std::string& status);
   // No controller may command a start of what was confirmed as cancelled. One that hears neither the
   // state service nor any other controller has until its authority ends.
   void check_command(std::size_t n, const TaskId& task);
@@ -248,9 +248,9 @@
   std::map<std::string, std::vector<MachineId>> rentals_;
   int releases_ = 0;
 
-  std::vector<NodeSim> nodes_;
+  std::vector<SimulatedController> nodes_;
   std::string operators_;
-  std::map<JobId, JobSim> jobs_;
+  std::map<JobId, SimulatedJob> jobs_;
   std::vector<std::string> failures_;
   double next_poll_ = 0;
   std::size_t starts_ = 0;
--- a/tests/world_checks.cpp
+++ b/tests/world_checks.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void World::check_start(const Worker& w, const TaskId& task) {
+void SimulatedCluster::check_start(const Worker& w, const TaskId& task) {
   ++starts_;
   trace_.write(t_, "start", w.id, task.job.get(), task.no);
   const auto j = jobs_.find(task.job);
@@ -43,7 +43,7 @@
   }
 }
 
-bool World::dependencies_are_done(const JobSim& job) const {
+bool SimulatedCluster::dependencies_are_done(const SimulatedJob& job) const {
   return std::all_of(
       job.spec.dependencies.begin(), job.spec.dependencies.end(), [this](const JobId& need) {
         const auto at = jobs_.find(need);
@@ -53,7 +53,7 @@
       });
 }
 
-std::optional<double> World::dependency_cancelled_at(const JobSim& job) const {
+std::optional<double> SimulatedCluster::dependency_cancelled_at(const SimulatedJob& job) const {
   std::optional<double> first;
   std::set<JobId> seen;
   std::vector<JobId> open = job.spec.dependencies;
@@ -70,11 +70,11 @@
   return first;
 }
 
-bool World::cancellation_asked(const JobSim& job) const {
+bool SimulatedCluster::cancellation_asked(const SimulatedJob& job) const {
   return job.cancel_asked || dependency_cancelled_at(job);
 }
 
-void World::check_command(std::size_t n, const TaskId& task) {
+void SimulatedCluster::check_command(std::size_t n, const TaskId& task) {
   const auto job = jobs_.find(task.job);
   if (job == jobs_.end() || !job->second.cancelled_at) return;
   bool hears = state_reachable(n);
@@ -87,7 +87,7 @@
            std::to_string(since) + " s after its cancellation was confirmed");
 }
 
-void World::submit(std::size_t n, JobSim& job) {
+void SimulatedCluster::submit(std::size_t n, SimulatedJob& job) {
   Json j = to_json(job.spec);
   if (!nodes_[n].up || !nodes_[n].loaded) return;
   const auto r = nodes_[n].users->submit(j.dump(), now());
@@ -96,14 +96,14 @@
     broken("forgotten: " + job.spec.id.get());
 }
 
-bool World::troubled() const {
+bool SimulatedCluster::troubled() const {
   if (state_down_ || !cuts_.empty() || !late_commit_.empty() || !watch_lag_.empty()) return true;
-  return std::any_of(nodes_.begin(), nodes_.end(), [this](const NodeSim& n) {
+  return std::any_of(nodes_.begin(), nodes_.end(), [this](const SimulatedController& n) {
     return !n.up || !n.loaded || t_ < n.frozen_until;
   });
 }
 
-void World::poll() {
+void SimulatedCluster::poll() {
   next_poll_ = t_ + 0.5;
   if (troubled()) troubles_over_ = t_;
   for (auto& [id, job] : jobs_) {
@@ -136,7 +136,7 @@
   }
 }
 
-void World::check_answer(JobSim& job, const std::string& word) {
+void SimulatedCluster::check_answer(SimulatedJob& job, const std::string& word) {
   const std::string& id = job.spec.id.get();
   const std::string status = word == "withdrawn" ? "cancelled" : word;  // the wire's word for it
   if (!job.told_final.empty() && status != job.told_final)
@@ -150,7 +150,7 @@
   if (status == "done" || status == "cancelled") job.told_final = status;
 }
 
-void World::check_rules() {
+void SimulatedCluster::check_rules() {
   std::map<std::string, double> use;
   for (const auto& [id, w] : workers_) {
     if (!w.alive) continue;
@@ -177,7 +177,7 @@
 }
 
 // Is a task of a job left waiting though a machine that fits has room and its team is under its limit?
-void World::check_waiting() {
+void SimulatedCluster::check_waiting() {
   std::map<std::string, double> team_use;
   std::map<std::string, double> used;
   std::map<JobId, std::set<TaskNo>> on;  // on a machine, or ended there
@@ -228,7 +228,7 @@
 
 // Half of each class, of each team, and of each class's largest jobs is served, of those that have had
 // so long for it. A day that fails this counts for nothing.
-void World::check_served(double after) {
+void SimulatedCluster::check_served(double after) {
   std::map<std::string, std::pair<std::size_t, std::size_t>> served;
   std::map<std::string, TaskNo> largest;
   for (const auto& [id, job] : jobs_) {
--- a/tests/world_commands.cpp
+++ b/tests/world_commands.cpp
@@ -9,7 +9,7 @@
 namespace saddleslip::testing {
 
 // What there is before and between troubles.
-bool World::set_up(CommandLine& line) {
+bool SimulatedCluster::set_up(CommandLine& line) {
   if (line.word() == "workers") {
     heartbeat_s_ = line.number();
     lease_s_ = line.number();
@@ -47,7 +47,7 @@
   return true;
 }
 
-bool World::trouble_controllers(CommandLine& line) {
+bool SimulatedCluster::trouble_controllers(CommandLine& line) {
   if (line.word() == "upgrade") {
     const std::size_t n = line.node();
     nodes_[n].upgraded = true;
@@ -105,7 +105,7 @@
   return true;
 }
 
-bool World::trouble_machines(CommandLine& line) {
+bool SimulatedCluster::trouble_machines(CommandLine& line) {
   if (line.word() == "some") {
     // some <every> <what>: die, hang or wake each so-manieth machine of the large fleet.
     const int every = static_cast<int>(line.count());
@@ -157,13 +157,13 @@
   return true;
 }
 
-void World::submit_job(CommandLine& line) {
+void SimulatedCluster::submit_job(CommandLine& line) {
   const std::string id = line.text(), kind = line.text();
   std::map<std::string, std::string> options = line.options();
   const auto option = [&](const char* key, double otherwise) {
     return options.contains(key) ? std::stod(options[key]) : otherwise;
   };
-  JobSim job;
+  SimulatedJob job;
   job.spec.id = JobId(id);
   job.spec.job_class = options.contains("class") ? options["class"] : "c";
   job.spec.team = options.contains("team") ? options["team"] : "t";
@@ -196,7 +196,7 @@
   submit(static_cast<std::size_t>(option("node", 0)), jobs_[job.spec.id] = job);
 }
 
-bool World::use(CommandLine& line) {
+bool SimulatedCluster::use(CommandLine& line) {
   if (line.word() == "submit") {
     submit_job(line);
   } else if (line.word() == "cancel") {
@@ -229,9 +229,9 @@
   return true;
 }
 
-bool World::expect_job(const std::string& what, CommandLine& line) {
+bool SimulatedCluster::expect_job(const std::string& what, CommandLine& line) {
   if (what == "done" || what == "cancelled") {
-    const JobSim& job = jobs_.at(JobId(line.text()));
+    const SimulatedJob& job = jobs_.at(JobId(line.text()));
     if (job.told_final != what)
       broken("expected " + what + ": " + job.spec.id.get() + " is '" + job.told_final + "'");
   } else if (what == "running") {
@@ -249,7 +249,7 @@
              std::to_string(n));
   } else if (what == "began") {
     // ... within so many seconds of its submission.
-    const JobSim& job = jobs_.at(JobId(line.text()));
+    const SimulatedJob& job = jobs_.at(JobId(line.text()));
     const double within = line.number();
     if (!job.began || *job.began - job.submitted > within)
       broken("expected " + job.spec.id.get() + " to have begun within " + std::to_string(within));
@@ -269,7 +269,7 @@
   return true;
 }
 
-bool World::expect_fleet(const std::string& what, CommandLine& line) {
+bool SimulatedCluster::expect_fleet(const std::string& what, CommandLine& line) {
   const auto at_most = [&](const std::string& of, std::size_t n) {
     const std::size_t want = line.count();
     if (n > want)
@@ -301,7 +301,7 @@
   return true;
 }
 
-void World::command(const std::string& text) {
+void SimulatedCluster::command(const std::string& text) {
   CommandLine line(text);
   const bool known =
       set_up(line) || trouble_controllers(line) || trouble_machines(line) || use(line);
--- a/tests/world_controllers.cpp
+++ b/tests/world_controllers.cpp
@@ -7,8 +7,8 @@
 
 namespace saddleslip::testing {
 
-void World::start_node(std::size_t n) {
-  NodeSim& node = nodes_[n];
+void SimulatedCluster::start_node(std::size_t n) {
+  SimulatedController& node = nodes_[n];
   Json peers = Json::array();
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
     if (i != n) peers.push_back({{"member", node_name(i)}, {"address", "10.0.0.1:1"}});
@@ -48,12 +48,12 @@
   node.back_at = node.records_at = -1;
 }
 
-bool World::takes_word(std::size_t from, std::size_t n) const {
+bool SimulatedCluster::takes_word(std::size_t from, std::size_t n) const {
   return n != from && nodes_[n].up && nodes_[n].loaded && t_ >= nodes_[n].frozen_until &&
          !cut(node_name(from), node_name(n));
 }
 
-void World::broadcast_cancellation(std::size_t n, const JobId& id) {
+void SimulatedCluster::broadcast_cancellation(std::size_t n, const JobId& id) {
   for (std::size_t m = 0; m < nodes_.size(); ++m) {
     if (!takes_word(n, m)) continue;
     nodes_[m].controller->notify_cancelled(id);
@@ -61,9 +61,9 @@
   }
 }
 
-void World::load(std::size_t n) {
+void SimulatedCluster::load(std::size_t n) {
   if (!state_reachable(n)) return;
-  NodeSim& node = nodes_[n];
+  SimulatedController& node = nodes_[n];
   auto& cache = node.controller->cache();
   const auto read = [&](bool records) {
     for (const auto& [key, k] : store_) {
@@ -84,8 +84,8 @@
   node.loaded = true;
 }
 
-void World::take_in(std::size_t n, double lag) {
-  NodeSim& node = nodes_[n];
+void SimulatedCluster::take_in(std::size_t n, double lag) {
+  SimulatedController& node = nodes_[n];
   auto& cache = node.controller->cache();
   std::uint64_t upto = cache.revision().get();
   for (const Change& change : changes_) {
@@ -99,13 +99,13 @@
   node.controller->install_view(now());
 }
 
-bool World::catch_up(std::size_t n) {
+bool SimulatedCluster::catch_up(std::size_t n) {
   if (!nodes_[n].loaded || !state_reachable(n)) return false;
   take_in(n, 0);
   return true;
 }
 
-void World::refresh(std::size_t n, const std::vector<std::string>& keys) {
+void SimulatedCluster::refresh(std::size_t n, const std::vector<std::string>& keys) {
   for (const auto& key : keys) {
     if (key.compare(0, protocol::kJobs.size(), protocol::kJobs) != 0 &&
         key.compare(0, protocol::kChunks.size(), protocol::kChunks) != 0) {
@@ -117,8 +117,8 @@
   }
 }
 
-void World::renew_lease(std::size_t n) {
-  NodeSim& node = nodes_[n];
+void SimulatedCluster::renew_lease(std::size_t n) {
+  SimulatedController& node = nodes_[n];
   const auto ttl = node.settings.tuning.member_ttl;
   node.next_renewal = t_ + ttl.count() / 4;
   node.renew_now = false;
@@ -162,7 +162,7 @@
   }
 }
 
-void World::read_unresolved_dependencies(std::size_t n) {
+void SimulatedCluster::read_unresolved_dependencies(std::size_t n) {
   auto& cache = nodes_[n].controller->cache();
   for (const JobId& id : cache.unresolved_dependencies()) {
     const auto got = get(n, protocol::final_key(id));
@@ -171,14 +171,14 @@
   }
 }
 
-void World::trace_order(std::size_t node, const coordination::Order& order) {
+void SimulatedCluster::trace_order(std::size_t node, const coordination::Order& order) {
   if (!trace_.is_open()) return;
   trace_.write(t_, "order", node_name(node), order.machine.get(),
                protocol::orders(order.fencing_token, order.agent_incarnation, order.commands));
 }
 
-void World::round(std::size_t n) {
-  NodeSim& node = nodes_[n];
+void SimulatedCluster::round(std::size_t n) {
+  SimulatedController& node = nodes_[n];
   auto& c = *node.controller;
   node.round_due = false;
   node.next_round = t_ + node.settings.tuning.round_period.count();
@@ -247,8 +247,8 @@
   read_unresolved_dependencies(n);
 }
 
-void World::fleet(std::size_t n) {
-  NodeSim& node = nodes_[n];
+void SimulatedCluster::fleet(std::size_t n) {
+  SimulatedController& node = nodes_[n];
   auto& c = *node.controller;
   node.next_fleet = t_ + 1;
   if (!c.is_leader(now())) return;
@@ -300,8 +300,8 @@
   }
 }
 
-void World::step_node(std::size_t n) {
-  NodeSim& node = nodes_[n];
+void SimulatedCluster::step_node(std::size_t n) {
+  SimulatedController& node = nodes_[n];
   if (!node.up) {
     if (node.back_at >= 0 && t_ >= node.back_at) start_node(n);
     return;
--- a/tests/world_state.cpp
+++ b/tests/world_state.cpp
@@ -7,12 +7,12 @@
 
 namespace saddleslip::testing {
 
-bool World::state_reachable(std::size_t node) const {
+bool SimulatedCluster::state_reachable(std::size_t node) const {
   return !state_down_ && !cut(node_name(node), "state");
 }
 
-void World::write(const std::string& key, const Json& value, std::uint64_t lease,
-                  std::uint64_t revision) {
+void SimulatedCluster::write(const std::string& key, const Json& value, std::uint64_t lease,
+                             std::uint64_t revision) {
   if (value.is_null()) {
     store_.erase(key);
   } else {
@@ -21,7 +21,7 @@
   changes_.push_back({revision, {key, value, base::Version(revision)}, t_});
 }
 
-StateClient::Committed World::apply(const protocol::Transaction& txn) {
+StateClient::Committed SimulatedCluster::apply(const protocol::Transaction& txn) {
   StateClient::Committed c;
   for (const auto& [key, version] : txn.preconditions) {
     const auto at = store_.find(key);
@@ -47,7 +47,7 @@
 
 // Limits hold whatever the conditions: seen at fleet size, a record of all booting machines that no value
 // holds was refused for ever. Those that the store has later hold for what is written now, too.
-void World::check_limits(std::size_t node, const protocol::Transaction& txn) {
+void SimulatedCluster::check_limits(std::size_t node, const protocol::Transaction& txn) {
   const auto& limits = nodes_[node].settings;
   if (txn.writes.size() > limits.txn_ops ||
       txn.preconditions.size() > limits.txn_ops * protocol::kPreconditionsPerWrite)
@@ -59,17 +59,17 @@
   }
 }
 
-bool World::is_version_before(std::size_t node) const {
+bool SimulatedCluster::is_version_before(std::size_t node) const {
   return next_limits_ && !nodes_[node].upgraded;
 }
 
 // The version before says nothing of formats, and never that all read a later one.
-bool World::writes_as_this_version(const protocol::Transaction& txn) {
+bool SimulatedCluster::writes_as_this_version(const protocol::Transaction& txn) {
   return std::any_of(txn.writes.begin(), txn.writes.end(),
                      [](const protocol::Put& w) { return w.key == protocol::kFormatKey; });
 }
 
-protocol::Transaction World::without_format(protocol::Transaction txn) {
+protocol::Transaction SimulatedCluster::without_format(protocol::Transaction txn) {
   for (protocol::Put& w : txn.writes) {
     if (w.key.starts_with(protocol::kMembers) && w.value) w.value->erase("format");
   }
@@ -77,7 +77,7 @@
 }
 
 // Records that the version before can't read must not be written while it may come back.
-void World::check_format(const protocol::Transaction& txn) {
+void SimulatedCluster::check_format(const protocol::Transaction& txn) {
   bool all_upgraded = true;
   for (std::size_t n = 0; n < nodes_.size(); ++n)
     all_upgraded = all_upgraded && !is_version_before(n);
@@ -87,8 +87,8 @@
   }
 }
 
-void World::trace_commit(std::size_t node, const protocol::Transaction& txn,
-                         const StateClient::Committed& done) {
+void SimulatedCluster::trace_commit(std::size_t node, const protocol::Transaction& txn,
+                                    const StateClient::Committed& done) {
   if (!trace_.is_open()) return;
   std::ostringstream out;
   out << "commit " << node_name(node) << " outcome " << static_cast<int>(done.outcome)
@@ -101,13 +101,15 @@
   trace_.write(t_, out.str());
 }
 
-StateClient::Committed World::commit(std::size_t node, const protocol::Transaction& txn) {
+StateClient::Committed SimulatedCluster::commit(std::size_t node,
+                                                const protocol::Transaction& txn) {
   const StateClient::Committed done = commit_untraced(node, txn);
   trace_commit(node, txn, done);
   return done;
 }
 
-StateClient::Committed World::commit_untraced(std::size_t node, const protocol::Transaction& txn) {
+StateClient::Committed SimulatedCluster::commit_untraced(std::size_t node,
+                                                         const protocol::Transaction& txn) {
   check_limits(node, txn);
   check_format(txn);
   StateClient::Committed c;
@@ -132,7 +134,7 @@
   return c;
 }
 
-StateClient::Got World::get(std::size_t node, const std::string& key) {
+StateClient::Got SimulatedCluster::get(std::size_t node, const std::string& key) {
   StateClient::Got g;
   if (!state_reachable(node)) return g;
   g.answered = true;
@@ -142,7 +144,7 @@
   return g;
 }
 
-void World::expire_leases() {
+void SimulatedCluster::expire_leases() {
   if (state_down_) return;
   for (auto it = leases_.begin(); it != leases_.end();) {
     if (t_ < it->second.until) {
--- a/tests/world_test.cpp
+++ b/tests/world_test.cpp
@@ -13,7 +13,7 @@
 // The failures of a day, in one text.
 std::string failures_of(const std::string& scenario) {
   if (!std::getenv("LOG_LEVEL")) spdlog::set_level(spdlog::level::off);
-  World world;
+  SimulatedCluster world;
   std::string text;
   for (const std::string& failure : world.run(scenario)) text += failure + "\n";
   return text;
--- a/tests/world_workers.cpp
+++ b/tests/world_workers.cpp
@@ -13,8 +13,10 @@
 
 }  // namespace
 
-World::Worker& World::add_worker(const std::string& id, const std::string& type,
-                                 const std::string& zone, bool spot, double boots) {
+SimulatedCluster::Worker& SimulatedCluster::add_worker(const std::string& id,
+                                                       const std::string& type,
+                                                       const std::string& zone, bool spot,
+                                                       double boots) {
   Worker w;
   w.id = id;
   w.type = type;
@@ -26,7 +28,7 @@
   return workers_[id] = w;
 }
 
-protocol::Heartbeat World::heartbeat_of(Worker& w) {
+protocol::Heartbeat SimulatedCluster::heartbeat_of(Worker& w) {
   Json tasks = Json::array();
   for (const auto& [id, attempts] : w.tasks) {
     for (const Task& t : attempts) {
@@ -45,7 +47,7 @@
   return *r;
 }
 
-void World::execute(Worker& w, const std::vector<Command>& commands) {
+void SimulatedCluster::execute(Worker& w, const std::vector<Command>& commands) {
   for (const Command& c : commands) {
     auto& attempts = w.tasks[c.task];
     const auto at = std::find_if(attempts.begin(), attempts.end(),
@@ -86,13 +88,13 @@
   }
 }
 
-void World::end_agent_incarnation(Worker& w) {
+void SimulatedCluster::end_agent_incarnation(Worker& w) {
   w.tasks.clear();
   ++w.agent_incarnation;
   w.last_answered_at = t_;
 }
 
-void World::heartbeat(Worker& w) {
+void SimulatedCluster::heartbeat(Worker& w) {
   w.next_heartbeat = t_ + heartbeat_s_;
   const std::size_t n = w.node;
   const auto next = [&] {
@@ -148,7 +150,7 @@
   if (!commands.empty()) w.next_heartbeat = std::min(w.next_heartbeat, t_ + 0.5);
 }
 
-void World::deliver(const coordination::Order& order, std::size_t from) {
+void SimulatedCluster::deliver(const coordination::Order& order, std::size_t from) {
   const auto at = workers_.find(order.machine.get());
   if (at == workers_.end() || !at->second.alive || at->second.hung || t_ < at->second.boots) return;
   Worker& w = at->second;
@@ -162,7 +164,7 @@
   if (nodes_[from].up) nodes_[from].controller->handle_order_reply(order.machine, heartbeat, now());
 }
 
-void World::step_workers() {
+void SimulatedCluster::step_workers() {
   for (auto& [id, w] : workers_) {
     if (!w.alive || t_ < w.boots) continue;
     if (w.taken_at && t_ >= *w.taken_at) {
