--- a/src/bookkeeping/machines.h
+++ b/src/bookkeeping/machines.h
@@ -63,7 +63,7 @@
   FencingToken last_sent_token;    // the one of the latest answer
   int unacknowledged_replies = 0;  // reports in a row that did not show what was answered before
   std::optional<Time> half_open_since;
-  bool order_lost = false;         // no direct orders until it reports again
+  bool commands_lost = false;      // no direct orders until it reports again
   bool cordoned = false;           // takes no new tasks
   bool draining = false;           // its services are being moved elsewhere
   bool release_requested = false;  // its release was asked for
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -326,8 +326,8 @@
   return {200, protocol::heartbeat_response(m.fencing_token, reconcile(m))};
 }
 
-void Controller::handle_order_reply(const MachineId& machine,
-                                    const std::optional<Heartbeat>& heartbeat, Time now) {
+void Controller::handle_command_reply(const MachineId& machine,
+                                      const std::optional<Heartbeat>& heartbeat, Time now) {
   if (!heartbeat || heartbeat->machine != machine || !owns(machine)) return;
   record_heartbeat(*heartbeat, now, false);
 }
@@ -378,7 +378,7 @@
   // An order that is answered does not renew the machine's lease: one that opens no connections to any
   // controller is about to lose all that is on it, however well it answers.
   if (renews_lease || is_new) m.last_heartbeat_at = now;
-  m.order_lost = false;
+  m.commands_lost = false;
   if (heartbeat.notice && !m.taken_at) {
     m.taken_at = base::after(now, *heartbeat.notice);
     m.cordoned = true;
@@ -486,7 +486,7 @@
   return out;
 }
 
-bool Controller::still_due(Order& order, Time now) const {
+bool Controller::drop_stale_commands(CommandBatch& order, Time now) const {
   if (!has_authority(now)) return false;
   std::erase_if(order.commands, [this](const Command& c) {
     const Job* job = cache_.job(c.task.job);
@@ -495,8 +495,9 @@
   return !order.commands.empty();
 }
 
-void Controller::order_lost(const MachineId& machine) {
-  if (const auto at = machines_.find(machine); at != machines_.end()) at->second.order_lost = true;
+void Controller::commands_lost(const MachineId& machine) {
+  if (const auto at = machines_.find(machine); at != machines_.end())
+    at->second.commands_lost = true;
 }
 
 void Controller::mark_released(const std::vector<MachineId>& machines, Time now) {
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -45,7 +45,7 @@
 };
 
 // A direct order to a worker.
-struct Order {
+struct CommandBatch {
   MachineId machine;
   std::string address;
   FencingToken fencing_token;
@@ -130,11 +130,11 @@
   WorkerReply handle_heartbeat(const Heartbeat& heartbeat, Time now);
   // Claims, by way of the store, for when the leader is out of reach.
   std::optional<Transaction> propose_ownership_claims(Time now);
-  void handle_order_reply(const MachineId& machine, const std::optional<Heartbeat>& heartbeat,
-                          Time now);
+  void handle_command_reply(const MachineId& machine, const std::optional<Heartbeat>& heartbeat,
+                            Time now);
   // A direct order was not answered: until the machine reports again, what it is to do goes with
   // the answer to its report. With dozens of dead machines, waiting for each held up all orders.
-  void order_lost(const MachineId& machine);
+  void commands_lost(const MachineId& machine);
   void mark_released(const std::vector<MachineId>& machines, Time now);
   void cordon_idle(const std::vector<MachineId>& machines);
   void drain(const std::vector<MachineId>& machines);
@@ -146,7 +146,7 @@
   // moment yet, must not be used to start the job's tasks.
   void notify_cancelled(const JobId& id) { cache_.notify_cancelled(id); }
   // May the order still go out? Takes out the starts of what was cancelled since it was made.
-  bool still_due(Order& order, Time now) const;
+  bool drop_stale_commands(CommandBatch& order, Time now) const;
 
   // --- rounds
   void add_offers(const protocol::Offers& offers, Time now);
@@ -158,9 +158,9 @@
   std::map<MemberId, protocol::Offers> route(Time now);
   RoundPlan plan(Time now, WriteBudget write_budget);
   // The plan was committed at this version: the starts to send at once.
-  std::vector<Order> committed(const RoundPlan& plan, Version version, Time now);
+  std::vector<CommandBatch> committed(const RoundPlan& plan, Version version, Time now);
   // Stops for tasks that are to go, to be sent at once rather than with the next report's answer.
-  std::vector<Order> stops(Time now);
+  std::vector<CommandBatch> stops(Time now);
   std::optional<Transaction> finalize_one_job(Time now);
   // Divides the chunks of a job that no value of the store holds any more.
   std::optional<Transaction> split_one_record(Time now);
--- a/src/coordination/rounds.cpp
+++ b/src/coordination/rounds.cpp
@@ -334,8 +334,8 @@
   preempt(left, now);
 }
 
-std::vector<Order> Controller::committed(const RoundPlan& plan, Version version, Time now) {
-  std::vector<Order> orders;
+std::vector<CommandBatch> Controller::committed(const RoundPlan& plan, Version version, Time now) {
+  std::vector<CommandBatch> orders;
   for (const RoundPlan::Completion& end : plan.completions) {
     if (end.done) learn_run_time(end);  // a job that is over leaves with the record of its last end
   }
@@ -352,14 +352,14 @@
       failures_.record_failure(end.task.job, end.machine, run_before_end(end), now);
     }
   }
-  std::map<MachineId, Order> by_machine;
+  std::map<MachineId, CommandBatch> by_machine;
   for (const RoundPlan::Start& s : plan.starts) {
     const auto at = machines_.find(s.assignment.machine);
     if (at == machines_.end() ||
         at->second.last_heartbeat.agent_incarnation != s.assignment.agent_incarnation)
       continue;
     Machine& m = at->second;
-    Order& o = by_machine[s.assignment.machine];
+    CommandBatch& o = by_machine[s.assignment.machine];
     o.machine = s.assignment.machine;
     o.address = m.last_heartbeat.address;
     o.fencing_token = m.fencing_token;
@@ -377,19 +377,20 @@
     // one, no copy of this order, however late, is carried out.
     m.fencing_token = FencingToken(m.fencing_token.get() + 1);
     m.fence_floor = m.fencing_token;
-    if (!m.order_lost) orders.push_back(std::move(o));
+    if (!m.commands_lost) orders.push_back(std::move(o));
   }
   return orders;
 }
 
-std::vector<Order> Controller::stops(Time now) {
-  std::vector<Order> orders;
+std::vector<CommandBatch> Controller::stops(Time now) {
+  std::vector<CommandBatch> orders;
   if (!has_authority(now)) return orders;
   std::erase_if(stop_sent_,
                 [&](const auto& s) { return base::between(s.second, now) > kStopRepeat; });
   for (const auto& [id, m] : machines_) {
-    if (!capacity(m).stops || m.order_lost || !is_schedulable(m, now)) continue;
-    Order o{id, m.last_heartbeat.address, m.fencing_token, m.last_heartbeat.agent_incarnation, {}};
+    if (!capacity(m).stops || m.commands_lost || !is_schedulable(m, now)) continue;
+    CommandBatch o{
+        id, m.last_heartbeat.address, m.fencing_token, m.last_heartbeat.agent_incarnation, {}};
     for (const Command& c : stops_for(m)) {
       if (stop_sent_.try_emplace({c.task, c.attempt.get()}, now).second) {
         o.commands.push_back(c);
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -582,7 +582,7 @@
     }
     const auto plan = locked([&](auto& c) { return c.plan(now(), write_budget); });
     deciding_ = deciding_ * 0.7 + base::between(began, now()) * 0.3;
-    std::vector<coordination::Order> orders;
+    std::vector<coordination::CommandBatch> orders;
     const bool went = !plan.empty() && commit_plan(plan, orders);
     auto stops = locked([](auto& c) { return c.stops(now()); });
     std::move(stops.begin(), stops.end(), std::back_inserter(orders));
@@ -632,7 +632,7 @@
 }
 
 bool Node::commit_plan(const coordination::RoundPlan& plan,
-                       std::vector<coordination::Order>& orders) {
+                       std::vector<coordination::CommandBatch>& orders) {
   const auto done = state_.commit(plan.txn, kStateCall);
   spend_writes(plan.txn.writes.size());
   switch (done.outcome) {
@@ -658,7 +658,7 @@
   }
 }
 
-void Node::enqueue(std::vector<coordination::Order> orders) {
+void Node::enqueue(std::vector<coordination::CommandBatch> orders) {
   if (orders.empty()) return;
   {
     const std::lock_guard lock(orders_mutex_);
@@ -672,22 +672,22 @@
 
 void Node::send_orders_loop() {
   for (;;) {
-    coordination::Order o;
+    coordination::CommandBatch o;
     {
       std::unique_lock lock(orders_mutex_);
       orders_ready_.wait(lock, [this] { return !orders_.empty(); });
       o = std::move(orders_.front());
       orders_.pop_front();
     }
-    if (!locked([&](auto& c) { return c.still_due(o, now()); })) continue;
+    if (!locked([&](auto& c) { return c.drop_stale_commands(o, now()); })) continue;
     const auto a =
         workers_.order(o.address, o.fencing_token, o.agent_incarnation, o.commands, kOrderCall);
     if (a.sent != transport::Sent::kYes) {
       spdlog::info("order to {} was not answered", o.machine.get());
-      locked([&](auto& c) { c.order_lost(o.machine); });
+      locked([&](auto& c) { c.commands_lost(o.machine); });
       continue;
     }
-    locked([&](auto& c) { c.handle_order_reply(o.machine, a.heartbeat, now()); });
+    locked([&](auto& c) { c.handle_command_reply(o.machine, a.heartbeat, now()); });
   }
 }
 
--- a/src/node.h
+++ b/src/node.h
@@ -78,12 +78,13 @@
   bool load();
   void round_loop();
   void one_round();
-  bool commit_plan(const coordination::RoundPlan& plan, std::vector<coordination::Order>& orders);
+  bool commit_plan(const coordination::RoundPlan& plan,
+                   std::vector<coordination::CommandBatch>& orders);
   bool commit(const protocol::Transaction& txn, Seconds timeout);
   void refresh(const std::vector<std::string>& keys);
   void read_unresolved_dependencies();
   void send_orders_loop();
-  void enqueue(std::vector<coordination::Order> orders);
+  void enqueue(std::vector<coordination::CommandBatch> orders);
   void scale_loop();
   // A request for machines, under a name of its own.
   struct Rental {
@@ -138,7 +139,7 @@
 
   std::mutex orders_mutex_;
   std::condition_variable orders_ready_;
-  std::deque<coordination::Order> orders_;
+  std::deque<coordination::CommandBatch> orders_;
 
   std::uint64_t jobs_unblocked_ = 0;  // as counted by the ledger after the last round
   Seconds deciding_{0};               // how long a round's decisions take, on average
--- a/tests/world.h
+++ b/tests/world.h
@@ -96,7 +96,7 @@
   struct Late {
     double at;
     std::string machine;
-    coordination::Order order;
+    coordination::CommandBatch order;
     std::size_t from;
   };
   struct LateHeartbeat {
@@ -139,7 +139,7 @@
   ScenarioTrace trace_;
   void trace_commit(std::size_t node, const protocol::Transaction& txn,
                     const protocol::StateClient::Committed& done);
-  void trace_order(std::size_t node, const coordination::Order& order);
+  void trace_order(std::size_t node, const coordination::CommandBatch& order);
   Time now() const;
 
   // the stand-ins
@@ -161,7 +161,7 @@
   void execute(Worker& w, const std::vector<Command>& commands);
   protocol::Heartbeat heartbeat_of(Worker& w);
   void heartbeat(Worker& w);
-  void deliver(const coordination::Order& order, std::size_t from);
+  void deliver(const coordination::CommandBatch& order, std::size_t from);
   void end_agent_incarnation(Worker& w);
   Worker& add_worker(const std::string& id, const std::string& type, const std::string& zone,
                      bool spot, double boots);
--- a/tests/world_controllers.cpp
+++ b/tests/world_controllers.cpp
@@ -171,7 +171,7 @@
   }
 }
 
-void SimulatedCluster::trace_order(std::size_t node, const coordination::Order& order) {
+void SimulatedCluster::trace_order(std::size_t node, const coordination::CommandBatch& order) {
   if (!trace_.is_open()) return;
   trace_.write(t_, "order", node_name(node), order.machine.get(),
                protocol::orders(order.fencing_token, order.agent_incarnation, order.commands));
@@ -182,7 +182,7 @@
   auto& c = *node.controller;
   node.round_due = false;
   node.next_round = t_ + node.settings.tuning.round_period.count();
-  const auto send = [&](const std::vector<coordination::Order>& orders) {
+  const auto send = [&](const std::vector<coordination::CommandBatch>& orders) {
     for (const auto& o : orders) {
       trace_order(n, o);
       for (const Command& command : o.commands) {
--- a/tests/world_workers.cpp
+++ b/tests/world_workers.cpp
@@ -150,7 +150,7 @@
   if (!commands.empty()) w.next_heartbeat = std::min(w.next_heartbeat, t_ + 0.5);
 }
 
-void SimulatedCluster::deliver(const coordination::Order& order, std::size_t from) {
+void SimulatedCluster::deliver(const coordination::CommandBatch& order, std::size_t from) {
   const auto at = workers_.find(order.machine.get());
   if (at == workers_.end() || !at->second.alive || at->second.hung || t_ < at->second.boots) return;
   Worker& w = at->second;
@@ -161,7 +161,8 @@
     execute(w, order.commands);
   }
   const auto heartbeat = heartbeat_of(w);
-  if (nodes_[from].up) nodes_[from].controller->handle_order_reply(order.machine, heartbeat, now());
+  if (nodes_[from].up)
+    nodes_[from].controller->handle_command_reply(order.machine, heartbeat, now());
 }
 
 void SimulatedCluster::step_workers() {
