--- a/bench/versions/records_tool.cpp
+++ b/bench/versions/records_tool.cpp
@@ -7,9 +7,9 @@
 #include <iostream>
 #include <string>
 
-#include "bookkeeping/ledger.h"
-#include "coordination/intake.h"
+#include "coordination/records/admission.h"
 #include "protocol/records.h"
+#include "storage/state_cache.h"
 
 namespace {
 
@@ -143,7 +143,7 @@
   }
 }
 
-void print_jobs(const bookkeeping::StateCache& cache) {
+void print_jobs(const storage::StateCache& cache) {
   for (const auto& [id, job] : cache.jobs()) {
     const auto& spec = job.record.spec;
     std::cout << "job " << id.get() << " class " << spec.job_class << " tasks " << spec.tasks
@@ -164,7 +164,7 @@
 void read() {
   std::cout.precision(12);
   base::Settings settings;
-  bookkeeping::StateCache cache(settings);
+  storage::StateCache cache(settings);
   std::uint64_t version = 0;
   for (std::string line; std::getline(std::cin, line);) {
     const auto tab = line.find('\t');
--- a/src/users.cpp
+++ b/src/api/user_api.cpp
@@ -1,9 +1,9 @@
-#include "users.h"
+#include "api/user_api.h"
 
 #include <algorithm>
 
 #include "base/log.h"
-#include "coordination/intake.h"
+#include "coordination/records/admission.h"
 
 namespace saddleslip {
 
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-Users::Known Users::look_up(const JobId& id, Reply& reply) {
+UserApi::Known UserApi::look_up(const JobId& id, Reply& reply) {
   const auto known_here = [&](coordination::Controller& c) -> std::optional<Reply> {
     if (const auto f = c.cache().final_state(id)) return known_final(id, f->status);
     const auto* job = c.cache().job(id);
@@ -75,7 +75,7 @@
   return Known::kCantTell;
 }
 
-Users::Known Users::read_final(const JobId& id) {
+UserApi::Known UserApi::read_final(const JobId& id) {
   const auto over = store_.get(protocol::final_key(id));
   if (!over.answered) return Known::kCantTell;
   if (over.item.version.get() == 0) return Known::kNo;
@@ -85,7 +85,7 @@
   return Known::kYes;
 }
 
-Users::DependencyLookup Users::look_up_dependencies(const protocol::JobSpec& spec) {
+UserApi::DependencyLookup UserApi::look_up_dependencies(const protocol::JobSpec& spec) {
   // What is known here was accepted; of the rest only the store can say that it never was.
   const auto not_known = [&](coordination::Controller& c) {
     std::vector<JobId> ids;
@@ -115,7 +115,7 @@
   });
 }
 
-Reply Users::submit(const std::string& body, Time now) {
+Reply UserApi::submit(const std::string& body, Time now) {
   const auto parsed = protocol::parse_submission(body);
   Reply reply;
   if (const auto* why = std::get_if<std::string>(&parsed)) {
@@ -164,7 +164,7 @@
 }
 
 // What it needs is written first, then the record that makes it accepted.
-std::optional<Version> Users::write_dependency_lists(const protocol::JobRecord& record) {
+std::optional<Version> UserApi::write_dependency_lists(const protocol::JobRecord& record) {
   const std::string key = protocol::dependency_lists_key(record.spec.id);
   const auto before = store_.get(key);
   if (!before.answered) return {};
@@ -184,7 +184,7 @@
   return version;
 }
 
-Reply Users::accept(const protocol::JobRecord& record, Time now) {
+Reply UserApi::accept(const protocol::JobRecord& record, Time now) {
   const protocol::JobSpec& spec = record.spec;
   Version lists;
   if (record.dependency_lists) {
@@ -216,7 +216,7 @@
   }
 }
 
-Reply Users::status(const JobId& id) {
+Reply UserApi::status(const JobId& id) {
   Reply reply;
   switch (look_up(id, reply)) {
     case Known::kYes:
@@ -228,7 +228,7 @@
   }
 }
 
-Reply Users::cancel(const JobId& id, Time now) {
+Reply UserApi::cancel(const JobId& id, Time now) {
   for (int i = 0; i < 3; ++i) {
     if (const auto f = locked([&](auto& c) { return c.cache().final_state(id); })) {
       return known_final(id, f->status);
--- a/src/users.h
+++ b/src/api/user_api.h
@@ -12,7 +12,7 @@
 
 namespace saddleslip {
 
-class Users {
+class UserApi {
  public:
   struct Store {
     // Brings the local copy up to the store's state at a moment after the call; false: could not.
@@ -25,8 +25,8 @@
     // at once, since one of them may hear nothing from the state service.
     std::function<void(const base::JobId& id)> cancelled;
   };
-  Users(const base::Settings& settings, std::mutex& mutex, coordination::Controller& controller,
-        Store store)
+  UserApi(const base::Settings& settings, std::mutex& mutex, coordination::Controller& controller,
+          Store store)
       : settings_(settings), mutex_(mutex), controller_(controller), store_(std::move(store)) {}
 
   transport::Reply submit(const std::string& body, base::Time now);
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -545,8 +545,8 @@
   return base::between(m.last_heartbeat_at, now) < settings_.heartbeat_interval * 2.5;
 }
 
-const bookkeeping::MachineCapacity& Controller::capacity(const Machine& m) const {
-  bookkeeping::MachineCapacity& o = m.capacity;
+const storage::MachineCapacity& Controller::capacity(const Machine& m) const {
+  storage::MachineCapacity& o = m.capacity;
   const bool same = o.known && o.agent_incarnation == m.last_heartbeat.agent_incarnation &&
                     o.sequence == m.last_heartbeat.sequence && o.evicted == m.evict.size();
   if (same && o.checked == cache_.last_stamp()) return o;
@@ -608,7 +608,7 @@
 // What is told of a machine is made anew only when something it is made of has changed: at hundreds
 // of machines, copying all of it in each round and for each sibling took most of the processor.
 void Controller::update_status(Machine& m, Time now) {
-  const bookkeeping::MachineCapacity& o = capacity(m);
+  const storage::MachineCapacity& o = capacity(m);
   MachineStatus& r = m.status;
   const bool silent = !is_schedulable(m, now);
   const bool soon =
@@ -621,8 +621,8 @@
   const bool is_new = m.status_changed_at == 0;
   // A report later than any that is well: no reason yet to leave the machine alone, but with its
   // knocks elsewhere a sign that it can't reach this node.
-  const bool late = base::between(m.last_heartbeat_at, now) >
-                    settings_.heartbeat_interval * bookkeeping::kOverdue;
+  const bool late =
+      base::between(m.last_heartbeat_at, now) > settings_.heartbeat_interval * storage::kOverdue;
   if (!is_new && r.silent == silent && r.late == late && r.soon == soon && r.unsure == unsure &&
       r.open == open && r.idle_since == idle && r.tasks == o.assigned && r.free == o.free &&
       r.preemptible == o.preemptible &&
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -10,15 +10,15 @@
 #include <unordered_map>
 #include <vector>
 
-#include "bookkeeping/ledger.h"
-#include "bookkeeping/machines.h"
-#include "coordination/boot_tracker.h"
-#include "coordination/failure_tracker.h"
-#include "coordination/fleet.h"
-#include "coordination/job_priorities.h"
-#include "coordination/packing.h"
-#include "coordination/record_batch.h"
-#include "coordination/view.h"
+#include "coordination/fleet/boot_tracker.h"
+#include "coordination/fleet/scaling_plan.h"
+#include "coordination/membership/view.h"
+#include "coordination/scheduling/failure_tracker.h"
+#include "coordination/scheduling/job_priorities.h"
+#include "coordination/scheduling/packing.h"
+#include "coordination/scheduling/record_batch.h"
+#include "storage/machine.h"
+#include "storage/state_cache.h"
 
 namespace saddleslip::coordination {
 
@@ -26,15 +26,15 @@
 using base::TaskId;
 using base::TaskNo;
 using base::Version;
-using bookkeeping::Job;
-using bookkeeping::Machine;
-using bookkeeping::StateCache;
 using protocol::Command;
 using protocol::Heartbeat;
 using protocol::Item;
 using protocol::JobId;
 using protocol::MemberStatus;
 using protocol::Transaction;
+using storage::Job;
+using storage::Machine;
+using storage::StateCache;
 
 // A sibling that was not reached for this long counts as cut off.
 inline constexpr Seconds kReachable{4.0};
@@ -220,7 +220,7 @@
   void record_heartbeat(const Heartbeat& heartbeat, Time now, bool renews_lease);
   std::vector<Command> reconcile(const Machine& m) const;
   std::vector<Command> stops_for(const Machine& m) const;
-  const bookkeeping::MachineCapacity& capacity(const Machine& m) const;
+  const storage::MachineCapacity& capacity(const Machine& m) const;
   Resources being_stopped(const Machine& m) const;
   void update_status(Machine& m, Time now);
   std::vector<MachineId> release_requests() const;
--- a/src/coordination/boot_tracker.cpp
+++ b/src/coordination/fleet/boot_tracker.cpp
@@ -1,4 +1,4 @@
-#include "coordination/boot_tracker.h"
+#include "coordination/fleet/boot_tracker.h"
 
 #include <algorithm>
 
--- a/src/coordination/boot_tracker.h
+++ b/src/coordination/fleet/boot_tracker.h
@@ -12,7 +12,7 @@
 #include <map>
 
 #include "base/clock.h"
-#include "coordination/fleet.h"
+#include "coordination/fleet/scaling_plan.h"
 
 namespace saddleslip::coordination {
 
--- a/src/coordination/fleet.cpp
+++ b/src/coordination/fleet/scaling_plan.cpp
@@ -1,10 +1,10 @@
-#include "coordination/fleet.h"
+#include "coordination/fleet/scaling_plan.h"
 
 #include <algorithm>
 #include <cmath>
 #include <set>
 
-#include "coordination/packing.h"
+#include "coordination/scheduling/packing.h"
 
 namespace saddleslip::coordination {
 
--- a/src/coordination/fleet.h
+++ b/src/coordination/fleet/scaling_plan.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "bookkeeping/ledger.h"
+#include "storage/state_cache.h"
 
 namespace saddleslip::coordination {
 
--- a/src/coordination/view.cpp
+++ b/src/coordination/membership/view.cpp
@@ -1,4 +1,4 @@
-#include "coordination/view.h"
+#include "coordination/membership/view.h"
 
 #include <algorithm>
 
--- a/src/coordination/view.h
+++ b/src/coordination/membership/view.h
@@ -6,7 +6,7 @@
 #include <set>
 #include <string>
 
-#include "bookkeeping/ledger.h"
+#include "storage/state_cache.h"
 
 namespace saddleslip::coordination {
 
--- a/src/coordination/intake.cpp
+++ b/src/coordination/records/admission.cpp
@@ -1,8 +1,8 @@
-#include "coordination/intake.h"
+#include "coordination/records/admission.h"
 
 #include <algorithm>
 
-#include "coordination/fleet.h"
+#include "coordination/fleet/scaling_plan.h"
 
 namespace saddleslip::coordination {
 
@@ -96,13 +96,13 @@
   return txn;
 }
 
-bool may_finalize(const bookkeeping::Job& job) {
+bool may_finalize(const storage::Job& job) {
   // A cancelled job stays until nothing of it is on a machine: its tasks count for the team.
   if (job.assigned > 0) return false;
   return job.cancelled_on_record() || job.done == job.record.spec.tasks;
 }
 
-std::optional<Transaction> split_chunks(const bookkeeping::Job& job, protocol::Version view,
+std::optional<Transaction> split_chunks(const storage::Job& job, protocol::Version view,
                                         const base::Settings& settings) {
   const protocol::JobRecord& record = job.record;
   const TaskNo fit = protocol::chunk_size(record.chunk, 1, settings.value_bytes);
@@ -117,7 +117,7 @@
   return txn;
 }
 
-std::optional<Transaction> finalize(const bookkeeping::Job& job, std::size_t txn_ops,
+std::optional<Transaction> finalize(const storage::Job& job, std::size_t txn_ops,
                                     double time_of_day) {
   if (!may_finalize(job)) return {};
   Transaction txn;
@@ -126,7 +126,7 @@
   return txn;
 }
 
-void add_finalization(Transaction& txn, const bookkeeping::Job& job, double time_of_day) {
+void add_finalization(Transaction& txn, const storage::Job& job, double time_of_day) {
   const auto& spec = job.record.spec;
   // A cancellation between the last end and here wins: users were told so.
   txn.preconditions[protocol::job_key(spec.id)] = job.version;
@@ -144,7 +144,7 @@
 // The records themselves go later, as orphans, when there are writes to spare: under load a third of all
 // writes were these. What is read here must hold still; what the conditions have no room for does so
 // anyway, since a task that is done stays done, and nothing starts but under the job's version.
-void guard_task_records(Transaction& txn, const bookkeeping::Job& job, std::size_t txn_ops) {
+void guard_task_records(Transaction& txn, const storage::Job& job, std::size_t txn_ops) {
   for (std::size_t c = 0; c < job.chunks.size(); ++c) {
     if (txn.preconditions.size() >= txn_ops * protocol::kPreconditionsPerWrite) return;
     if (job.chunks[c].version.get() == 0) continue;
--- a/src/coordination/upkeep.cpp
+++ b/src/coordination/records/maintenance.cpp
@@ -4,7 +4,7 @@
 
 #include "base/log.h"
 #include "coordination/controller.h"
-#include "coordination/intake.h"
+#include "coordination/records/admission.h"
 
 namespace saddleslip::coordination {
 
@@ -136,7 +136,7 @@
         base::between(std::max(*m.half_open_since, listening_since()), now) > unanswered;
     if (silent || is_half_open) silent_machines.insert(id);
     if (silent || is_half_open ||
-        base::between(heard, now) > settings_.heartbeat_interval * bookkeeping::kOverdue)
+        base::between(heard, now) > settings_.heartbeat_interval * storage::kOverdue)
       ++late;
   }
   for (const MachineId& id : unheard_owned(now)) {
--- a/src/coordination/failure_tracker.cpp
+++ b/src/coordination/scheduling/failure_tracker.cpp
@@ -1,4 +1,4 @@
-#include "coordination/failure_tracker.h"
+#include "coordination/scheduling/failure_tracker.h"
 
 #include <algorithm>
 
--- a/src/coordination/job_priorities.cpp
+++ b/src/coordination/scheduling/job_priorities.cpp
@@ -1,4 +1,4 @@
-#include "coordination/job_priorities.h"
+#include "coordination/scheduling/job_priorities.h"
 
 #include <algorithm>
 
@@ -6,9 +6,9 @@
 
 using base::Seconds;
 using base::Time;
-using bookkeeping::Job;
 using protocol::Rank;
 using protocol::Resources;
+using storage::Job;
 
 namespace {
 
--- a/src/coordination/packing.cpp
+++ b/src/coordination/scheduling/packing.cpp
@@ -1,4 +1,4 @@
-#include "coordination/packing.h"
+#include "coordination/scheduling/packing.h"
 
 #include <algorithm>
 #include <map>
--- a/src/coordination/record_batch.cpp
+++ b/src/coordination/scheduling/record_batch.cpp
@@ -1,6 +1,6 @@
-#include "coordination/record_batch.h"
+#include "coordination/scheduling/record_batch.h"
 
-#include "coordination/intake.h"
+#include "coordination/records/admission.h"
 
 namespace saddleslip::coordination {
 
@@ -9,9 +9,9 @@
 using base::TaskId;
 using base::TaskNo;
 using base::Version;
-using bookkeeping::Job;
 using protocol::Assignment;
 using protocol::Transaction;
+using storage::Job;
 
 namespace {
 
--- a/src/coordination/record_batch.h
+++ b/src/coordination/scheduling/record_batch.h
@@ -8,20 +8,20 @@
 #include <set>
 #include <string>
 
-#include "bookkeeping/ledger.h"
+#include "storage/state_cache.h"
 
 namespace saddleslip::coordination {
 
 class RecordBatch {
  public:
-  RecordBatch(const base::Settings& settings, const bookkeeping::StateCache& cache)
+  RecordBatch(const base::Settings& settings, const storage::StateCache& cache)
       : settings_(settings), cache_(cache) {}
 
   // The state of a task with what this batch changes.
-  bool is_assigned(const bookkeeping::Job& job, base::TaskNo no) const;
-  bool is_done(const bookkeeping::Job& job, base::TaskNo no) const;
+  bool is_assigned(const storage::Job& job, base::TaskNo no) const;
+  bool is_done(const storage::Job& job, base::TaskNo no) const;
   // Does the batch write the record of this task already?
-  bool writes_record_of(const bookkeeping::Job& job, base::TaskNo no) const;
+  bool writes_record_of(const storage::Job& job, base::TaskNo no) const;
 
   struct TaskCompletion {
     base::TaskNo no = 0;
@@ -29,7 +29,7 @@
   };
   // Would the record of these tasks fit into a value of the store, once these ends are put on it? One that
   // was written under a larger limit may have to wait for more ends.
-  bool fits_with_completions(const bookkeeping::Job& job, std::uint32_t chunk,
+  bool fits_with_completions(const storage::Job& job, std::uint32_t chunk,
                              const std::vector<TaskCompletion>& completions) const;
 
   // A task is over, completed or to be started again. False: the transaction has no room for it.
@@ -52,23 +52,23 @@
     auto operator<=>(const ChunkId&) const = default;
   };
   struct Edit {
-    const bookkeeping::Job* job = nullptr;
+    const storage::Job* job = nullptr;
     protocol::ChunkRecord record;
     bool has_starts = false;
   };
 
-  const Edit* find(const bookkeeping::Job& job, base::TaskNo no) const;
-  Edit* edit(const bookkeeping::Job& job, base::TaskNo no);
+  const Edit* find(const storage::Job& job, base::TaskNo no) const;
+  Edit* edit(const storage::Job& job, base::TaskNo no);
   std::size_t writes() const { return edits_.size() + teams_.size() + serialized_.size(); }
-  bool has_room_for_start(const bookkeeping::Job& job, base::TaskNo no,
+  bool has_room_for_start(const storage::Job& job, base::TaskNo no,
                           const protocol::Assignment& assignment) const;
   std::set<base::JobId> finalized_jobs() const;
-  static void guard_whole_chunk(protocol::Transaction& txn, const bookkeeping::Job& job,
+  static void guard_whole_chunk(protocol::Transaction& txn, const storage::Job& job,
                                 std::uint32_t piece);
   void add_rows(protocol::Transaction& txn, const protocol::ControllerIncarnation& self) const;
 
   const base::Settings& settings_;
-  const bookkeeping::StateCache& cache_;
+  const storage::StateCache& cache_;
   std::map<ChunkId, Edit> edits_;
   std::set<std::string> teams_;       // keys of the rows of teams with a limit that start tasks
   std::set<std::string> serialized_;  // ... of jobs whose starts stand in a row
--- a/src/node.cpp
+++ b/src/daemon/daemon.cpp
@@ -1,4 +1,4 @@
-#include "node.h"
+#include "daemon/daemon.h"
 
 #include <algorithm>
 
@@ -51,7 +51,7 @@
 
 }  // namespace
 
-void Node::WakeupEvent::notify() {
+void Daemon::WakeupEvent::notify() {
   {
     const std::lock_guard lock(mutex_);
     if (is_set_) return;
@@ -60,14 +60,14 @@
   is_set_condition_.notify_one();
 }
 
-bool Node::WakeupEvent::wait(Seconds most) {
+bool Daemon::WakeupEvent::wait(Seconds most) {
   std::unique_lock lock(mutex_);
   const bool is_set = is_set_condition_.wait_for(lock, most, [this] { return is_set_; });
   is_set_ = false;
   return is_set;
 }
 
-Node::Node(base::Settings settings)
+Daemon::Daemon(base::Settings settings)
     : settings_(std::move(settings)),
       state_(settings_.state, settings_.memory_bytes / kChangesShare),
       users_store_(settings_.state),
@@ -85,9 +85,9 @@
   }
 }
 
-Node::~Node() = default;
+Daemon::~Daemon() = default;
 
-void Node::start() {
+void Daemon::start() {
   const int most = settings_.tuning.max_connections > 0 ? settings_.tuning.max_connections
                                                         : settings_.sockets * 3 / 4;
   // An eighth is kept for users and the load balancer's probes when all workers come to one node.
@@ -111,13 +111,13 @@
                settings_.peer_listen.str());
 }
 
-void Node::wait() {
+void Daemon::wait() {
   for (auto& t : threads_) t.join();
 }
 
 // --- users and workers
 
-Node::Reply Node::serve(const Request& req) {
+Daemon::Reply Daemon::serve(const Request& req) {
   if (req.path == "/hello") {
     return req.method == "POST" ? handle_heartbeat(req.body) : error(405, "wrong method");
   }
@@ -128,7 +128,7 @@
   return reply;
 }
 
-Node::Reply Node::serve_user(const Request& req) {
+Daemon::Reply Daemon::serve_user(const Request& req) {
   const auto wrong_method = [] { return error(405, "wrong method"); };
   const std::string& submissions = protocol::kSubmissionsPath;
   const std::string& cancel = protocol::kCancelSuffix;
@@ -150,7 +150,7 @@
   return error(404, "no such path");
 }
 
-Node::Reply Node::ready() {
+Daemon::Reply Daemon::ready() {
   const Time t = now();
   const bool ok = loaded_ && locked([&](coordination::Controller& c) {
                     if (c.cache().catalogue().empty()) return false;
@@ -162,7 +162,7 @@
   return ok ? Reply{200, R"({"ready":true})", 0} : error(503, "not ready", 1);
 }
 
-Node::Reply Node::handle_heartbeat(const std::string& body) {
+Daemon::Reply Daemon::handle_heartbeat(const std::string& body) {
   const auto heartbeat = protocol::parse_heartbeat(body);
   if (!heartbeat) return error(400, "not a report");
   bool news = false;
@@ -183,7 +183,7 @@
 
 // --- siblings
 
-Node::Reply Node::serve_peer(const Request& req) {
+Daemon::Reply Daemon::serve_peer(const Request& req) {
   if (req.path != "/sibling" || req.method != "POST") return error(404, "no such path");
   const Json body = Json::parse(req.body, nullptr, false);
   if (!body.is_object() || !body.contains("status")) return error(400, "malformed");
@@ -214,7 +214,7 @@
 }
 
 // Best effort: that a cancelled task is gone in time rests on the end of authority and of leases.
-void Node::broadcast_cancellation(const JobId& id) {
+void Daemon::broadcast_cancellation(const JobId& id) {
   for (auto& s : peers_) {
     {
       const std::lock_guard lock(s->mutex);
@@ -225,7 +225,7 @@
   }
 }
 
-void Node::sync_peer_loop(Peer& peer) {
+void Daemon::sync_peer_loop(Peer& peer) {
   const Seconds period = settings_.tuning.round_period * 0.7;
   for (;;) {
     peer.wakeup.wait(period);
@@ -283,7 +283,7 @@
 
 // --- the state service
 
-void Node::renew_lease_loop() {
+void Daemon::renew_lease_loop() {
   const Seconds ttl = settings_.tuning.member_ttl;
   const Seconds period = ttl / 4.0, timeout = std::min(Seconds(1.0), ttl / 4.0);
   for (;;) {
@@ -363,7 +363,7 @@
   }
 }
 
-bool Node::load() {
+bool Daemon::load() {
   std::vector<protocol::Item> items;
   base::Revision from;
   bool first = true;
@@ -396,7 +396,7 @@
   return true;
 }
 
-void Node::watch_loop() {
+void Daemon::watch_loop() {
   bool ready = false;
   for (;;) {
     if (!ready) {
@@ -423,7 +423,7 @@
   }
 }
 
-bool Node::read_barrier() {
+bool Daemon::read_barrier() {
   std::unique_lock lock(barrier_mutex_);
   const std::uint64_t mine =
       barriers_begun_ + 1;  // what has begun already may miss what is asked for
@@ -457,14 +457,14 @@
   return barrier_succeeded_;
 }
 
-bool Node::catch_up(Seconds timeout) {
+bool Daemon::catch_up(Seconds timeout) {
   if (!loaded_) return false;
   const auto after = locked([](auto& c) { return c.cache().revision(); });
   const auto w = state_.changes(protocol::kAll, after, timeout);
   return w.what == StateClient::Watched::What::kEvents && take_in(w);
 }
 
-bool Node::take_in(const StateClient::Watched& w) {
+bool Daemon::take_in(const StateClient::Watched& w) {
   bool members = false, changed = false, current = false;
   locked([&](coordination::Controller& c) {
     // A copy that was begun anew meanwhile is not brought up to date by what came after the old, nor
@@ -490,7 +490,7 @@
   return true;
 }
 
-void Node::refresh(const std::vector<std::string>& keys) {
+void Daemon::refresh(const std::vector<std::string>& keys) {
   for (const std::string& key : keys) {
     if (key == protocol::kViewKey) lease_wakeup_.notify();
     // Only what stands for itself may be read ahead of the watch. The view and the rows of starts
@@ -505,7 +505,7 @@
   }
 }
 
-bool Node::commit(const Transaction& txn, Seconds timeout) {
+bool Daemon::commit(const Transaction& txn, Seconds timeout) {
   const auto done = state_.commit(txn, timeout);
   if (done.outcome == Outcome::kDone) {
     locked([&](coordination::Controller& c) { c.cache().apply(txn, done.revision, now()); });
@@ -520,18 +520,18 @@
 // This node's share of the store's write rate, with a second's worth saved up at most. Paid after the
 // commit, so that nothing is planned and then left to grow old: while in debt, only what users wait
 // for goes on, and the batch of the rest is wider for it.
-void Node::spend_writes(std::size_t n) {
+void Daemon::spend_writes(std::size_t n) {
   write_budget_ -= static_cast<double>(n);
 }
 
-double Node::write_rate() {
+double Daemon::write_rate() {
   const auto members = locked([](coordination::Controller& c) {
     return c.cache().view() ? c.cache().view()->members.size() : std::size_t{0};
   });
   return settings_.state_write_rps * 0.85 / static_cast<double>(std::max<std::size_t>(1, members));
 }
 
-coordination::WriteBudget Node::await_write_budget() {
+coordination::WriteBudget Daemon::await_write_budget() {
   const double rate = write_rate();
   const Time t = now();
   write_budget_ = std::min(rate, write_budget_ + base::between(write_budget_at_, t).count() * rate);
@@ -546,7 +546,7 @@
                                               : coordination::WriteBudget::kNormal;
 }
 
-void Node::round_loop() {
+void Daemon::round_loop() {
   for (;;) {
     round_wakeup_.wait(settings_.tuning.round_period);
     // What comes in a burst shares a round. The longer its decisions take, the fewer are made, and
@@ -557,7 +557,7 @@
   }
 }
 
-void Node::one_round() {
+void Daemon::one_round() {
   for (int i = 0; i < 6; ++i) {
     const auto write_budget = await_write_budget();
     const Time began = now();
@@ -620,7 +620,7 @@
 
 // Jobs may wait for others that were over before this copy was read: their final states are not among
 // what is read and watched from then on.
-void Node::read_unresolved_dependencies() {
+void Daemon::read_unresolved_dependencies() {
   auto ids = locked([](auto& c) { return c.cache().unresolved_dependencies(); });
   if (ids.size() > kMostFinalsRead) ids.resize(kMostFinalsRead);
   for (const JobId& id : ids) {
@@ -631,8 +631,8 @@
   }
 }
 
-bool Node::commit_plan(const coordination::RoundPlan& plan,
-                       std::vector<coordination::CommandBatch>& orders) {
+bool Daemon::commit_plan(const coordination::RoundPlan& plan,
+                         std::vector<coordination::CommandBatch>& orders) {
   const auto done = state_.commit(plan.txn, kStateCall);
   spend_writes(plan.txn.writes.size());
   switch (done.outcome) {
@@ -658,7 +658,7 @@
   }
 }
 
-void Node::enqueue(std::vector<coordination::CommandBatch> orders) {
+void Daemon::enqueue(std::vector<coordination::CommandBatch> orders) {
   if (orders.empty()) return;
   {
     const std::lock_guard lock(orders_mutex_);
@@ -670,7 +670,7 @@
   orders_ready_.notify_all();
 }
 
-void Node::send_orders_loop() {
+void Daemon::send_orders_loop() {
   for (;;) {
     coordination::CommandBatch o;
     {
--- a/src/node.h
+++ b/src/daemon/daemon.h
@@ -11,20 +11,20 @@
 #include <thread>
 #include <vector>
 
+#include "api/user_api.h"
 #include "base/settings.h"
 #include "coordination/controller.h"
 #include "protocol/clients.h"
 #include "transport/http_server.h"
-#include "users.h"
 
 namespace saddleslip {
 
-class Node {
+class Daemon {
  public:
-  explicit Node(base::Settings settings);
-  ~Node();
-  Node(const Node&) = delete;
-  Node& operator=(const Node&) = delete;
+  explicit Daemon(base::Settings settings);
+  ~Daemon();
+  Daemon(const Daemon&) = delete;
+  Daemon& operator=(const Daemon&) = delete;
 
   // Starts all threads; throws std::runtime_error when an address can't be had.
   void start();
@@ -117,7 +117,7 @@
 
   std::mutex mutex_;  // guards controller_ and lease_
   coordination::Controller controller_;
-  Users users_;
+  UserApi users_;
   std::optional<base::LeaseId> lease_;
   std::atomic<bool> loaded_{false};
   std::atomic<bool> was_ready_{false};
--- a/src/node_fleet.cpp
+++ b/src/daemon/fleet_loop.cpp
@@ -1,6 +1,6 @@
 // The loop that carries out the leader's plans at the cloud's interface.
 #include "base/log.h"
-#include "node.h"
+#include "daemon/daemon.h"
 
 namespace saddleslip {
 
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-void Node::scale_loop() {
+void Daemon::scale_loop() {
   const Seconds gap(kCallGap / settings_.cloud_rps);
   for (;;) {
     fleet_wakeup_.wait(std::max(gap, kLeastTurn));
@@ -54,7 +54,7 @@
   }
 }
 
-void Node::read_catalogue() {
+void Daemon::read_catalogue() {
   const Time began = now();
   const auto types = cloud_.catalogue();
   if (!types || types->empty()) return;
@@ -69,14 +69,14 @@
   cloud_read_.catalogue = !txn || commit(*txn, kCommitCall) ? began : Time{};
 }
 
-void Node::read_list() {
+void Daemon::read_list() {
   cloud_read_.list = now();
   if (const auto list = cloud_.list()) {
     locked([&](Controller& c) { c.listed(*list, now(), base::wall_seconds()); });
   }
 }
 
-void Node::release(std::vector<base::MachineId> machines) {
+void Daemon::release(std::vector<base::MachineId> machines) {
   if (machines.size() > kMostReleased) machines.resize(kMostReleased);
   std::string names;
   for (const auto& id : machines) names += " " + id.get();
@@ -89,7 +89,7 @@
   round_wakeup_.notify();
 }
 
-std::deque<Node::Rental> Node::rentals(const coordination::ScalingPlan& plan) {
+std::deque<Daemon::Rental> Daemon::rentals(const coordination::ScalingPlan& plan) {
   const protocol::ControllerIncarnation incarnation =
       locked([](Controller& c) { return c.self(); });
   std::deque<Rental> out;
@@ -106,7 +106,7 @@
   return out;
 }
 
-void Node::rent(const coordination::ScalingPlan& plan, Seconds gap) {
+void Daemon::rent(const coordination::ScalingPlan& plan, Seconds gap) {
   const bool was_open = open_rental_.has_value();
   bool rented = false;
   int calls = 0;
@@ -126,7 +126,7 @@
   }
 }
 
-Node::RentOutcome Node::rent_once(const Rental& r) {
+Daemon::RentOutcome Daemon::rent_once(const Rental& r) {
   using What = protocol::CloudClient::Rented::What;
   const char* spot = r.kind.spot ? " (spot)" : "";
   const auto answer = cloud_.rent(r.name, r.kind.type, r.kind.zone, r.kind.spot, r.count);
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -9,7 +9,7 @@
 
 #include "base/log.h"
 #include "base/settings.h"
-#include "node.h"
+#include "daemon/daemon.h"
 
 namespace {
 
@@ -58,7 +58,7 @@
       std::printf("the settings of %s are good\n", settings.member.get().c_str());
       return 0;
     }
-    saddleslip::Node node(std::move(settings));
+    saddleslip::Daemon node(std::move(settings));
     node.start();
     node.wait();
   } catch (const std::exception& e) {
--- a/src/bookkeeping/dependencies.cpp
+++ b/src/storage/dependency_graph.cpp
@@ -1,8 +1,8 @@
-#include "bookkeeping/dependencies.h"
+#include "storage/dependency_graph.h"
 
 #include <utility>
 
-namespace saddleslip::bookkeeping {
+namespace saddleslip::storage {
 
 namespace {
 
@@ -82,4 +82,4 @@
   return found;
 }
 
-}  // namespace saddleslip::bookkeeping
+}  // namespace saddleslip::storage
--- a/src/bookkeeping/dependencies.h
+++ b/src/storage/dependency_graph.h
@@ -8,7 +8,7 @@
 
 #include "base/ids.h"
 
-namespace saddleslip::bookkeeping {
+namespace saddleslip::storage {
 
 using base::JobId;
 
@@ -42,4 +42,4 @@
   Edges dependents_of_;    // the same edges, by the job at their other end
 };
 
-}  // namespace saddleslip::bookkeeping
+}  // namespace saddleslip::storage
--- a/src/bookkeeping/machines.h
+++ b/src/storage/machine.h
@@ -9,9 +9,9 @@
 #include <utility>
 #include <vector>
 
-#include "bookkeeping/ledger.h"
+#include "storage/state_cache.h"
 
-namespace saddleslip::bookkeeping {
+namespace saddleslip::storage {
 
 using base::AgentIncarnation;
 using base::FencingToken;
@@ -100,4 +100,4 @@
   bool is_half_open() const { return unacknowledged_replies >= 2; }
 };
 
-}  // namespace saddleslip::bookkeeping
+}  // namespace saddleslip::storage
--- a/src/bookkeeping/ledger.cpp
+++ b/src/storage/state_cache.cpp
@@ -1,10 +1,10 @@
-#include "bookkeeping/ledger.h"
+#include "storage/state_cache.h"
 
 #include <algorithm>
 
 #include "base/log.h"
 
-namespace saddleslip::bookkeeping {
+namespace saddleslip::storage {
 
 namespace {
 
@@ -454,4 +454,4 @@
   return nullptr;
 }
 
-}  // namespace saddleslip::bookkeeping
+}  // namespace saddleslip::storage
--- a/src/bookkeeping/ledger.h
+++ b/src/storage/state_cache.h
@@ -11,10 +11,10 @@
 #include <vector>
 
 #include "base/settings.h"
-#include "bookkeeping/dependencies.h"
 #include "protocol/records.h"
+#include "storage/dependency_graph.h"
 
-namespace saddleslip::bookkeeping {
+namespace saddleslip::storage {
 
 using base::Attempt;
 using base::JobId;
@@ -201,4 +201,4 @@
   Revision revision_;
 };
 
-}  // namespace saddleslip::bookkeeping
+}  // namespace saddleslip::storage
--- a/tests/boot_tracker_test.cpp
+++ b/tests/boot_tracker_test.cpp
@@ -1,5 +1,5 @@
 // Whether a machine that is late can still be counted on.
-#include "coordination/boot_tracker.h"
+#include "coordination/fleet/boot_tracker.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/dependencies_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -1,10 +1,10 @@
-#include "bookkeeping/dependencies.h"
+#include "storage/dependency_graph.h"
 
 #include <gtest/gtest.h>
 
 #include <algorithm>
 
-namespace saddleslip::bookkeeping {
+namespace saddleslip::storage {
 
 namespace {
 
@@ -50,4 +50,4 @@
   EXPECT_EQ(d.all_dependents(job(0)).size(), kLength - 1);
 }
 
-}  // namespace saddleslip::bookkeeping
+}  // namespace saddleslip::storage
--- a/tests/failure_tracker_test.cpp
+++ b/tests/failure_tracker_test.cpp
@@ -1,5 +1,5 @@
 // Which machine, or which job, is to blame for failed tasks.
-#include "coordination/failure_tracker.h"
+#include "coordination/scheduling/failure_tracker.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/job_priorities_test.cpp
+++ b/tests/job_priorities_test.cpp
@@ -1,5 +1,5 @@
 // What jobs take over from those that need them.
-#include "coordination/job_priorities.h"
+#include "coordination/scheduling/job_priorities.h"
 
 #include <gtest/gtest.h>
 
@@ -40,10 +40,10 @@
     cache_.apply({protocol::job_key(id), to_json(record), base::Version(++revision_)}, now_);
     priorities_.update(now_);
   }
-  const bookkeeping::Job& job(const JobId& id) const { return *cache_.job(id); }
+  const storage::Job& job(const JobId& id) const { return *cache_.job(id); }
 
   base::Settings settings_;
-  bookkeeping::StateCache cache_;
+  storage::StateCache cache_;
   JobPriorities priorities_;
   Time now_ = base::after(Time{}, Seconds(50));
   std::uint64_t revision_ = 0;
--- a/tests/packing_test.cpp
+++ b/tests/packing_test.cpp
@@ -1,4 +1,4 @@
-#include "coordination/packing.h"
+#include "coordination/scheduling/packing.h"
 
 #include <gtest/gtest.h>
 
@@ -6,7 +6,7 @@
 #include <optional>
 #include <random>
 
-#include "coordination/fleet.h"
+#include "coordination/fleet/scaling_plan.h"
 
 namespace saddleslip::coordination {
 
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -7,7 +7,7 @@
 #include <sstream>
 
 #include "base/log.h"
-#include "world.h"
+#include "simulation/simulated_cluster.h"
 
 namespace saddleslip::testing {
 
--- a/tests/world_test.cpp
+++ b/tests/simulated_cluster_test.cpp
@@ -1,6 +1,6 @@
 // The operators' checks of a whole day, each seen to fail on a day that breaks it: a check of the
 // scenario runner that never fails would show nothing.
-#include "world.h"
+#include "simulation/simulated_cluster.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/world_checks.cpp
+++ b/tests/simulation/checks.cpp
@@ -2,9 +2,9 @@
 #include <algorithm>
 #include <sstream>
 
-#include "coordination/intake.h"
-#include "world.h"
-#include "world_internal.h"
+#include "coordination/records/admission.h"
+#include "simulation/simulated_cluster.h"
+#include "simulation/simulation_internal.h"
 
 namespace saddleslip::testing {
 
--- a/tests/world_commands.cpp
+++ b/tests/simulation/commands.cpp
@@ -2,9 +2,9 @@
 #include <algorithm>
 #include <sstream>
 
-#include "command_line.h"
-#include "world.h"
-#include "world_internal.h"
+#include "simulation/command_line.h"
+#include "simulation/simulated_cluster.h"
+#include "simulation/simulation_internal.h"
 
 namespace saddleslip::testing {
 
--- a/tests/world_controllers.cpp
+++ b/tests/simulation/controllers.cpp
@@ -2,8 +2,8 @@
 #include <algorithm>
 
 #include "protocol/id_lists.h"
-#include "world.h"
-#include "world_internal.h"
+#include "simulation/simulated_cluster.h"
+#include "simulation/simulation_internal.h"
 
 namespace saddleslip::testing {
 
@@ -34,13 +34,13 @@
   base::apply_tuning(node.settings, operators_);
   node.mutex = std::make_unique<std::mutex>();
   node.controller = std::make_unique<coordination::Controller>(node.settings);
-  node.users = std::make_unique<Users>(
+  node.users = std::make_unique<UserApi>(
       node.settings, *node.mutex, *node.controller,
-      Users::Store{[this, n] { return catch_up(n); },
-                   [this, n](const std::string& key) { return get(n, key); },
-                   [this, n](const protocol::Transaction& txn) { return commit(n, txn); },
-                   [this] { return 1000 + t_; }, [this, n] { nodes_[n].round_due = true; },
-                   [this, n](const JobId& id) { broadcast_cancellation(n, id); }});
+      UserApi::Store{[this, n] { return catch_up(n); },
+                     [this, n](const std::string& key) { return get(n, key); },
+                     [this, n](const protocol::Transaction& txn) { return commit(n, txn); },
+                     [this] { return 1000 + t_; }, [this, n] { nodes_[n].round_due = true; },
+                     [this, n](const JobId& id) { broadcast_cancellation(n, id); }});
   node.up = true;
   node.loaded = false;
   node.lease.reset();
--- a/tests/scenario_trace.cpp
+++ b/tests/simulation/scenario_trace.cpp
@@ -1,4 +1,4 @@
-#include "scenario_trace.h"
+#include "simulation/scenario_trace.h"
 
 #include <cstdint>
 #include <cstdlib>
--- a/tests/world.cpp
+++ b/tests/simulation/simulated_cluster.cpp
@@ -1,10 +1,10 @@
 // The clock of the small world, and its steps.
-#include "world.h"
+#include "simulation/simulated_cluster.h"
 
 #include <algorithm>
 #include <sstream>
 
-#include "world_internal.h"
+#include "simulation/simulation_internal.h"
 
 namespace saddleslip::testing {
 
--- a/tests/world.h
+++ b/tests/simulation/simulated_cluster.h
@@ -37,9 +37,9 @@
 #include <string>
 #include <vector>
 
+#include "api/user_api.h"
 #include "coordination/controller.h"
-#include "scenario_trace.h"
-#include "users.h"
+#include "simulation/scenario_trace.h"
 
 namespace saddleslip::testing {
 
@@ -106,7 +106,7 @@
   struct SimulatedController {
     base::Settings settings;
     std::unique_ptr<coordination::Controller> controller;
-    std::unique_ptr<Users> users;
+    std::unique_ptr<UserApi> users;
     std::unique_ptr<std::mutex> mutex;
     bool upgraded = false;  // with next_limits: keeps to them, as the version before did not
     bool up = false, loaded = false, round_due = true, renew_now = true;
--- a/tests/world_state.cpp
+++ b/tests/simulation/state.cpp
@@ -2,8 +2,8 @@
 #include <algorithm>
 #include <sstream>
 
-#include "world.h"
-#include "world_internal.h"
+#include "simulation/simulated_cluster.h"
+#include "simulation/simulation_internal.h"
 
 namespace saddleslip::testing {
 
--- a/tests/world_workers.cpp
+++ b/tests/simulation/workers.cpp
@@ -1,8 +1,8 @@
 // The stand-ins for the machines and their workers.
 #include <algorithm>
 
-#include "world.h"
-#include "world_internal.h"
+#include "simulation/simulated_cluster.h"
+#include "simulation/simulation_internal.h"
 
 namespace saddleslip::testing {
 
--- a/tests/ledger_test.cpp
+++ b/tests/state_cache_test.cpp
@@ -1,11 +1,11 @@
 // This process's copy of the store, fed from several sides at once.
-#include "bookkeeping/ledger.h"
+#include "storage/state_cache.h"
 
 #include <gtest/gtest.h>
 
-#include "coordination/view.h"
+#include "coordination/membership/view.h"
 
-namespace saddleslip::bookkeeping {
+namespace saddleslip::storage {
 
 namespace {
 
@@ -209,4 +209,4 @@
   EXPECT_EQ(cache.job(id)->assigned, 1u);
 }
 
-}  // namespace saddleslip::bookkeeping
+}  // namespace saddleslip::storage
--- a/tests/users_test.cpp
+++ b/tests/user_api_test.cpp
@@ -1,5 +1,5 @@
 // What users are answered about jobs that need others, with a state service that the test plays.
-#include "users.h"
+#include "api/user_api.h"
 
 #include <gtest/gtest.h>
 
@@ -104,7 +104,7 @@
   int commits_left_ = 1000;
   int reads_ = 0;
   std::uint64_t revision_ = 0;
-  Users users_;
+  UserApi users_;
 };
 
 }  // namespace
@@ -194,7 +194,7 @@
   EXPECT_EQ(submit(s).status, 201);
   EXPECT_EQ(written_.back(), protocol::job_key(kJob)) << "accepted before all lists are written";
   for (const bool job_first : {false, true}) {
-    bookkeeping::StateCache other(settings_);
+    storage::StateCache other(settings_);
     std::vector<std::string> keys = written_;
     if (job_first) std::reverse(keys.begin(), keys.end());
     std::uint64_t version = 0;
