--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -4,6 +4,9 @@
 #include <cmath>
 
 #include "base/log.h"
+#include "coordination/records/finalization.h"
+#include "coordination/records/garbage_collection.h"
+#include "coordination/records/record_splitting.h"
 
 namespace saddleslip::coordination {
 
@@ -771,4 +774,21 @@
   return out;
 }
 
+// --- records
+
+std::optional<Transaction> Controller::finalize_one_job(Time now) {
+  if (!has_incarnation_) return {};
+  return coordination::finalize_one_job(cache_, self_, settings_, priorities_.time_of_day(now));
+}
+
+std::optional<Transaction> Controller::split_one_record(Time now) {
+  if (!has_authority(now)) return {};
+  return coordination::split_one_record(cache_, self_, installed_view_, settings_);
+}
+
+std::optional<Transaction> Controller::collect_garbage() {
+  if (!has_incarnation_) return {};
+  return coordination::collect_garbage(cache_, self_, settings_);
+}
+
 }  // namespace saddleslip::coordination
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -161,8 +161,8 @@
   std::vector<CommandBatch> committed(const RoundPlan& plan, Version version, Time now);
   // Stops for tasks that are to go, to be sent at once rather than with the next report's answer.
   std::vector<CommandBatch> stops(Time now);
+  // The upkeep of records, for which this member is the home: at most one transaction to commit.
   std::optional<Transaction> finalize_one_job(Time now);
-  // Divides the chunks of a job that no value of the store holds any more.
   std::optional<Transaction> split_one_record(Time now);
   std::optional<Transaction> collect_garbage();
 
--- a/src/coordination/records/admission.h
+++ b/src/coordination/records/admission.h
@@ -32,18 +32,4 @@
                                                           const base::Settings& settings);
 protocol::Transaction cancellation(const protocol::JobRecord& job, base::Version version);
 
-// Adds what moves a job that is over out of the way.
-void add_finalization(protocol::Transaction& txn, const storage::Job& job, double time_of_day);
-// Adds conditions that the job's tasks' records are as known here, as far as the transaction holds them.
-void guard_task_records(protocol::Transaction& txn, const storage::Job& job, std::size_t txn_ops);
-// Divides chunks of more tasks than a value of the store holds, as they were written under larger limits.
-// Only once all controllers read pieces. None: there is nothing to divide.
-std::optional<protocol::Transaction> split_chunks(const storage::Job& job, protocol::Version view,
-                                                  const base::Settings& settings);
-// Is the job over, and nothing of it on a machine? Then it may leave.
-bool may_finalize(const storage::Job& job);
-// A job that is over, moved out of the way: its record becomes small and final. None if it isn't.
-std::optional<protocol::Transaction> finalize(const storage::Job& job, std::size_t txn_ops,
-                                              double time_of_day);
-
 }  // namespace saddleslip::coordination
--- a/src/coordination/records/maintenance.cpp
+++ b/src/coordination/records/maintenance.cpp
@@ -1,10 +1,9 @@
-// What a controller does in each round besides placing tasks: silent machines, faulty machines, services that
-// move away, and the records of jobs that are over.
+// What a controller does in each round besides placing tasks: silent machines, and services that
+// move away from machines that are drained.
 #include <algorithm>
 
 #include "base/log.h"
 #include "coordination/controller.h"
-#include "coordination/records/admission.h"
 
 namespace saddleslip::coordination {
 
@@ -12,56 +11,13 @@
 
 namespace {
 
-constexpr Seconds kCrashLoopingReportFresh{5.0};  // a sibling's word that a job fails everywhere
 constexpr Seconds kUnheardFor{0.3};
 constexpr Seconds kLostReply{6.0};
 constexpr Seconds kRoomToMove{1.5};
 constexpr Seconds kSettled{35.0};  // a start that is undone sooner was none
 
-bool is_done(const std::optional<protocol::FinalState>& state) {
-  return state && state->status == protocol::JobStatus::kDone;
-}
-
 }  // namespace
 
-bool Controller::runs_for_long(const Job& job, Time now) const {
-  const JobId& id = job.record.spec.id;
-  const Seconds needed = failures_.long_run(id);
-  return std::any_of(machines_.begin(), machines_.end(), [&](const auto& entry) {
-    const Machine& m = entry.second;
-    const auto first = m.ran.lower_bound(TaskId{id, 0});
-    return first != m.ran.end() && first->first.job == id &&
-           base::between(first->second, now) > needed && !failures_.avoids(id, entry.first, now);
-  });
-}
-
-void Controller::evaluate_failures(Time now) {
-  for (const JobId& id : failures_.unproven()) {
-    const Job* job = cache_.job(id);
-    const bool completed = job ? job->done > 0 : is_done(cache_.final_state(id));
-    if (completed || (job && runs_for_long(*job, now))) {
-      failures_.mark_sound(id);
-    } else if (!job || job->cancelled()) {
-      failures_.forget_job(id);
-    }
-  }
-  for (auto& [id, m] : machines_) {
-    if (m.cordoned || !failures_.is_faulty(id)) continue;
-    m.cordoned = true;
-    spdlog::warn("machine {} fails tasks of jobs that run elsewhere: closed", id.get());
-  }
-}
-
-bool Controller::is_crash_looping(const JobId& id, Time now) const {
-  if (failures_.is_crash_looping(id)) return true;
-  const Job* job = cache_.job(id);
-  if (job && job->done > 0) return false;
-  return std::any_of(peers_.begin(), peers_.end(), [&](const auto& s) {
-    return base::between(s.second.last_heartbeat_at, now) < kCrashLoopingReportFresh &&
-           s.second.crash_looping_jobs.contains(id);
-  });
-}
-
 const std::vector<MachineId>& Controller::unheard_owned(Time now) {
   if (base::between(unheard_owned_at_, now) < kUnheardFor &&
       unheard_owned_at_ > view_installed_at_) {
@@ -178,43 +134,4 @@
   std::erase_if(absent_, [&](const auto& a) { return !cache_.job(a.first.job); });
 }
 
-std::optional<Transaction> Controller::finalize_one_job(Time now) {
-  if (!has_incarnation_ || !cache_.view()) return {};
-  for (const auto& [id, job] : cache_.jobs()) {
-    if (!may_finalize(job)) continue;
-    const ControllerIncarnation* home = home_of(*cache_.view(), id);
-    if (!home || *home != self_ || !cache_.is_settled(job)) continue;
-    return finalize(job, settings_.txn_ops, priorities_.time_of_day(now));
-  }
-  return {};
-}
-
-std::optional<Transaction> Controller::split_one_record(Time now) {
-  if (!has_authority(now) || cache_.format() < protocol::kFormatWithPieces) return {};
-  for (const auto& [id, job] : cache_.jobs()) {
-    const ControllerIncarnation* home = home_of(*cache_.view(), id);
-    if (!home || *home != self_ || job.cancelled_on_record()) continue;
-    if (auto txn = split_chunks(job, installed_view_, settings_)) return txn;
-  }
-  return {};
-}
-
-std::optional<Transaction> Controller::collect_garbage() {
-  if (!has_incarnation_ || !cache_.view() || cache_.orphans().empty()) return {};
-  Transaction txn;
-  for (const auto& [key, version] : cache_.orphans()) {
-    const ControllerIncarnation* home = home_of(*cache_.view(), JobId(key));
-    if (!home || *home != self_) continue;
-    if (txn.writes.size() >= settings_.txn_ops) break;
-    txn.preconditions[key] = version;
-    // Only what belongs to no job: one that this copy has not heard of yet is not over.
-    const auto chunk = protocol::parse_chunk_key(key);
-    const auto job = chunk ? chunk->job : protocol::job_of_dependency_key(key);
-    if (job) txn.preconditions[protocol::job_key(*job)] = Version(0);
-    txn.writes.push_back({key, {}, {}});
-  }
-  if (txn.writes.empty()) return {};
-  return txn;
-}
-
 }  // namespace saddleslip::coordination
--- /dev/null
+++ b/src/coordination/records/record_splitting.cpp
@@ -0,0 +1,52 @@
+#include "coordination/records/record_splitting.h"
+
+#include "coordination/membership/view.h"
+
+namespace saddleslip::coordination {
+
+using base::TaskNo;
+using protocol::JobRecord;
+using protocol::Transaction;
+
+namespace {
+
+// How many of the job's tasks fit into one value of the store.
+TaskNo tasks_per_value(const JobRecord& record, const base::Settings& settings) {
+  return protocol::chunk_size(record.chunk, 1, settings.value_bytes);
+}
+
+Transaction split(const storage::Job& job, protocol::Version view, const base::Settings& settings) {
+  JobRecord next = job.record;
+  next.piece = tasks_per_value(job.record, settings);
+  const std::string key = protocol::job_key(next.spec.id);
+  Transaction txn;
+  txn.preconditions[protocol::kViewKey] = view;
+  // Starts are guarded by this version: none can be put on the unsplit records after this.
+  txn.preconditions[key] = job.version;
+  txn.writes.push_back({key, to_json(next), {}});
+  return txn;
+}
+
+}  // namespace
+
+bool needs_splitting(const storage::Job& job, const base::Settings& settings) {
+  const JobRecord& record = job.record;
+  if (record.piece != 0) return false;
+  const TaskNo fit = tasks_per_value(record, settings);
+  return record.chunk > fit && record.spec.tasks > fit;
+}
+
+std::optional<Transaction> split_one_record(const storage::StateCache& cache,
+                                            const ControllerIncarnation& self,
+                                            protocol::Version view,
+                                            const base::Settings& settings) {
+  if (cache.format() < protocol::kFormatWithPieces) return {};
+  for (const auto& [id, job] : cache.jobs()) {
+    if (job.cancelled_on_record() || !needs_splitting(job, settings)) continue;
+    const ControllerIncarnation* home = home_of(*cache.view(), id);
+    if (home && *home == self) return split(job, view, settings);
+  }
+  return {};
+}
+
+}  // namespace saddleslip::coordination
--- a/src/coordination/scheduling/record_batch.cpp
+++ b/src/coordination/scheduling/record_batch.cpp
@@ -1,6 +1,6 @@
 #include "coordination/scheduling/record_batch.h"
 
-#include "coordination/records/admission.h"
+#include "coordination/records/finalization.h"
 
 namespace saddleslip::coordination {
 
--- /dev/null
+++ b/tests/record_upkeep_test.cpp
@@ -0,0 +1,150 @@
+// Finalization, splitting and garbage collection of the records of jobs.
+#include <gtest/gtest.h>
+
+#include "coordination/membership/view.h"
+#include "coordination/records/finalization.h"
+#include "coordination/records/garbage_collection.h"
+#include "coordination/records/record_splitting.h"
+
+namespace saddleslip::coordination {
+
+namespace {
+
+using base::TaskNo;
+using base::Time;
+using base::Version;
+using protocol::JobStatus;
+using protocol::Json;
+
+const Version kView(2);
+
+class RecordUpkeep : public ::testing::Test {
+ protected:
+  RecordUpkeep() : cache_(settings_) {
+    View view;
+    view.epoch = Epoch(1);
+    view.members = {self_};
+    cache_.apply({protocol::kViewKey, to_json(view), kView}, Time{});
+  }
+
+  void add_job(const JobId& id, TaskNo tasks, bool cancelled = false) {
+    protocol::JobRecord record;
+    record.spec.id = id;
+    record.spec.job_class = "c";
+    record.spec.team = "t";
+    record.spec.image = "img";
+    record.spec.tasks = tasks;
+    record.spec.request.v = {1, 0, 1};
+    record.chunk = tasks;
+    record.cancelled = cancelled;
+    cache_.apply({protocol::job_key(id), to_json(record), next_version()}, Time{});
+    cache_.advance_to(base::Revision(version_));
+  }
+  void add_tasks(const JobId& id, std::vector<bool> done,
+                 std::map<TaskNo, protocol::Assignment> assigned = {}) {
+    protocol::ChunkRecord record;
+    record.done = std::move(done);
+    record.assigned = std::move(assigned);
+    cache_.apply({protocol::chunk_key(id, 0), to_json(record, 0), next_version()}, Time{});
+  }
+  Version next_version() { return Version(++version_); }
+  void announce_format(std::uint64_t format) {
+    cache_.apply({protocol::kFormatKey, Json(format), next_version()}, Time{});
+  }
+  std::optional<protocol::Transaction> finalize() const {
+    return finalize_one_job(cache_, self_, settings_, 1000);
+  }
+  std::optional<protocol::Transaction> split() const {
+    return split_one_record(cache_, self_, kView, settings_);
+  }
+
+  base::Settings settings_;
+  storage::StateCache cache_;
+  const ControllerIncarnation self_{MemberId("a"), base::Incarnation(1)};
+  const ControllerIncarnation other_{MemberId("b"), base::Incarnation(1)};
+  const JobId job_{"run-000001"};
+  const protocol::Assignment assignment_{MachineId("i-1"), base::Attempt(1),
+                                         base::AgentIncarnation(1)};
+  std::uint64_t version_ = 2;
+};
+
+}  // namespace
+
+TEST_F(RecordUpkeep, FinalizationOfADoneJobReplacesItsRecordByItsFinalState) {
+  add_job(job_, 2);
+  add_tasks(job_, {true, true});
+  const auto txn = finalize();
+  ASSERT_TRUE(txn);
+  EXPECT_EQ(txn->preconditions.at(protocol::job_key(job_)), cache_.job(job_)->version);
+  EXPECT_TRUE(txn->preconditions.contains(protocol::chunk_key(job_, 0)));
+  cache_.apply(*txn, base::Revision(version_ + 1), Time{});
+  EXPECT_EQ(cache_.job(job_), nullptr);
+  EXPECT_EQ(cache_.final_state(job_)->status, JobStatus::kDone);
+  EXPECT_EQ(cache_.final_state(job_)->at, 1000);
+}
+
+TEST_F(RecordUpkeep, FinalizationWaitsWhileATaskIsNotOver) {
+  add_job(job_, 2);
+  add_tasks(job_, {true, false});
+  EXPECT_FALSE(finalize());
+}
+
+// Tasks on a machine count for the team's quota, also those of a cancelled job.
+TEST_F(RecordUpkeep, FinalizationOfACancelledJobWaitsForItsAssignments) {
+  add_job(job_, 2, true);
+  add_tasks(job_, {false, false}, {{0, assignment_}});
+  EXPECT_FALSE(finalize());
+  add_tasks(job_, {false, false});
+  const auto txn = finalize();
+  ASSERT_TRUE(txn);
+  cache_.apply(*txn, base::Revision(version_ + 1), Time{});
+  EXPECT_EQ(cache_.final_state(job_)->status, JobStatus::kCancelled);
+}
+
+TEST_F(RecordUpkeep, OfAJobWithAnotherHomeNothingIsDone) {
+  add_job(job_, 1);
+  add_tasks(job_, {true});
+  EXPECT_FALSE(finalize_one_job(cache_, other_, settings_, 1000));
+}
+
+TEST_F(RecordUpkeep, SplittingNamesThePiecesThatFitIntoAValue) {
+  settings_.value_bytes = 4096;
+  add_job(job_, 200);
+  EXPECT_FALSE(split());  // some controller may not read pieces
+  announce_format(protocol::kFormatWithPieces);
+  EXPECT_FALSE(split_one_record(cache_, other_, kView, settings_));
+  const auto txn = split();
+  ASSERT_TRUE(txn);
+  EXPECT_EQ(txn->preconditions.at(protocol::kViewKey), kView);
+  cache_.apply(*txn, base::Revision(version_ + 1), Time{});
+  const TaskNo piece = cache_.job(job_)->record.piece;
+  EXPECT_EQ(piece, protocol::chunk_size(200, 1, settings_.value_bytes));
+  EXPECT_FALSE(split());
+}
+
+TEST_F(RecordUpkeep, SplittingLeavesRecordsThatFitAndCancelledJobs) {
+  settings_.value_bytes = 4096;
+  announce_format(protocol::kFormatWithPieces);
+  add_job(job_, 4);
+  add_job(JobId("run-000002"), 200, true);
+  EXPECT_FALSE(split());
+}
+
+TEST_F(RecordUpkeep, GarbageCollectionRemovesRecordsOfNoJobAsManyAsATransactionHolds) {
+  settings_.txn_ops = 2;
+  for (const char* id : {"run-000001", "run-000002", "run-000003"}) add_tasks(JobId(id), {true});
+  EXPECT_FALSE(collect_garbage(cache_, other_, settings_));
+  const auto txn = collect_garbage(cache_, self_, settings_);
+  ASSERT_TRUE(txn);
+  ASSERT_EQ(txn->writes.size(), 2u);
+  for (const auto& write : txn->writes) {
+    EXPECT_FALSE(write.value);
+    EXPECT_TRUE(txn->preconditions.contains(write.key));
+  }
+  // A job that the state cache has not received yet keeps its records.
+  EXPECT_EQ(txn->preconditions.at(protocol::job_key(job_)), Version(0));
+  cache_.apply(*txn, base::Revision(version_ + 1), Time{});
+  EXPECT_EQ(cache_.orphans().size(), 1u);
+}
+
+}  // namespace saddleslip::coordination
