--- a/src/storage/state_cache.cpp
+++ b/src/storage/state_cache.cpp
@@ -6,12 +6,6 @@
 
 namespace saddleslip::storage {
 
-namespace {
-
-constexpr std::size_t kFinalsKept = 8192;  // older ones are read from the store when asked for
-
-}  // namespace
-
 bool StateCache::apply(const Item& item, Time now) {
   const std::string& key = item.key;
   if (key.starts_with(protocol::kFinals)) {
@@ -22,12 +16,7 @@
   }
   // Told already, or overtaken: a read or a second watch that was answered before the key changed or
   // went must not bring it back.
-  if (item.version.get() <= revision_.get()) return false;
-  const auto known = versions_.find(item.key);
-  if (known != versions_.end() && item.version <= known->second) return false;
-  const auto gone = removed_.find(item.key);
-  // Guards against an event older than our own removal bringing the key back.
-  if (gone != removed_.end() && item.version <= gone->second) return false;
+  if (!versions_.is_newer(key, item.version)) return false;
 
   const bool removal = item.value.is_null();
   if (key.starts_with(protocol::kChunks) && !removal) {
@@ -36,18 +25,16 @@
     // job; kept, the job would seem to have no record, and its tasks would start a second time.
     const auto name = protocol::parse_chunk_key(key);
     if (!name || !job_index_.contains(name->job)) {
-      Version& orphan = orphans_[key];
-      orphan = std::max(orphan, item.version);
+      orphans_.add(key, item.version);
       return true;
     }
     // Likewise a piece that is read before the record that divides its job's chunks.
     if (name->is_piece && job_index_.at(name->job)->record.piece == 0) return true;
   }
   if (removal) {
-    if (known != versions_.end()) versions_.erase(known);
-    if (item.version.get() > revision_.get()) removed_[key] = item.version;
+    versions_.record_removal(key, item.version);
   } else {
-    versions_[key] = item.version;
+    versions_.record_value(key, item.version);
   }
   if (key.starts_with(protocol::kJobs)) {
     put_job(item, now);
@@ -146,12 +133,12 @@
   job.chunks.resize(job.record.chunks());
   for (std::size_t c = 0; c < job.chunks.size(); ++c) {
     job.chunks[c].record.done.assign(job.chunk_size(c), false);
-    orphans_.erase(job.record.record_key(static_cast<std::uint32_t>(c)));
+    orphans_.remove(job.record.record_key(static_cast<std::uint32_t>(c)));
   }
   if (job.record.piece != 0) {
     job.whole.resize((job.record.spec.tasks + job.record.chunk - 1) / job.record.chunk);
     for (std::size_t c = 0; c < job.whole.size(); ++c)
-      orphans_.erase(protocol::chunk_key(id, static_cast<std::uint32_t>(c)));
+      orphans_.remove(protocol::chunk_key(id, static_cast<std::uint32_t>(c)));
   }
   Job& added = jobs_.emplace(id, std::move(job)).first->second;
   job_index_[id] = &added;
@@ -173,21 +160,17 @@
       keys.push_back(protocol::dependency_list_key(id, lists->set, i));
   }
   for (const std::string& key : keys) {
-    dependency_lists_.erase(key);
-    if (const auto v = versions_.find(key); v != versions_.end()) orphans_[key] = v->second;
+    partial_dependencies_.remove(key);
+    if (const Version version = versions_.of(key); version.get() != 0) orphans_.add(key, version);
   }
 }
 
 void StateCache::put_dependency_list(const Item& item) {
-  orphans_.erase(item.key);
+  orphans_.remove(item.key);
   const auto id = protocol::job_of_dependency_key(item.key);
   // The record that only names the set tells nothing that the job's own does not.
   if (!id || item.key == protocol::dependency_lists_key(*id) || !item.value.is_array()) return;
-  std::vector<JobId>& list = dependency_lists_[item.key];
-  list.clear();
-  for (const protocol::Json& need : item.value) {
-    if (need.is_string()) list.emplace_back(need.get<std::string>());
-  }
+  partial_dependencies_.add(item.key, item.value);
   const auto at = jobs_.find(*id);
   if (at == jobs_.end() || !at->second.record.dependency_lists) return;
   Job& job = at->second;
@@ -200,16 +183,9 @@
 bool StateCache::take_dependency_lists(Job& job) {
   const auto& lists = job.record.dependency_lists;
   if (!lists) return true;
-  const JobId& id = job.record.spec.id;
-  std::vector<JobId> dependencies;
-  for (std::size_t i = 0; i < lists->count; ++i) {
-    const auto list = dependency_lists_.find(protocol::dependency_list_key(id, lists->set, i));
-    if (list == dependency_lists_.end()) return false;
-    dependencies.insert(dependencies.end(), list->second.begin(), list->second.end());
-  }
-  for (std::size_t i = 0; i < lists->count; ++i)
-    dependency_lists_.erase(protocol::dependency_list_key(id, lists->set, i));
-  job.record.spec.dependencies = std::move(dependencies);
+  auto dependencies = partial_dependencies_.take(job.record.spec.id, *lists);
+  if (!dependencies) return false;
+  job.record.spec.dependencies = std::move(*dependencies);
   ++job_changes_;
   return true;
 }
@@ -285,7 +261,7 @@
 void StateCache::put_chunk(const Item& item, Time now) {
   const auto name = protocol::parse_chunk_key(item.key);
   if (!name) return;
-  orphans_.erase(item.key);
+  orphans_.remove(item.key);
   const auto at = jobs_.find(name->job);
   if (at == jobs_.end()) return;
   Job& job = at->second;
@@ -366,12 +342,6 @@
   job.done += chunk.record.done_count();
 }
 
-void StateCache::advance_to(Revision revision) {
-  if (revision <= revision_) return;
-  revision_ = revision;
-  std::erase_if(removed_, [&](const auto& r) { return r.second.get() <= revision.get(); });
-}
-
 void StateCache::clear() {
   jobs_.clear();
   job_index_.clear();
@@ -381,16 +351,14 @@
   stamps_.clear();
   team_use_.clear();
   versions_.clear();
-  removed_.clear();
   orphans_.clear();
   dependency_graph_.clear();
-  dependency_lists_.clear();
+  partial_dependencies_.clear();
   view_.reset();
   leader_.reset();
   members_.clear();
   claims_.clear();
   booting_.clear();
-  revision_ = Revision(0);
 }
 
 const Job* StateCache::job(const JobId& id) const {
@@ -398,14 +366,8 @@
   return it == job_index_.end() ? nullptr : it->second;
 }
 
-std::optional<FinalState> StateCache::final_state(const JobId& id) const {
-  const auto it = finals_.find(id);
-  if (it == finals_.end()) return {};
-  return it->second;
-}
-
 void StateCache::remember_final(const JobId& id, const FinalState& state) {
-  if (!finals_.emplace(id, state).second) return;
+  if (!final_states_.remember(id, state)) return;
   if (state.status == JobStatus::kCancelled) {
     cancel_dependents(id);
   } else {
@@ -414,11 +376,6 @@
         mark_dependency_done(at->second, state.at);
     }
   }
-  finals_order_.push_back(id);
-  if (finals_order_.size() > kFinalsKept) {
-    finals_.erase(finals_order_.front());
-    finals_order_.pop_front();
-  }
 }
 
 const std::map<TaskId, Assignment>& StateCache::assignments_on(const MachineId& machine) const {
@@ -442,11 +399,6 @@
   return it != settings_.teams.end() && (it->second.max_cores > 0 || it->second.max_gpus > 0);
 }
 
-Version StateCache::version(const std::string& key) const {
-  const auto it = versions_.find(key);
-  return it == versions_.end() ? Version(0) : it->second;
-}
-
 const MachineType* StateCache::type(const std::string& name) const {
   for (const MachineType& t : catalogue_) {
     if (t.name == name) return &t;
--- a/src/storage/state_cache.h
+++ b/src/storage/state_cache.h
@@ -2,7 +2,6 @@
 // Never older than the watch; each key keeps the newest version seen.
 #pragma once
 
-#include <deque>
 #include <map>
 #include <optional>
 #include <set>
@@ -13,6 +12,10 @@
 #include "base/settings.h"
 #include "protocol/records.h"
 #include "storage/dependency_graph.h"
+#include "storage/final_states.h"
+#include "storage/key_versions.h"
+#include "storage/orphan_records.h"
+#include "storage/partial_dependencies.h"
 
 namespace saddleslip::storage {
 
@@ -101,18 +104,18 @@
   // starts, and is put on no record; what it names may be unknown here.
   void notify_cancelled(const JobId& id);
   // The watch (or the first load) has told everything up to here.
-  void advance_to(Revision revision);
-  Revision revision() const { return revision_; }
+  void advance_to(Revision revision) { versions_.advance_to(revision); }
+  Revision revision() const { return versions_.revision(); }
   // Starts over, as after a watch that fell too far behind. Final states stay.
   void clear();
 
   const std::map<JobId, Job>& jobs() const { return jobs_; }
   const Job* job(const JobId& id) const;
-  std::optional<FinalState> final_state(const JobId& id) const;
+  std::optional<FinalState> final_state(const JobId& id) const { return final_states_.find(id); }
   // Has the watch brought all that came before the job's record as it is known here? A cancellation
   // read ahead of it may be known while a start before it is not.
   bool is_settled(const Job& job) const {
-    return !job.record.cancelled || revision_.get() >= job.version.get();
+    return !job.record.cancelled || revision().get() >= job.version.get();
   }
   void remember_final(const JobId& id, const FinalState& state);
 
@@ -136,7 +139,7 @@
   std::uint64_t job_changes() const { return job_changes_; }
   Resources team_use(const std::string& team) const;
   bool has_quota_limit(const std::string& team) const;
-  Version version(const std::string& key) const;
+  Version version(const std::string& key) const { return versions_.of(key); }
 
   const std::optional<View>& view() const { return view_; }
   const std::optional<ControllerIncarnation>& leader() const { return leader_; }
@@ -148,7 +151,7 @@
   std::uint64_t format() const { return format_; }
   const std::vector<protocol::Booting>& booting() const { return booting_; }
   // Records of jobs that are over.
-  const std::map<std::string, Version>& orphans() const { return orphans_; }
+  const std::map<std::string, Version>& orphans() const { return orphans_.all(); }
 
  private:
   void put_job(const Item& item, Time now);
@@ -182,14 +185,11 @@
   std::unordered_map<MachineId, std::uint64_t> stamps_;
   std::uint64_t last_stamp_ = 0, job_changes_ = 0;
   std::map<std::string, Resources> team_use_;
-  std::unordered_map<std::string, Version> versions_;  // of keys that exist
-  std::unordered_map<std::string, Version> removed_;   // removals ahead of the watch
-  std::map<std::string, Version> orphans_;             // chunks whose job is over
-  std::unordered_map<JobId, FinalState> finals_;       // bounded: the latest ones
-  std::deque<JobId> finals_order_;
+  KeyVersions versions_;
+  OrphanRecords orphans_;
+  FinalStates final_states_;
   DependencyGraph dependency_graph_;
-  std::map<std::string, std::vector<JobId>>
-      dependency_lists_;  // by key, until their job has taken them in
+  PartialDependencies partial_dependencies_;
   std::uint64_t jobs_unblocked_ = 0;
   std::optional<View> view_;
   std::optional<ControllerIncarnation> leader_;
@@ -198,7 +198,6 @@
   std::map<MachineId, ControllerIncarnation> claims_;
   std::vector<MachineType> catalogue_;
   std::vector<protocol::Booting> booting_;
-  Revision revision_;
 };
 
 }  // namespace saddleslip::storage
