--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -116,7 +116,7 @@
   view_installed_at_ = now;
   std::erase_if(machines_, [&](const auto& m) {
     if (owns(m.first)) return false;
-    left_[m.first] = ++status_revision_;
+    status_revisions_.machine_left(m.first);
     return true;
   });
   std::erase_if(owned_since_, [&](const auto& m) { return !in_a_row || !owns(m.first); });
@@ -340,7 +340,7 @@
   auto [at, is_new] = machines_.try_emplace(heartbeat.machine);
   Machine& m = at->second;
   if (is_new) {
-    left_.erase(heartbeat.machine);
+    status_revisions_.machine_joined(heartbeat.machine);
     m.idle_since = now;
     m.fencing_token = base_fencing_token_;
     m.fence_floor = base_fencing_token_;
@@ -503,7 +503,7 @@
 void Controller::mark_released(const std::vector<MachineId>& machines, Time now) {
   for (const MachineId& id : machines) {
     if (!released_.emplace(id, now).second) continue;
-    if (machines_.erase(id) > 0) left_[id] = ++status_revision_;
+    if (machines_.erase(id) > 0) status_revisions_.machine_left(id);
     unheard_owned_at_ = Time{};  // its tasks are over: at once
     silent_machines_.erase(id);
     zones_.erase(id);
@@ -652,7 +652,7 @@
     for (const auto& [image, gb] : m.images) r.images.push_back(image);
     m.status_heartbeat = heartbeat;
   }
-  m.status_changed_at = ++status_revision_;
+  m.status_changed_at = status_revisions_.advance();
 }
 
 std::string Controller::zone_of(const MachineId& machine) const {
@@ -677,23 +677,14 @@
   MemberStatus s;
   s.from = self_;
   s.has_state = has_lease(now);
-  s.since = acknowledged_revisions_[to];
+  s.since = status_revisions_.acknowledged(to);
   for (auto& [id, m] : machines_) {
     update_status(m, now);
     if (m.status_changed_at > s.since) s.machines.push_back(m.status);
   }
-  for (const auto& [id, at] : left_) {
-    if (at > s.since && s.since > 0) s.left.push_back(id);
-  }
-  s.upto = status_revision_;
-  // What every sibling knows to have left need not be kept.
-  std::uint64_t least = status_revision_;
-  for (const base::Peer& peer : settings_.peers) {
-    // One that has nothing is told all.
-    if (const std::uint64_t taken = acknowledged_revisions_[peer.member]; taken > 0)
-      least = std::min(least, taken);
-  }
-  std::erase_if(left_, [&](const auto& l) { return l.second <= least; });
+  s.left = status_revisions_.left_since(s.since);
+  s.upto = status_revisions_.current();
+  status_revisions_.forget_acknowledged(settings_.peers);
   s.release_requested = release_requests();
   s.misdirected = misdirected(now);
   s.contact = worker_contact(now);
@@ -706,28 +697,12 @@
 
 Instructions Controller::handle_peer_status(const MemberStatus& status, Time now) {
   Instructions out;
-  const auto before = peers_.find(status.from.member);
-  if (status.since != 0 && (before == peers_.end() || before->second.from != status.from ||
-                            before->second.upto != status.since)) {
-    // It builds upon a telling that never came, or that was of another life.
+  if (!peers_.update(status, now)) {
     out.again = true;
     return out;
   }
-  Peer& s = peers_[status.from.member];
-  if (status.since == 0) s.machines.clear();
-  s.from = status.from;
-  s.has_state = status.has_state;
-  s.upto = status.upto;
-  s.release_requested = status.release_requested;
-  s.misdirected = status.misdirected;
-  s.ownership_claims = status.ownership_claims;
-  s.contact = status.contact;
-  s.crash_looping_jobs = {status.crash_looping_jobs.begin(), status.crash_looping_jobs.end()};
-  s.last_heartbeat_at = now;
-  for (const MachineId& id : status.left) s.machines.erase(id);
   for (const MachineStatus& m : status.machines) {
     if (!released_.contains(m.id)) zones_[m.id] = m.zone;
-    s.machines[m.id] = m;
   }
   for (const MachineId& id : status.release_requested) {
     if (released_.contains(id)) out.released.push_back(id);
@@ -743,12 +718,6 @@
   return out;
 }
 
-bool Controller::peers_have_state(Time now) const {
-  return std::any_of(peers_.begin(), peers_.end(), [&](const auto& s) {
-    return s.second.has_state && base::between(s.second.last_heartbeat_at, now) < Seconds(2.5);
-  });
-}
-
 Controller::Partitions Controller::partitions(Time now, Seconds remembered) {
   Partitions out;
   out.emplace_back(self_.member, std::vector<const MachineStatus*>{});
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -12,6 +12,8 @@
 
 #include "coordination/fleet/boot_tracker.h"
 #include "coordination/fleet/scaling_plan.h"
+#include "coordination/machines/peer_registry.h"
+#include "coordination/machines/status_revisions.h"
 #include "coordination/membership/view.h"
 #include "coordination/scheduling/failure_tracker.h"
 #include "coordination/scheduling/job_priorities.h"
@@ -172,11 +174,11 @@
   Instructions handle_peer_status(const MemberStatus& status, Time now);
   // The sibling took in the status up to there (0: it asks for all).
   void status_acknowledged(const MemberId& by, std::uint64_t upto) {
-    acknowledged_revisions_[by] = upto;
+    status_revisions_.acknowledge(by, upto);
   }
   void peer_reached(const MemberId& member, Time now) { reached_[member] = now; }
   // Has another controller, heard of lately, a lease while this one has none?
-  bool peers_have_state(Time now) const;
+  bool peers_have_state(Time now) const { return peers_.any_has_state(now); }
 
   // --- fleet, for the leader
   struct ScalingActions {
@@ -191,16 +193,6 @@
   void released(const std::vector<MachineId>& machines, Time now);
 
  private:
-  struct Peer {
-    ControllerIncarnation from;
-    bool has_state = false;
-    std::uint64_t upto = 0;
-    std::map<MachineId, MachineStatus> machines;
-    std::vector<MachineId> release_requested, misdirected, ownership_claims;
-    std::set<JobId> crash_looping_jobs;
-    protocol::WorkerContact contact = protocol::WorkerContact::kUnknown;
-    Time last_heartbeat_at{};
-  };
   using Partitions = std::vector<std::pair<MemberId, std::vector<const MachineStatus*>>>;
   struct PoolEntry {
     JobId job;
@@ -427,11 +419,8 @@
   Time unheard_owned_at_{};
   std::map<JobId, Time> preempting_;
 
-  std::map<MemberId, Peer> peers_;
-  std::uint64_t status_revision_ = 0;        // counts changes of what siblings are told
-  std::map<MachineId, std::uint64_t> left_;  // machines no longer owned, by that count
-  std::map<MemberId, std::uint64_t>
-      acknowledged_revisions_;  // what each sibling has, by that count
+  PeerRegistry peers_;
+  StatusRevisions status_revisions_;
   std::map<MemberId, Time> reached_;
   std::map<MemberId, Time> member_since_;
   std::set<MemberId> excluded_;
--- /dev/null
+++ b/src/coordination/machines/peer_registry.cpp
@@ -0,0 +1,59 @@
+#include "coordination/machines/peer_registry.h"
+
+#include <algorithm>
+
+namespace saddleslip::coordination {
+
+namespace {
+
+using base::Seconds;
+
+constexpr Seconds kStateReportFresh{2.5};
+constexpr Seconds kCrashLoopReportFresh{5.0};
+
+}  // namespace
+
+// A delta may follow a status that was lost, or one that an earlier incarnation sent.
+bool PeerRegistry::builds_on_known_state(const protocol::MemberStatus& status) const {
+  if (status.since == 0) return true;
+  const auto known = peers_.find(status.from.member);
+  return known != peers_.end() && known->second.from == status.from &&
+         known->second.upto == status.since;
+}
+
+bool PeerRegistry::update(const protocol::MemberStatus& status, base::Time now) {
+  if (!builds_on_known_state(status)) return false;
+  Peer& peer = peers_[status.from.member];
+  if (status.since == 0) peer.machines.clear();
+  peer.from = status.from;
+  peer.has_state = status.has_state;
+  peer.upto = status.upto;
+  peer.release_requested = status.release_requested;
+  peer.misdirected = status.misdirected;
+  peer.ownership_claims = status.ownership_claims;
+  peer.contact = status.contact;
+  peer.crash_looping_jobs = {status.crash_looping_jobs.begin(), status.crash_looping_jobs.end()};
+  peer.last_heartbeat_at = now;
+  for (const base::MachineId& id : status.left) peer.machines.erase(id);
+  for (const protocol::MachineStatus& machine : status.machines) {
+    peer.machines[machine.id] = machine;
+  }
+  return true;
+}
+
+bool PeerRegistry::any_has_state(base::Time now) const {
+  return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
+    const Peer& peer = entry.second;
+    return peer.has_state && base::between(peer.last_heartbeat_at, now) < kStateReportFresh;
+  });
+}
+
+bool PeerRegistry::any_sees_crash_loop(const base::JobId& job, base::Time now) const {
+  return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
+    const Peer& peer = entry.second;
+    return base::between(peer.last_heartbeat_at, now) < kCrashLoopReportFresh &&
+           peer.crash_looping_jobs.contains(job);
+  });
+}
+
+}  // namespace saddleslip::coordination
--- a/src/coordination/records/maintenance.cpp
+++ b/src/coordination/records/maintenance.cpp
@@ -12,7 +12,6 @@
 
 namespace {
 
-constexpr Seconds kCrashLoopingReportFresh{5.0};  // a sibling's word that a job fails everywhere
 constexpr Seconds kUnheardFor{0.3};
 constexpr Seconds kLostReply{6.0};
 constexpr Seconds kRoomToMove{1.5};
@@ -56,10 +55,7 @@
   if (failures_.is_crash_looping(id)) return true;
   const Job* job = cache_.job(id);
   if (job && job->done > 0) return false;
-  return std::any_of(peers_.begin(), peers_.end(), [&](const auto& s) {
-    return base::between(s.second.last_heartbeat_at, now) < kCrashLoopingReportFresh &&
-           s.second.crash_looping_jobs.contains(id);
-  });
+  return peers_.any_sees_crash_loop(id, now);
 }
 
 const std::vector<MachineId>& Controller::unheard_owned(Time now) {
--- a/src/coordination/scheduling/routing.cpp
+++ b/src/coordination/scheduling/routing.cpp
@@ -117,7 +117,7 @@
 }  // namespace
 
 void Controller::offers_lost(const MemberId& member, const std::vector<protocol::Offers>& offers) {
-  peers_.erase(member);
+  peers_.forget(member);
   for (const protocol::Offers& all : offers) {
     for (const protocol::Offer& o : all.offers) {
       for (const auto& [first, count] : o.ranges) {
--- /dev/null
+++ b/tests/peer_registry_test.cpp
@@ -0,0 +1,97 @@
+// Peers' statuses, assembled from deltas.
+#include "coordination/machines/peer_registry.h"
+
+#include <gtest/gtest.h>
+
+namespace saddleslip::coordination {
+
+namespace {
+
+using base::JobId;
+using base::MachineId;
+using base::MemberId;
+using base::Seconds;
+using base::Time;
+
+const MemberId kMember("n1");
+const Time kNow(std::chrono::seconds(1000));
+
+// A delta from revision `since` to `upto`; a full status if `since` is 0.
+protocol::MemberStatus status(std::uint64_t incarnation, std::uint64_t since, std::uint64_t upto) {
+  protocol::MemberStatus out;
+  out.from = {kMember, base::Incarnation(incarnation)};
+  out.since = since;
+  out.upto = upto;
+  return out;
+}
+
+protocol::MachineStatus machine(const std::string& id, std::uint32_t tasks) {
+  protocol::MachineStatus out;
+  out.id = MachineId(id);
+  out.tasks = tasks;
+  return out;
+}
+
+}  // namespace
+
+TEST(PeerRegistry, DeltaToUnknownStateIsRefused) {
+  PeerRegistry peers;
+  EXPECT_FALSE(peers.update(status(7, 3, 5), kNow));
+  EXPECT_EQ(peers.find(kMember), peers.end());
+  EXPECT_TRUE(peers.update(status(7, 0, 5), kNow));
+  EXPECT_TRUE(peers.update(status(7, 5, 6), kNow));
+  EXPECT_FALSE(peers.update(status(7, 5, 8), kNow));  // 6 is known, not 5
+  EXPECT_FALSE(peers.update(status(9, 6, 8), kNow));  // another incarnation counts anew
+  EXPECT_EQ(peers.at(kMember).upto, 6U);
+}
+
+TEST(PeerRegistry, ForgottenPeerMustSendItsFullStatus) {
+  PeerRegistry peers;
+  ASSERT_TRUE(peers.update(status(7, 0, 5), kNow));
+  peers.forget(kMember);
+  EXPECT_FALSE(peers.update(status(7, 5, 6), kNow));
+  EXPECT_TRUE(peers.update(status(7, 0, 6), kNow));
+}
+
+TEST(PeerRegistry, DeltaReplacesAddsAndRemovesMachines) {
+  PeerRegistry peers;
+  auto full = status(7, 0, 5);
+  full.machines = {machine("kept", 1), machine("changed", 1), machine("gone", 1)};
+  ASSERT_TRUE(peers.update(full, kNow));
+  auto delta = status(7, 5, 8);
+  delta.machines = {machine("changed", 2), machine("new", 0)};
+  delta.left = {MachineId("gone")};
+  ASSERT_TRUE(peers.update(delta, kNow));
+  const auto& machines = peers.at(kMember).machines;
+  EXPECT_EQ(machines.size(), 3U);
+  EXPECT_EQ(machines.at(MachineId("kept")).tasks, 1U);
+  EXPECT_EQ(machines.at(MachineId("changed")).tasks, 2U);
+  EXPECT_TRUE(machines.contains(MachineId("new")));
+}
+
+TEST(PeerRegistry, FullStatusReplacesAllMachines) {
+  PeerRegistry peers;
+  auto full = status(7, 0, 5);
+  full.machines = {machine("old", 1)};
+  ASSERT_TRUE(peers.update(full, kNow));
+  full = status(9, 0, 1);
+  full.machines = {machine("new", 1)};
+  ASSERT_TRUE(peers.update(full, kNow));
+  EXPECT_EQ(peers.at(kMember).machines.size(), 1U);
+  EXPECT_TRUE(peers.at(kMember).machines.contains(MachineId("new")));
+}
+
+TEST(PeerRegistry, OldReportsDoNotCount) {
+  PeerRegistry peers;
+  auto full = status(7, 0, 5);
+  full.has_state = true;
+  full.crash_looping_jobs = {JobId("j")};
+  ASSERT_TRUE(peers.update(full, kNow));
+  EXPECT_TRUE(peers.any_has_state(base::after(kNow, Seconds(2.4))));
+  EXPECT_FALSE(peers.any_has_state(base::after(kNow, Seconds(2.5))));
+  EXPECT_TRUE(peers.any_sees_crash_loop(JobId("j"), base::after(kNow, Seconds(4.9))));
+  EXPECT_FALSE(peers.any_sees_crash_loop(JobId("j"), base::after(kNow, Seconds(5.0))));
+  EXPECT_FALSE(peers.any_sees_crash_loop(JobId("other"), kNow));
+}
+
+}  // namespace saddleslip::coordination
--- /dev/null
+++ b/tests/status_revisions_test.cpp
@@ -0,0 +1,71 @@
+// What each peer has acknowledged of this controller's machines.
+#include "coordination/machines/status_revisions.h"
+
+#include <gtest/gtest.h>
+
+namespace saddleslip::coordination {
+
+namespace {
+
+using base::MachineId;
+using base::MemberId;
+
+const MachineId kMachine("m");
+
+std::vector<base::Peer> peers() {
+  std::vector<base::Peer> out(2);
+  out[0].member = MemberId("n1");
+  out[1].member = MemberId("n2");
+  return out;
+}
+
+}  // namespace
+
+TEST(StatusRevisions, UnknownPeerIsSentTheFullStatus) {
+  StatusRevisions revisions;
+  EXPECT_EQ(revisions.acknowledged(MemberId("n1")), 0U);
+  revisions.acknowledge(MemberId("n1"), 4);
+  EXPECT_EQ(revisions.acknowledged(MemberId("n1")), 4U);
+}
+
+TEST(StatusRevisions, FullStatusNamesNoMachinesThatLeft) {
+  StatusRevisions revisions;
+  const std::uint64_t before = revisions.advance();
+  revisions.machine_left(kMachine);
+  EXPECT_EQ(revisions.left_since(before), std::vector{kMachine});
+  EXPECT_TRUE(revisions.left_since(0).empty());
+  EXPECT_TRUE(revisions.left_since(revisions.current()).empty());
+}
+
+TEST(StatusRevisions, MachineThatJoinsAgainHasNotLeft) {
+  StatusRevisions revisions;
+  const std::uint64_t before = revisions.advance();
+  revisions.machine_left(kMachine);
+  revisions.machine_joined(kMachine);
+  EXPECT_TRUE(revisions.left_since(before).empty());
+}
+
+TEST(StatusRevisions, MachineThatLeftIsKeptUntilEveryPeerKnows) {
+  StatusRevisions revisions;
+  const std::uint64_t before = revisions.advance();
+  revisions.acknowledge(MemberId("n1"), before);
+  revisions.machine_left(kMachine);
+  revisions.acknowledge(MemberId("n2"), revisions.current());
+  revisions.forget_acknowledged(peers());
+  EXPECT_EQ(revisions.left_since(before), std::vector{kMachine});
+  revisions.acknowledge(MemberId("n1"), revisions.current());
+  revisions.forget_acknowledged(peers());
+  EXPECT_TRUE(revisions.left_since(before).empty());
+}
+
+// A peer that asks for the full status holds nothing back.
+TEST(StatusRevisions, PeerWithoutStateHoldsNothingBack) {
+  StatusRevisions revisions;
+  const std::uint64_t before = revisions.advance();
+  revisions.machine_left(kMachine);
+  revisions.acknowledge(MemberId("n1"), 0);
+  revisions.forget_acknowledged(peers());
+  EXPECT_TRUE(revisions.left_since(before).empty());
+}
+
+}  // namespace saddleslip::coordination
