--- a/bench/versions/records_tool.cpp
+++ b/bench/versions/records_tool.cpp
@@ -1,10 +1,14 @@
 // Writes a set of records as this version does, or says what this version reads from such a set. Compiled
 // against two versions of the library, it shows that each reads what the other writes: see check.sh.
+// tests/golden_records_test.sh compares what it writes with files that earlier versions wrote.
 //
-//   records_tool write          lines of key, tab, JSON
-//   records_tool read < LINES   what was understood, one line a fact
+//   records_tool write             lines of key, tab, JSON: one record of each type
+//   records_tool write-all         the same and variants of records, and messages to workers and users
+//   records_tool read < LINES      what was understood, one line a fact (of the lines of `write`)
+//   records_tool rewrite < LINES   parses each record and message between controllers, and encodes it again
 #include <cstdio>
 #include <iostream>
+#include <map>
 #include <string>
 
 #include "coordination/records/admission.h"
@@ -130,6 +134,159 @@
   print("message/offers", to_json(offers));
 }
 
+void write_job_variants() {
+  auto dependent = job_spec("run-000010", 4);
+  dependent.kind = protocol::Kind::kGang;
+  dependent.rank = protocol::Rank::kCritical;
+  dependent.types.reset();
+  dependent.zone.reset();
+  dependent.deadline.reset();
+  dependent.dependencies = {base::JobId("run-000001"), base::JobId("run-000002")};
+  print(protocol::job_key(dependent.id), accepted(dependent));
+
+  protocol::JobRecord split;
+  split.spec = job_spec("run-000011", 300);
+  split.spec.kind = protocol::Kind::kService;
+  split.spec.rank = protocol::Rank::kStandard;
+  split.spec.spread = true;
+  split.spec.dependencies = dependent.dependencies;
+  const auto lists = protocol::split_dependencies(split.spec.dependencies, 16);
+  split.dependency_lists = protocol::name_dependency_lists(lists);
+  split.submitted = kTimeOfDay;
+  split.chunk = 128;
+  split.piece = 32;
+  print(protocol::dependency_lists_key(split.spec.id), to_json(*split.dependency_lists));
+  for (std::size_t i = 0; i < lists.size(); ++i) {
+    print(protocol::dependency_list_key(split.spec.id, split.dependency_lists->set, i), lists[i]);
+  }
+  print(protocol::job_key(split.spec.id), to_json(split));
+  const std::uint32_t number = split.chunk_of(140);
+  const protocol::TaskNo first = split.first_task(number);
+  protocol::ChunkRecord piece;
+  piece.done.assign(split.tasks_of(number), false);
+  piece.done.back() = true;
+  piece.assigned[140] = {base::MachineId("i-000234"), base::Attempt(1), base::AgentIncarnation(3)};
+  print(split.record_key(number), to_json(piece, first));
+}
+
+void write_cluster_variants() {
+  print(protocol::team_key("vision & \"speech\""), Json(1));
+  print(protocol::row_key(base::JobId("run-000011")), Json(1));
+  const protocol::ControllerIncarnation incarnation{base::MemberId("stall-3"),
+                                                    base::Incarnation(44)};
+  print(protocol::member_key(incarnation.member),
+        to_json(protocol::Member{incarnation, false, protocol::kFormat}));
+  const auto booting = [](const char* id, const char* type, bool spot) {
+    return protocol::Booting{base::MachineId(id), type, "b", spot, kTimeOfDay};
+  };
+  print(protocol::kFleetKey,
+        to_json(std::vector{booting("i-1", "g8", false), booting("i-2", "g8", false),
+                            booting("i-3", "g16", true)},
+                1024));
+  protocol::MemberStatus status;
+  status.from = incarnation;
+  status.since = 3;
+  status.upto = 4;
+  protocol::MachineStatus machine;
+  machine.id = base::MachineId("i-000235");
+  machine.type = "g16";
+  machine.zone = "b";
+  machine.spot = true;
+  machine.open = false;
+  machine.free.v = {1, 2, 3.5};
+  machine.preemptible.v = {4, 0, 6};
+  machine.idle_since = base::after(base::Time{}, base::Seconds(-30));
+  machine.silent = machine.late = true;
+  status.machines = {machine};
+  machine.id = base::MachineId("i-000236");
+  machine.unsure = machine.soon = true;
+  machine.silent = machine.late = false;
+  status.machines.push_back(machine);
+  status.left = {base::MachineId("i-000237")};
+  status.release_requested = {base::MachineId("i-000235"), base::MachineId("i-000236")};
+  status.misdirected = {base::MachineId("i-000238")};
+  status.crash_looping_jobs = {base::JobId("run-000012")};
+  status.contact = protocol::WorkerContact::kGood;
+  print("message/status", to_json(status, base::Time{}));
+  protocol::Offers offers;
+  offers.from = incarnation;
+  offers.epoch = base::Epoch(10);
+  offers.offers = {{base::JobId("run-000011"), {{0, 2}, {40, 1}}}, {base::JobId("run-000010"), {}}};
+  print("message/offers", to_json(offers));
+}
+
+// Messages that controllers only write: `rewrite` leaves them as they are.
+void write_answers() {
+  const auto answer = [](const char* name, const std::string& body) {
+    std::cout << "answer/" << name << '\t' << body << '\n';
+  };
+  using Op = protocol::Command::Op;
+  const base::TaskId task{base::JobId("run-000010"), 3};
+  const std::vector<protocol::Command> commands = {
+      {Op::kRun, task, base::Attempt(4), base::Seconds(0)},
+      {Op::kKill, task, base::Attempt(3), base::Seconds(2.5)},
+      {Op::kForget, task, base::Attempt(2), base::Seconds(0)}};
+  answer("heartbeat", protocol::heartbeat_response(base::FencingToken(8), commands));
+  answer("orders", protocol::orders(base::FencingToken(8), base::AgentIncarnation(5), commands));
+  answer("redirect", protocol::redirect(base::MemberId("stall-1")));
+  answer("redirect", protocol::redirect({}));
+  using protocol::JobStatus;
+  const base::JobId job("run-000010");
+  answer("status", protocol::user_status(job, JobStatus::kQueued));
+  answer("status", protocol::user_status(job, JobStatus::kRunning, 2, 1));
+  answer("status", protocol::user_status(job, JobStatus::kDone));
+  answer("status", protocol::user_status(job, JobStatus::kCancelled));
+  answer("error", protocol::error_body("no \"such\" job\xff"));
+}
+
+// What parsing and encoding again makes of a value; null: it was not understood.
+Json rewritten(const std::string& key, const Json& value, protocol::TaskNo first,
+               protocol::TaskNo count) {
+  const auto encoded = [](const auto& parsed) { return parsed ? to_json(*parsed) : Json(); };
+  if (key.starts_with(protocol::kJobs)) return encoded(protocol::parse_job(value));
+  if (key.starts_with(protocol::kFinals)) return encoded(protocol::parse_final(value));
+  if (key.starts_with(protocol::kMembers)) return encoded(protocol::parse_member(value));
+  if (key == protocol::kLeadKey || key.starts_with(protocol::kClaims)) {
+    return encoded(protocol::parse_incarnation(value));
+  }
+  if (key == protocol::kViewKey) return encoded(protocol::parse_view(value));
+  if (key == protocol::kCatalogueKey) return encoded(protocol::parse_catalogue(value));
+  if (key == protocol::kFleetKey) return to_json(protocol::parse_fleet(value), 1024);
+  if (key == "message/offers") return encoded(protocol::parse_offers(value));
+  if (key == "message/status") {
+    const auto status = protocol::parse_status(value, base::Time{});
+    return status ? to_json(*status, base::Time{}) : Json();
+  }
+  if (key.starts_with(protocol::kChunks)) {
+    const auto record = protocol::parse_chunk(value, first, count);
+    return record ? to_json(*record, first) : Json();
+  }
+  return value;  // written, and never parsed here: dependency lists, guards of teams, answers
+}
+
+// Tasks of the records of chunks need the job's record, which stands before them.
+void rewrite() {
+  std::map<base::JobId, protocol::JobRecord> jobs;
+  for (std::string line; std::getline(std::cin, line);) {
+    const auto tab = line.find('\t');
+    const std::string key = line.substr(0, tab);
+    if (key.starts_with("answer/")) {
+      std::cout << line << '\n';
+      continue;
+    }
+    const Json value = Json::parse(line.substr(tab + 1));
+    if (key.starts_with(protocol::kJobs)) {
+      if (const auto job = protocol::parse_job(value)) jobs[job->spec.id] = *job;
+    }
+    protocol::TaskNo first = 0, count = 0;
+    if (const auto name = protocol::parse_chunk_key(key); name && jobs.contains(name->job)) {
+      first = jobs.at(name->job).first_task(name->chunk);
+      count = jobs.at(name->job).tasks_of(name->chunk);
+    }
+    print(key, rewritten(key, value, first, count));
+  }
+}
+
 void read_message(const std::string& key, const Json& value) {
   if (key == "message/status") {
     const auto s = protocol::parse_status(value, base::Time{});
@@ -194,10 +351,17 @@
   const std::string mode = argc > 1 ? argv[1] : "";
   if (mode == "write") {
     write();
+  } else if (mode == "write-all") {
+    write();
+    write_job_variants();
+    write_cluster_variants();
+    write_answers();
+  } else if (mode == "rewrite") {
+    rewrite();
   } else if (mode == "read") {
     read();
   } else {
-    std::cerr << "usage: records_tool write|read\n";
+    std::cerr << "usage: records_tool write|write-all|read|rewrite\n";
     return 2;
   }
   return 0;
