--- a/tests/simulation/checks.cpp
+++ b/tests/simulation/checks.cpp
@@ -17,9 +17,9 @@
 
 void SimulatedCluster::check_start(const Worker& w, const TaskId& task) {
   ++starts_;
-  trace_.write(t_, "start", w.id, task.job.get(), task.no);
+  trace_.write(clock_.seconds(), "start", w.id, task.job.get(), task.no);
   const auto j = jobs_.find(task.job);
-  if (j == jobs_.end()) return broken("invented: a task of an unknown job starts");
+  if (j == jobs_.end()) return failures_.add("invented: a task of an unknown job starts");
   ++j->second.starts;
   const auto& spec = j->second.spec;
   const std::string text = task.job.get() + "/" + std::to_string(task.no);
@@ -30,16 +30,17 @@
                                   [](const Task& a) { return is_active(a.state); });
       if (!on || t.job != task.job || !other.alive) continue;
       if (t == task && id != w.id)
-        broken(std::string("ran_twice: ").append(text) + " starts on " + w.id + ", is on " + id);
+        failures_.add(std::string("ran_twice: ").append(text) + " starts on " + w.id + ", is on " +
+                      id);
       if (t != task) ++zones[other.zone];
     }
   }
-  if (!dependencies_are_done(j->second)) broken("too_early: " + text);
-  if (!coordination::may_run(spec, w.type, w.zone, w.spot)) broken("wrong_place: " + text);
+  if (!dependencies_are_done(j->second)) failures_.add("too_early: " + text);
+  if (!coordination::may_run(spec, w.type, w.zone, w.spot)) failures_.add("wrong_place: " + text);
   if (spec.one_zone && !zones.empty() && !zones.contains(w.zone))
-    broken("wrong_place: " + text + " in another zone");
+    failures_.add("wrong_place: " + text + " in another zone");
   if (spec.spread && zones[w.zone] + 1 > static_cast<int>((spec.tasks + 1) / 2)) {
-    broken("wrong_place: too many of " + spec.id.get() + " in " + w.zone);
+    failures_.add("wrong_place: too many of " + spec.id.get() + " in " + w.zone);
   }
 }
 
@@ -47,9 +48,9 @@
   return std::all_of(
       job.spec.dependencies.begin(), job.spec.dependencies.end(), [this](const JobId& need) {
         const auto at = jobs_.find(need);
-        const auto record = store_.find(protocol::final_key(need));
-        return at != jobs_.end() && at->second.done.size() == at->second.spec.tasks &&
-               record != store_.end() && record->second.value["f"] == "d";
+        const auto* record = state_.find(protocol::final_key(need));
+        return at != jobs_.end() && at->second.done.size() == at->second.spec.tasks && record &&
+               record->value["f"] == "d";
       });
 }
 
@@ -77,62 +78,69 @@
 void SimulatedCluster::check_command(std::size_t n, const TaskId& task) {
   const auto job = jobs_.find(task.job);
   if (job == jobs_.end() || !job->second.cancelled_at) return;
-  bool hears = state_reachable(n);
+  bool hears = state_.is_reachable_from(n);
   for (std::size_t m = 0; m < nodes_.size(); ++m) {
-    hears = hears || (m != n && nodes_[m].up && !cut(node_name(n), node_name(m)));
+    hears = hears ||
+            (m != n && nodes_[m].up && !network_.is_cut(controller_name(n), controller_name(m)));
   }
-  const double since = t_ - *job->second.cancelled_at;
+  const double since = clock_.seconds() - *job->second.cancelled_at;
   if (since > (hears ? 0 : nodes_[n].settings.tuning.member_ttl.count()))
-    broken("ran_cancelled: " + node_name(n) + " commands a start of " + task.job.get() + " " +
-           std::to_string(since) + " s after its cancellation was confirmed");
+    failures_.add("ran_cancelled: " + controller_name(n) + " commands a start of " +
+                  task.job.get() + " " + std::to_string(since) +
+                  " s after its cancellation was confirmed");
 }
 
 void SimulatedCluster::submit(std::size_t n, SimulatedJob& job) {
   Json j = to_json(job.spec);
   if (!nodes_[n].up || !nodes_[n].loaded) return;
-  const auto r = nodes_[n].users->submit(j.dump(), now());
+  const auto r = nodes_[n].users->submit(j.dump(), clock_.now());
   if (r.status == 201 || r.status == 200) job.accepted = true;
   if ((r.status == 400 || r.status == 422) && job.accepted)
-    broken("forgotten: " + job.spec.id.get());
+    failures_.add("forgotten: " + job.spec.id.get());
 }
 
 bool SimulatedCluster::troubled() const {
-  if (state_down_ || !cuts_.empty() || !late_commit_.empty() || !watch_lag_.empty()) return true;
+  if (state_.is_down() || network_.has_cuts() || state_.has_announced_delays() ||
+      !watch_lag_.empty())
+    return true;
   return std::any_of(nodes_.begin(), nodes_.end(), [this](const SimulatedController& n) {
-    return !n.up || !n.loaded || t_ < n.frozen_until;
+    return !n.up || !n.loaded || clock_.seconds() < n.frozen_until;
   });
 }
 
 void SimulatedCluster::poll() {
-  next_poll_ = t_ + 0.5;
-  if (troubled()) troubles_over_ = t_;
+  next_poll_ = clock_.seconds() + 0.5;
+  if (troubled()) troubles_over_ = clock_.seconds();
   for (auto& [id, job] : jobs_) {
     if (!job.accepted) submit(0, job);
     if (!job.accepted) continue;
     for (std::size_t n = 0; n < nodes_.size(); ++n) {
-      if (!nodes_[n].up || !nodes_[n].loaded || t_ < nodes_[n].frozen_until || unasked_.contains(n))
+      if (!nodes_[n].up || !nodes_[n].loaded || clock_.seconds() < nodes_[n].frozen_until ||
+          unasked_.contains(n))
         continue;
       if (job.cancel_asked && !job.cancelled_at && job.told_final.empty()) {
-        const auto r = nodes_[n].users->cancel(id, now());
+        const auto r = nodes_[n].users->cancel(id, clock_.now());
         // What is over already is answered "done", and stays so.
-        if (r.status == 200 && Json::parse(r.body)["status"] == "withdrawn") job.cancelled_at = t_;
+        if (r.status == 200 && Json::parse(r.body)["status"] == "withdrawn")
+          job.cancelled_at = clock_.seconds();
       }
       const auto r = nodes_[n].users->status(id);
-      if (r.status == 404) broken("forgotten: " + id.get());
+      if (r.status == 404) failures_.add("forgotten: " + id.get());
       if (r.status != 200) continue;
-      job.known_at = t_;
+      job.known_at = clock_.seconds();
       check_answer(job, Json::parse(r.body)["status"]);
     }
-    if (!job.ready_since && dependencies_are_done(job)) job.ready_since = t_;
+    if (!job.ready_since && dependencies_are_done(job)) job.ready_since = clock_.seconds();
   }
   check_waiting();
   for (const auto& [id, job] : jobs_) {
-    if (job.accepted && t_ - std::max(job.known_at, troubles_over_) > kForgottenAfter)
-      broken("forgotten: no question about " + id.get() + " is answered");
+    if (job.accepted && clock_.seconds() - std::max(job.known_at, troubles_over_) > kForgottenAfter)
+      failures_.add("forgotten: no question about " + id.get() + " is answered");
   }
   for (std::size_t n = 0; n < nodes_.size(); ++n) {
     if (!nodes_[n].up || !nodes_[n].loaded || unasked_.contains(n)) continue;
-    if (nodes_[n].users->status(JobId("run-999999")).status == 200) broken("invented: run-999999");
+    if (nodes_[n].users->status(JobId("run-999999")).status == 200)
+      failures_.add("invented: run-999999");
   }
 }
 
@@ -140,13 +148,14 @@
   const std::string& id = job.spec.id.get();
   const std::string status = word == "withdrawn" ? "cancelled" : word;  // the wire's word for it
   if (!job.told_final.empty() && status != job.told_final)
-    broken("went_back: " + id + " from " + job.told_final + " to " + status);
-  if (status == "done" && job.done.size() < job.spec.tasks) broken("not_done: " + id);
+    failures_.add("went_back: " + id + " from " + job.told_final + " to " + status);
+  if (status == "done" && job.done.size() < job.spec.tasks) failures_.add("not_done: " + id);
   if (status == "cancelled" && !cancellation_asked(job))
-    broken("went_back: " + id + " cancelled by nobody");
+    failures_.add("went_back: " + id + " cancelled by nobody");
   const auto dependency_cancelled = dependency_cancelled_at(job);
-  if (status != "cancelled" && dependency_cancelled && t_ > *dependency_cancelled + cancel_s_)
-    broken("orphaned: " + id + " is called " + status);
+  if (status != "cancelled" && dependency_cancelled &&
+      clock_.seconds() > *dependency_cancelled + cancel_s_)
+    failures_.add("orphaned: " + id + " is called " + status);
   if (status == "done" || status == "cancelled") job.told_final = status;
 }
 
@@ -160,8 +169,8 @@
       for (const Task& a : attempts) {
         if (a.state != "running") continue;
         use[job->second.spec.team] += job->second.spec.request.cores();
-        if (job->second.cancelled_at && t_ > *job->second.cancelled_at + cancel_s_) {
-          broken("ran_cancelled: " + task.job.get() + "/" + std::to_string(task.no));
+        if (job->second.cancelled_at && clock_.seconds() > *job->second.cancelled_at + cancel_s_) {
+          failures_.add("ran_cancelled: " + task.job.get() + "/" + std::to_string(task.no));
           return;
         }
       }
@@ -171,7 +180,8 @@
     const double most = team["cpus_max"];
     const double used = use[team["name"]];
     if (most > 0 && used > most + 1e-6) {
-      broken("quota: team " + team["name"].get<std::string>() + " uses " + std::to_string(used));
+      failures_.add("quota: team " + team["name"].get<std::string>() + " uses " +
+                    std::to_string(used));
     }
   }
 }
@@ -207,21 +217,22 @@
     if (spec.kind != protocol::Kind::kService) busy.insert(job.done.begin(), job.done.end());
     const bool waits =
         job.accepted && job.ready_since && !cancellation_asked(job) && busy.size() < spec.tasks;
-    const bool room =
-        waits && team_use[spec.team] + spec.request.cores() <= limits.at(spec.team) + 1e-6 &&
-        std::any_of(workers_.begin(), workers_.end(), [&](const auto& m) {
-          const Worker& w = m.second;
-          return w.alive && !w.hung && !w.sick && !w.deaf && !w.mute && !w.taken_at &&
-                 t_ >= w.boots && coordination::may_run(spec, w.type, w.zone, w.spot) &&
-                 used[m.first] + spec.request.cores() <= cores_of(w.type) + 1e-6;
-        });
+    const bool room = waits &&
+                      team_use[spec.team] + spec.request.cores() <= limits.at(spec.team) + 1e-6 &&
+                      std::any_of(workers_.begin(), workers_.end(), [&](const auto& m) {
+                        const Worker& w = m.second;
+                        return w.alive && !w.hung && !w.sick && !w.deaf && !w.mute && !w.taken_at &&
+                               clock_.seconds() >= w.boots &&
+                               coordination::may_run(spec, w.type, w.zone, w.spot) &&
+                               used[m.first] + spec.request.cores() <= cores_of(w.type) + 1e-6;
+                      });
     // Gangs and jobs bound to one zone or spread need more than one machine's room.
     if (!room || troubled() || spec.kind == protocol::Kind::kGang || spec.one_zone || spec.spread) {
       job.room_since.reset();
     } else if (!job.room_since) {
-      job.room_since = t_;
-    } else if (t_ - *job.room_since > kLeftWaitingAfter) {
-      broken("left waiting: " + id.get() + " though a machine has room for it");
+      job.room_since = clock_.seconds();
+    } else if (clock_.seconds() - *job.room_since > kLeftWaitingAfter) {
+      failures_.add("left waiting: " + id.get() + " though a machine has room for it");
     }
   }
 }
@@ -237,7 +248,7 @@
   }
   for (const auto& [id, job] : jobs_) {
     if (cancellation_asked(job) || !job.ready_since ||
-        t_ - std::max(*job.ready_since, troubles_over_) < after) {
+        clock_.seconds() - std::max(*job.ready_since, troubles_over_) < after) {
       continue;
     }
     const auto count = [&served](const std::string& group, bool is_served) {
@@ -252,8 +263,8 @@
   }
   for (const auto& [group, n] : served) {
     if (n.first * 2 < n.second)
-      broken("served of " + group + ": " + std::to_string(n.first) + " of " +
-             std::to_string(n.second));
+      failures_.add("served of " + group + ": " + std::to_string(n.first) + " of " +
+                    std::to_string(n.second));
   }
 }
 
--- a/tests/simulation/commands.cpp
+++ b/tests/simulation/commands.cpp
@@ -33,13 +33,13 @@
     capacity_[type] = static_cast<int>(line.count());
   } else if (line.word() == "machine") {
     const std::string id = line.text(), type = line.text(), zone = line.text();
-    add_worker(id, type, zone, line.text() == "spot", t_);
+    add_worker(id, type, zone, line.text() == "spot", clock_.seconds());
   } else if (line.word() == "machines") {
     // machines <count> <type> <zone>: of a large fleet, numbered on.
     const int count = static_cast<int>(line.count());
     const std::string type = line.text(), zone = line.text();
     for (int i = 0; i < count; ++i) {
-      add_worker("f" + std::to_string(1000 + ++fleet_), type, zone, false, t_);
+      add_worker("f" + std::to_string(1000 + ++fleet_), type, zone, false, clock_.seconds());
     }
   } else {
     return false;
@@ -52,51 +52,48 @@
     const std::size_t n = line.node();
     nodes_[n].upgraded = true;
     nodes_[n].up = false;
-    nodes_[n].back_at = t_ + line.number();
+    nodes_[n].back_at = clock_.seconds() + line.number();
   } else if (line.word() == "freeze") {
     // A controller stands still, its clocks run on; then it goes on where it was.
     const std::size_t n = line.node();
-    nodes_[n].frozen_until = t_ + line.number();
+    nodes_[n].frozen_until = clock_.seconds() + line.number();
   } else if (line.word() == "crash") {
     const std::size_t n = line.node();
     nodes_[n].up = false;
     const std::string back = line.text();
-    nodes_[n].back_at = back.empty() ? -1 : t_ + std::stod(back);
+    nodes_[n].back_at = back.empty() ? -1 : clock_.seconds() + std::stod(back);
   } else if (line.word() == "cut" || line.word() == "mend") {
     const std::string a = line.text(), b = line.text();
     if (line.word() == "cut") {
-      cuts_.insert({a, b});
+      network_.cut(a, b);
     } else {
-      cuts_.erase({a, b});
+      network_.mend(a, b);
     }
   } else if (line.word() == "state") {
-    state_down_ = line.text() == "down";
-    if (!state_down_) {
-      for (auto& [id, l] : leases_) l.until = t_ + l.ttl;
-    }
+    state_.set_down(line.text() == "down");
   } else if (line.word() == "boots") {
     const std::string after = line.text();
     boots_after_ = after == "never" ? 1e9 : std::stod(after);
   } else if (line.word() == "spot") {
     spot_offered_ = line.text() == "on";
   } else if (line.word() == "silent_cuts") {
-    silent_cuts_ = line.text() == "on";
+    network_.set_silent_cuts(line.text() == "on");
   } else if (line.word() == "cloud") {
     cloud_down_ = line.text() == "down";
   } else if (line.word() == "lose_commit") {
-    lose_commit_.insert(line.node());
+    state_.lose_next_answer(line.node());
   } else if (line.word() == "slow_load") {
     const std::size_t n = line.node();
     nodes_[n].load_takes = line.number();
   } else if (line.word() == "late_commit") {
     const std::size_t n = line.node();
-    late_commit_[n] = line.number();
+    state_.delay_next_commit(n, line.number());
   } else if (line.word() == "watch_lag") {
     const std::size_t n = line.node();
     watch_lag_[n] = line.number();
   } else if (line.word() == "put") {
     const std::string key = line.text();
-    write(key, Json::parse(line.rest()), 0, ++revision_);
+    state_.put(key, Json::parse(line.rest()));
   } else if (line.word() == "unasked") {
     unasked_.insert(line.node());
   } else {
@@ -135,7 +132,7 @@
     // Back before it was missed: nothing is on it, and its next session has begun.
     Worker& w = workers_.at(line.text());
     end_agent_incarnation(w);
-    w.boots = w.next_heartbeat = w.last_answered_at = t_ + line.number();
+    w.boots = w.next_heartbeat = w.last_answered_at = clock_.seconds() + line.number();
   } else if (line.word() == "hang") {
     workers_.at(line.text()).hung = true;
   } else if (line.word() == "wake") {
@@ -144,9 +141,9 @@
     workers_.at(line.text()).sick = true;
   } else if (line.word() == "notice") {
     Worker& w = workers_.at(line.text());
-    w.taken_at = t_ + line.number();
+    w.taken_at = clock_.seconds() + line.number();
   } else if (line.word() == "hold_orders") {
-    hold_orders_until_ = t_ + line.number();
+    hold_orders_until_ = clock_.seconds() + line.number();
   } else if (line.word() == "lose_orders") {
     lose_orders_ = line.text() == "on";
   } else if (line.word() == "repeat_orders") {
@@ -191,8 +188,8 @@
   std::istringstream dependencies(options["follows"]);
   for (std::string need; std::getline(dependencies, need, ',');)
     job.spec.dependencies.emplace_back(need);
-  job.submitted = job.known_at = t_;
-  if (job.spec.dependencies.empty()) job.ready_since = t_;
+  job.submitted = job.known_at = clock_.seconds();
+  if (job.spec.dependencies.empty()) job.ready_since = clock_.seconds();
   submit(static_cast<std::size_t>(option("node", 0)), jobs_[job.spec.id] = job);
 }
 
@@ -216,12 +213,12 @@
       command("run " + std::to_string(every));
     }
   } else if (line.word() == "run") {
-    const double until = t_ + line.number();
-    while (t_ < until - 1e-9 && failures_.empty()) step();
+    const double until = clock_.seconds() + line.number();
+    while (clock_.seconds() < until - 1e-9 && failures_.empty()) step();
   } else if (line.word() == "expect") {
     const std::string what = line.text();
     if (!expect_job(what, line) && !expect_fleet(what, line)) {
-      broken("unknown expectation: " + what);
+      failures_.add("unknown expectation: " + what);
     }
   } else {
     return false;
@@ -233,7 +230,7 @@
   if (what == "done" || what == "cancelled") {
     const SimulatedJob& job = jobs_.at(JobId(line.text()));
     if (job.told_final != what)
-      broken("expected " + what + ": " + job.spec.id.get() + " is '" + job.told_final + "'");
+      failures_.add("expected " + what + ": " + job.spec.id.get() + " is '" + job.told_final + "'");
   } else if (what == "running") {
     const JobId id(line.text());
     const auto want = line.count();
@@ -245,24 +242,25 @@
       }
     }
     if (n != want)
-      broken("expected " + std::to_string(want) + " running of " + id.get() + ", not " +
-             std::to_string(n));
+      failures_.add("expected " + std::to_string(want) + " running of " + id.get() + ", not " +
+                    std::to_string(n));
   } else if (what == "began") {
     // ... within so many seconds of its submission.
     const SimulatedJob& job = jobs_.at(JobId(line.text()));
     const double within = line.number();
     if (!job.began || *job.began - job.submitted > within)
-      broken("expected " + job.spec.id.get() + " to have begun within " + std::to_string(within));
+      failures_.add("expected " + job.spec.id.get() + " to have begun within " +
+                    std::to_string(within));
   } else if (what == "served") {
     check_served(0);
   } else if (what == "submit") {
     const int status = static_cast<int>(line.count());
     const std::string body = line.rest();
-    const auto r = nodes_[0].users->submit(body, now());
+    const auto r = nodes_[0].users->submit(body, clock_.now());
     if (r.status != status)
-      broken("expected " + std::to_string(status) + ", not " + std::to_string(r.status) + " " +
-             r.body);
-    if (r.status == 503 && r.retry_after_s == 0) broken("a refusal without Retry-After");
+      failures_.add("expected " + std::to_string(status) + ", not " + std::to_string(r.status) +
+                    " " + r.body);
+    if (r.status == 503 && r.retry_after_s == 0) failures_.add("a refusal without Retry-After");
   } else {
     return false;
   }
@@ -273,23 +271,24 @@
   const auto at_most = [&](const std::string& of, std::size_t n) {
     const std::size_t want = line.count();
     if (n > want)
-      broken("expected at most " + std::to_string(want) + " " + of + ", not " + std::to_string(n));
+      failures_.add("expected at most " + std::to_string(want) + " " + of + ", not " +
+                    std::to_string(n));
   };
   if (what == "most_views") {
-    at_most("views", store_.at(protocol::kViewKey).value["epoch"].get<std::size_t>());
+    at_most("views", state_.records().at(protocol::kViewKey).value["epoch"].get<std::size_t>());
   } else if (what == "most_releases") {
     at_most("releases", static_cast<std::size_t>(releases_));
   } else if (what == "gone") {
     const std::string id = line.text();
-    if (workers_.contains(id)) broken("expected machine " + id + " to be returned");
+    if (workers_.contains(id)) failures_.add("expected machine " + id + " to be returned");
   } else if (what == "kept") {
     const std::string id = line.text();
-    if (!workers_.contains(id)) broken("expected machine " + id + " to be kept");
+    if (!workers_.contains(id)) failures_.add("expected machine " + id + " to be kept");
   } else if (what == "machines") {
     const auto want = line.count();
     if (workers_.size() != want)
-      broken("expected " + std::to_string(want) + " machines, not " +
-             std::to_string(workers_.size()));
+      failures_.add("expected " + std::to_string(want) + " machines, not " +
+                    std::to_string(workers_.size()));
   } else if (what == "most_starts_of") {
     const JobId id(line.text());
     at_most("starts of " + id.get(), jobs_.at(id).starts);
@@ -305,7 +304,7 @@
   CommandLine line(text);
   const bool known =
       set_up(line) || trouble_controllers(line) || trouble_machines(line) || use(line);
-  if (!known) broken("unknown command: " + text);
+  if (!known) failures_.add("unknown command: " + text);
 }
 
 }  // namespace saddleslip::testing
--- a/tests/simulation/controllers.cpp
+++ b/tests/simulation/controllers.cpp
@@ -11,10 +11,10 @@
   SimulatedController& node = nodes_[n];
   Json peers = Json::array();
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
-    if (i != n) peers.push_back({{"member", node_name(i)}, {"address", "10.0.0.1:1"}});
+    if (i != n) peers.push_back({{"member", controller_name(i)}, {"address", "10.0.0.1:1"}});
   }
   Json j = {
-      {"member", node_name(n)},
+      {"member", controller_name(n)},
       {"serve_on", "10.0.0.1:1"},
       {"peer_listen", "10.0.0.1:2"},
       {"siblings", peers},
@@ -37,9 +37,10 @@
   node.users = std::make_unique<UserApi>(
       node.settings, *node.mutex, *node.controller,
       UserApi::Store{[this, n] { return catch_up(n); },
-                     [this, n](const std::string& key) { return get(n, key); },
+                     [this, n](const std::string& key) { return state_.get(n, key); },
                      [this, n](const protocol::Transaction& txn) { return commit(n, txn); },
-                     [this] { return 1000 + t_; }, [this, n] { nodes_[n].round_due = true; },
+                     [this] { return clock_.wall_seconds(); },
+                     [this, n] { nodes_[n].round_due = true; },
                      [this, n](const JobId& id) { broadcast_cancellation(n, id); }});
   node.up = true;
   node.loaded = false;
@@ -49,8 +50,9 @@
 }
 
 bool SimulatedCluster::takes_word(std::size_t from, std::size_t n) const {
-  return n != from && nodes_[n].up && nodes_[n].loaded && t_ >= nodes_[n].frozen_until &&
-         !cut(node_name(from), node_name(n));
+  return n != from && nodes_[n].up && nodes_[n].loaded &&
+         clock_.seconds() >= nodes_[n].frozen_until &&
+         !network_.is_cut(controller_name(from), controller_name(n));
 }
 
 void SimulatedCluster::broadcast_cancellation(std::size_t n, const JobId& id) {
@@ -62,22 +64,22 @@
 }
 
 void SimulatedCluster::load(std::size_t n) {
-  if (!state_reachable(n)) return;
+  if (!state_.is_reachable_from(n)) return;
   SimulatedController& node = nodes_[n];
   auto& cache = node.controller->cache();
   const auto read = [&](bool records) {
-    for (const auto& [key, k] : store_) {
+    for (const auto& [key, k] : state_.records()) {
       if (key.starts_with(protocol::kFinals) || key.starts_with(protocol::kChunks) != records)
         continue;
-      cache.apply({key, k.value, base::Version(k.version)}, now());
+      cache.apply({key, k.value, base::Version(k.version)}, clock_.now());
     }
   };
   if (node.records_at < 0) {
     read(false);
-    node.load_from = revision_;
-    node.records_at = t_ + node.load_takes;
+    node.load_from = state_.revision();
+    node.records_at = clock_.seconds() + node.load_takes;
   }
-  if (t_ < node.records_at) return;
+  if (clock_.seconds() < node.records_at) return;
   read(true);
   cache.advance_to(base::Revision(node.load_from));
   node.records_at = -1;
@@ -88,19 +90,20 @@
   SimulatedController& node = nodes_[n];
   auto& cache = node.controller->cache();
   std::uint64_t upto = cache.revision().get();
-  for (const Change& change : changes_) {
-    if (change.revision <= cache.revision().get() || change.at + lag > t_) continue;
-    if (cache.apply(change.item, now())) node.round_due = true;
+  for (const auto& change : state_.changes()) {
+    if (change.revision <= cache.revision().get() || change.changed_at + lag > clock_.seconds())
+      continue;
+    if (cache.apply(change.item, clock_.now())) node.round_due = true;
     if (change.item.key == protocol::kViewKey || change.item.key == protocol::kLeadKey)
       node.renew_now = true;
     upto = std::max(upto, change.revision);
   }
   cache.advance_to(base::Revision(upto));
-  node.controller->install_view(now());
+  node.controller->install_view(clock_.now());
 }
 
 bool SimulatedCluster::catch_up(std::size_t n) {
-  if (!nodes_[n].loaded || !state_reachable(n)) return false;
+  if (!nodes_[n].loaded || !state_.is_reachable_from(n)) return false;
   take_in(n, 0);
   return true;
 }
@@ -111,24 +114,23 @@
         key.compare(0, protocol::kChunks.size(), protocol::kChunks) != 0) {
       continue;
     }
-    const auto got = get(n, key);
+    const auto got = state_.get(n, key);
     if (got.answered && got.item.version.get() != 0)
-      nodes_[n].controller->cache().apply(got.item, now());
+      nodes_[n].controller->cache().apply(got.item, clock_.now());
   }
 }
 
 void SimulatedCluster::renew_lease(std::size_t n) {
   SimulatedController& node = nodes_[n];
   const auto ttl = node.settings.tuning.member_ttl;
-  node.next_renewal = t_ + ttl.count() / 4;
+  node.next_renewal = clock_.seconds() + ttl.count() / 4;
   node.renew_now = false;
-  if (!state_reachable(n)) return;
+  if (!state_.is_reachable_from(n)) return;
   if (!node.lease) {
-    leases_[++next_lease_] = {ttl.count(), t_ + ttl.count()};
-    node.lease = base::LeaseId(next_lease_);
-    const protocol::ControllerIncarnation incarnation{base::MemberId(node_name(n)),
-                                                      base::Incarnation(next_lease_)};
-    node.controller->begin_incarnation(incarnation, now());
+    node.lease = state_.grant_lease(ttl.count());
+    const protocol::ControllerIncarnation incarnation{base::MemberId(controller_name(n)),
+                                                      base::Incarnation(node.lease->get())};
+    node.controller->begin_incarnation(incarnation, clock_.now());
     const auto txn = node.controller->member_record(*node.lease, false);
     const auto done = commit(n, txn);
     if (done.outcome != Outcome::kDone) {
@@ -136,26 +138,24 @@
       node.lease.reset();
       return;
     }
-    node.controller->cache().apply(txn, done.revision, now());
+    node.controller->cache().apply(txn, done.revision, clock_.now());
   }
-  const auto lease = leases_.find(node.lease->get());
-  if (lease == leases_.end()) {
+  if (!state_.renew_lease(*node.lease)) {
     node.lease.reset();
     node.controller->end_incarnation();
     node.renew_now = true;
     return;
   }
-  node.controller->tell_time(now(), 1000 + t_);
-  lease->second.until = t_ + ttl.count();
-  node.controller->lease_acquired(now());
+  node.controller->tell_time(clock_.now(), clock_.wall_seconds());
+  node.controller->lease_acquired(clock_.now());
   const std::uint64_t cache_generation = node.controller->cache_generation();
-  if (catch_up(n)) node.controller->lease_renewed(now(), cache_generation);
-  if (const auto txn = node.controller->propose_ownership_claims(now())) commit(n, *txn);
-  if (const auto txn = node.controller->propose_membership_change(now(), *node.lease)) {
+  if (catch_up(n)) node.controller->lease_renewed(clock_.now(), cache_generation);
+  if (const auto txn = node.controller->propose_ownership_claims(clock_.now())) commit(n, *txn);
+  if (const auto txn = node.controller->propose_membership_change(clock_.now(), *node.lease)) {
     const auto done = commit(n, *txn);
     if (done.outcome == Outcome::kDone) {
-      node.controller->cache().apply(*txn, done.revision, now());
-      node.controller->install_view(now());
+      node.controller->cache().apply(*txn, done.revision, clock_.now());
+      node.controller->install_view(clock_.now());
       node.renew_now = true;
       node.round_due = true;
     }
@@ -165,7 +165,7 @@
 void SimulatedCluster::read_unresolved_dependencies(std::size_t n) {
   auto& cache = nodes_[n].controller->cache();
   for (const JobId& id : cache.unresolved_dependencies()) {
-    const auto got = get(n, protocol::final_key(id));
+    const auto got = state_.get(n, protocol::final_key(id));
     const auto state = got.answered ? protocol::parse_final(got.item.value) : std::nullopt;
     if (state) cache.remember_final(id, *state);
   }
@@ -173,7 +173,7 @@
 
 void SimulatedCluster::trace_order(std::size_t node, const coordination::CommandBatch& order) {
   if (!trace_.is_open()) return;
-  trace_.write(t_, "order", node_name(node), order.machine.get(),
+  trace_.write(clock_.seconds(), "order", controller_name(node), order.machine.get(),
                protocol::orders(order.fencing_token, order.agent_incarnation, order.commands));
 }
 
@@ -181,7 +181,7 @@
   SimulatedController& node = nodes_[n];
   auto& c = *node.controller;
   node.round_due = false;
-  node.next_round = t_ + node.settings.tuning.round_period.count();
+  node.next_round = clock_.seconds() + node.settings.tuning.round_period.count();
   const auto send = [&](const std::vector<coordination::CommandBatch>& orders) {
     for (const auto& o : orders) {
       trace_order(n, o);
@@ -189,41 +189,44 @@
         if (command.op == Command::Op::kRun) check_command(n, command.task);
       }
       if (lose_orders_) continue;
-      if (t_ < hold_orders_until_) {
+      if (clock_.seconds() < hold_orders_until_) {
         late_.push_back({hold_orders_until_, o.machine.get(), o, n});
         continue;
       }
-      if (cut(node_name(n), "workers") || cut(node_name(n), o.machine.get())) continue;
+      if (network_.is_cut(controller_name(n), "workers") ||
+          network_.is_cut(controller_name(n), o.machine.get()))
+        continue;
       const auto w = workers_.find(o.machine.get());
       if (w != workers_.end() && w->second.hung) {
         late_.push_back({-1, o.machine.get(), o, n});
         continue;
       }
       deliver(o, n);
-      if (repeat_orders_) late_.push_back({t_ + 20, o.machine.get(), o, n});
+      if (repeat_orders_) late_.push_back({clock_.seconds() + 20, o.machine.get(), o, n});
     }
   };
   for (int i = 0; i < 6; ++i) {
-    c.install_view(now());
-    auto routed = c.route(now());
+    c.install_view(clock_.now());
+    auto routed = c.route(clock_.now());
     for (auto& [member, offers] : routed) {
       if (trace_.is_open())
-        trace_.write(t_, "offers", node_name(n), member.get(), to_json(offers).dump());
+        trace_.write(clock_.seconds(), "offers", controller_name(n), member.get(),
+                     to_json(offers).dump());
       for (std::size_t m = 0; m < nodes_.size(); ++m) {
-        if (node_name(m) != member.get() || !nodes_[m].up ||
-            (m != n && cut(node_name(n), node_name(m))))
+        if (controller_name(m) != member.get() || !nodes_[m].up ||
+            (m != n && network_.is_cut(controller_name(n), controller_name(m))))
           continue;
-        nodes_[m].controller->add_offers(offers, now());
+        nodes_[m].controller->add_offers(offers, clock_.now());
         nodes_[m].round_due = true;
       }
     }
-    const auto plan = c.plan(now(), coordination::WriteBudget::kNormal);
+    const auto plan = c.plan(clock_.now(), coordination::WriteBudget::kNormal);
     bool went = false;
     if (!plan.empty()) {
       const auto done = commit(n, plan.txn);
       went = done.outcome == Outcome::kDone;
       if (went) {
-        send(c.committed(plan, base::Version(done.revision.get()), now()));
+        send(c.committed(plan, base::Version(done.revision.get()), clock_.now()));
       } else if (done.outcome == Outcome::kConflict) {
         refresh(n, done.failed);
       } else if (done.outcome == Outcome::kUnknown) {
@@ -232,15 +235,15 @@
         refresh(n, keys);
       }
     }
-    send(c.stops(now()));
+    send(c.stops(clock_.now()));
     if (plan.empty() || (went && !plan.more)) break;
   }
   for (const auto& txn :
-       {c.finalize_one_job(now()), c.split_one_record(now()), c.collect_garbage()}) {
+       {c.finalize_one_job(clock_.now()), c.split_one_record(clock_.now()), c.collect_garbage()}) {
     if (!txn) continue;
     const auto done = commit(n, *txn);
     if (done.outcome == Outcome::kDone) {
-      c.cache().apply(*txn, done.revision, now());
+      c.cache().apply(*txn, done.revision, clock_.now());
       node.round_due = true;
     }
   }
@@ -250,8 +253,8 @@
 void SimulatedCluster::fleet(std::size_t n) {
   SimulatedController& node = nodes_[n];
   auto& c = *node.controller;
-  node.next_fleet = t_ + 1;
-  if (!c.is_leader(now())) return;
+  node.next_fleet = clock_.seconds() + 1;
+  if (!c.is_leader(clock_.now())) return;
   if (c.cache().catalogue().empty()) {
     Json types = Json::array();
     for (const auto& [type, cores] : {std::pair("small", 4), std::pair("big", 8)}) {
@@ -271,73 +274,78 @@
     commit(n, txn);
     return;
   }
-  auto actions = c.plan_scaling(now(), 1000 + t_);
+  auto actions = c.plan_scaling(clock_.now(), clock_.wall_seconds());
   if (cloud_down_) return;
   if (!actions.release.empty()) {
     for (const auto& id : actions.release) {
-      trace_.write(t_, "release", node_name(n), id.get());
+      trace_.write(clock_.seconds(), "release", controller_name(n), id.get());
       workers_.erase(id.get());
       ++releases_;
     }
-    c.released(actions.release, now());
+    c.released(actions.release, clock_.now());
     node.round_due = true;
   }
   for (const auto& r : actions.plan.scale_out) {
-    const std::string rental = node_name(n) + "-" + std::to_string(c.self().incarnation.get()) +
-                               "-" + std::to_string(++node.rental_count);
-    if (rentals_.contains(rental)) broken("a rental's name is used twice: " + rental);
-    trace_.write(t_, "rent", rental, r.kind.type, r.kind.zone, r.kind.spot, r.count);
+    const std::string rental = controller_name(n) + "-" +
+                               std::to_string(c.self().incarnation.get()) + "-" +
+                               std::to_string(++node.rental_count);
+    if (rentals_.contains(rental)) failures_.add("a rental's name is used twice: " + rental);
+    trace_.write(clock_.seconds(), "rent", rental, r.kind.type, r.kind.zone, r.kind.spot, r.count);
     auto& got = rentals_[rental];
     const bool offered = !r.kind.spot || spot_offered_;
     for (int i = 0; offered && i < r.count && capacity_[r.kind.type] > 0; ++i) {
       --capacity_[r.kind.type];
       const std::string id = "i-" + std::to_string(next_machine_++);
-      add_worker(id, r.kind.type, r.kind.zone, r.kind.spot, t_ + boots_after_);
+      add_worker(id, r.kind.type, r.kind.zone, r.kind.spot, clock_.seconds() + boots_after_);
       got.emplace_back(id);
     }
-    if (static_cast<int>(got.size()) < r.count) c.refused(r.kind, now());
-    c.rented(r.kind, got, 1000 + t_);
+    if (static_cast<int>(got.size()) < r.count) c.refused(r.kind, clock_.now());
+    c.rented(r.kind, got, clock_.wall_seconds());
   }
 }
 
 void SimulatedCluster::step_node(std::size_t n) {
   SimulatedController& node = nodes_[n];
   if (!node.up) {
-    if (node.back_at >= 0 && t_ >= node.back_at) start_node(n);
+    if (node.back_at >= 0 && clock_.seconds() >= node.back_at) start_node(n);
     return;
   }
-  if (t_ < node.busy_until || t_ < node.frozen_until) return;
+  if (clock_.seconds() < node.busy_until || clock_.seconds() < node.frozen_until) return;
   if (!node.loaded) load(n);
   if (!node.loaded) return;
   auto& c = *node.controller;
-  if (state_reachable(n)) {
+  if (state_.is_reachable_from(n)) {
     const double lag = watch_lag_.contains(n) ? watch_lag_[n] : 0;
     take_in(n, lag);
   }
-  if (t_ >= node.next_renewal || node.renew_now) renew_lease(n);
-  if (t_ >= node.next_peer_sync) {
-    node.next_peer_sync = t_ + 0.7;
+  if (clock_.seconds() >= node.next_renewal || node.renew_now) renew_lease(n);
+  if (clock_.seconds() >= node.next_peer_sync) {
+    node.next_peer_sync = clock_.seconds() + 0.7;
     for (std::size_t m = 0; m < nodes_.size(); ++m) {
       if (!takes_word(n, m)) continue;
-      const auto status = c.status(base::MemberId(node_name(m)), now());
-      const auto said = nodes_[m].controller->handle_peer_status(status, now());
+      const auto status = c.status(base::MemberId(controller_name(m)), clock_.now());
+      const auto said = nodes_[m].controller->handle_peer_status(status, clock_.now());
       if (trace_.is_open()) {
-        trace_.write_digest(
-            t_, std::string("status ").append(node_name(n)).append(" ").append(node_name(m)),
-            to_json(status, now()).dump() + protocol::ids_to_json(said.released).dump() +
-                protocol::ids_to_json(said.cordon).dump() +
-                protocol::ids_to_json(said.drain).dump());
+        trace_.write_digest(clock_.seconds(),
+                            std::string("status ")
+                                .append(controller_name(n))
+                                .append(" ")
+                                .append(controller_name(m)),
+                            to_json(status, clock_.now()).dump() +
+                                protocol::ids_to_json(said.released).dump() +
+                                protocol::ids_to_json(said.cordon).dump() +
+                                protocol::ids_to_json(said.drain).dump());
       }
-      c.status_acknowledged(base::MemberId(node_name(m)), said.again ? 0 : status.upto);
-      if (said.again) node.next_peer_sync = t_;
-      c.peer_reached(base::MemberId(node_name(m)), now());
-      c.mark_released(said.released, now());
+      c.status_acknowledged(base::MemberId(controller_name(m)), said.again ? 0 : status.upto);
+      if (said.again) node.next_peer_sync = clock_.seconds();
+      c.peer_reached(base::MemberId(controller_name(m)), clock_.now());
+      c.mark_released(said.released, clock_.now());
       c.cordon_idle(said.cordon);
       c.drain(said.drain);
     }
   }
-  if (t_ >= node.next_round || node.round_due) round(n);
-  if (t_ >= node.next_fleet) fleet(n);
+  if (clock_.seconds() >= node.next_round || node.round_due) round(n);
+  if (clock_.seconds() >= node.next_fleet) fleet(n);
 }
 
 }  // namespace saddleslip::testing
--- /dev/null
+++ b/tests/simulation/failure_log.cpp
@@ -0,0 +1,18 @@
+#include "simulation/failure_log.h"
+
+#include <sstream>
+
+namespace saddleslip::testing {
+
+void FailureLog::add(const std::string& what) {
+  std::ostringstream out;
+  out.precision(4);
+  out << "at " << clock_.seconds() << ": " << what;
+  lines_.push_back(out.str());
+}
+
+void FailureLog::add_position(int line_number, const std::string& line) {
+  lines_.push_back("in line " + std::to_string(line_number) + ": " + line);
+}
+
+}  // namespace saddleslip::testing
--- a/tests/simulation/simulated_cluster.h
+++ b/tests/simulation/simulated_cluster.h
@@ -39,7 +39,11 @@
 
 #include "api/user_api.h"
 #include "coordination/controller.h"
+#include "simulation/failure_log.h"
 #include "simulation/scenario_trace.h"
+#include "simulation/simulated_clock.h"
+#include "simulation/simulated_network.h"
+#include "simulation/simulated_state_service.h"
 
 namespace saddleslip::testing {
 
@@ -61,19 +65,6 @@
   void trace_as(const std::string& scenario) { trace_.open(scenario); }
 
  private:
-  struct Key {
-    Json value;
-    std::uint64_t version = 0;
-    std::uint64_t lease = 0;
-  };
-  struct Lease {
-    double ttl = 0, until = 0;
-  };
-  struct Change {
-    std::uint64_t revision;
-    protocol::Item item;
-    double at;
-  };
   struct Task {
     std::uint64_t attempt = 0;
     std::string state, cause;
@@ -135,16 +126,16 @@
     std::size_t starts = 0, starts_seen = 0;
   };
 
-  double t_ = 0;
+  SimulatedClock clock_;
+  FailureLog failures_{clock_};
+  SimulatedNetwork network_;
+  SimulatedStateService state_{clock_, network_};
   ScenarioTrace trace_;
   void trace_commit(std::size_t node, const protocol::Transaction& txn,
                     const protocol::StateClient::Committed& done);
   void trace_order(std::size_t node, const coordination::CommandBatch& order);
-  Time now() const;
 
   // the stand-ins
-  void write(const std::string& key, const Json& value, std::uint64_t lease,
-             std::uint64_t revision);
   protocol::StateClient::Committed commit(std::size_t node, const protocol::Transaction& txn);
   protocol::StateClient::Committed commit_untraced(std::size_t node,
                                                    const protocol::Transaction& txn);
@@ -153,10 +144,6 @@
   bool is_version_before(std::size_t node) const;
   static bool writes_as_this_version(const protocol::Transaction& txn);
   static protocol::Transaction without_format(protocol::Transaction txn);
-  protocol::StateClient::Committed apply(const protocol::Transaction& txn);
-  protocol::StateClient::Got get(std::size_t node, const std::string& key);
-  bool state_reachable(std::size_t node) const;
-  void expire_leases();
   void step_workers();
   void execute(Worker& w, const std::vector<Command>& commands);
   protocol::Heartbeat heartbeat_of(Worker& w);
@@ -180,7 +167,6 @@
   void fleet(std::size_t n);
   void refresh(std::size_t n, const std::vector<std::string>& keys);
   void read_unresolved_dependencies(std::size_t n);
-  bool cut(const std::string& a, const std::string& b) const;
 
   // users and rules
   void submit(std::size_t node, SimulatedJob& job);
@@ -201,7 +187,6 @@
   void check_waiting();
   void check_served(double after);
   bool troubled() const;
-  void broken(const std::string& what);
   // The scenario language, by what a command is about. False: the word is none of these.
   void command(const std::string& text);
   bool set_up(CommandLine& line);
@@ -213,19 +198,11 @@
   bool expect_fleet(const std::string& what, CommandLine& line);
   void step();
 
-  std::map<std::string, Key> store_;
-  std::map<std::uint64_t, Lease> leases_;
-  std::vector<Change> changes_;
-  std::uint64_t revision_ = 0, next_lease_ = 0;
-  bool state_down_ = false;
   // The store's limits as the settings say, and those that it gets later; none: they say nothing of them.
   struct StateLimits {
     std::size_t value_bytes = 0, writes = 0;
   };
   std::optional<StateLimits> limits_, next_limits_;
-  std::set<std::size_t> lose_commit_;  // the next commit of this node is carried out, unanswered
-  std::map<std::size_t, double> late_commit_;  // ... or carried out this much later
-  std::vector<std::pair<double, protocol::Transaction>> late_commits_;
   std::map<std::size_t, double> watch_lag_;
   // Users do not reach these nodes, whose copies no question refreshes.
   std::set<std::size_t> unasked_;
@@ -236,11 +213,9 @@
   double hold_orders_until_ = -1;
   bool lose_orders_ = false;
   bool repeat_orders_ = false;
-  std::set<std::pair<std::string, std::string>> cuts_;
   bool cloud_down_ = false;
   bool spot_offered_ = true;
-  double boots_after_ = 5;    // what is rented is up after so long
-  bool silent_cuts_ = false;  // cut connections hang rather than being reset
+  double boots_after_ = 5;  // what is rented is up after so long
   int next_machine_ = 1;
   int repeated_ = 0;
   int fleet_ = 0;  // machines added by the hundred
@@ -251,7 +226,6 @@
   std::vector<SimulatedController> nodes_;
   std::string operators_;
   std::map<JobId, SimulatedJob> jobs_;
-  std::vector<std::string> failures_;
   double next_poll_ = 0;
   std::size_t starts_ = 0;
   std::string teams_ = R"({"name":"t","cpus":0,"cpus_max":0})";
--- a/tests/simulation/simulation_internal.h
+++ b/tests/simulation/simulation_internal.h
@@ -10,11 +10,8 @@
 using protocol::StateClient;
 using Outcome = StateClient::Outcome;
 
-inline constexpr double kStep = 0.05;         // seconds of simulated time
 inline constexpr double kServedWithin = 240;  // the operators' check of a whole day
 
-std::string node_name(std::size_t n);
-
 inline double cores_of(const std::string& machine_type) {
   return machine_type == "big" ? 8 : 4;
 }
--- a/tests/simulation/state.cpp
+++ b/tests/simulation/state.cpp
@@ -7,55 +7,17 @@
 
 namespace saddleslip::testing {
 
-bool SimulatedCluster::state_reachable(std::size_t node) const {
-  return !state_down_ && !cut(node_name(node), "state");
-}
-
-void SimulatedCluster::write(const std::string& key, const Json& value, std::uint64_t lease,
-                             std::uint64_t revision) {
-  if (value.is_null()) {
-    store_.erase(key);
-  } else {
-    store_[key] = {value, revision, lease};
-  }
-  changes_.push_back({revision, {key, value, base::Version(revision)}, t_});
-}
-
-StateClient::Committed SimulatedCluster::apply(const protocol::Transaction& txn) {
-  StateClient::Committed c;
-  for (const auto& [key, version] : txn.preconditions) {
-    const auto at = store_.find(key);
-    if ((at == store_.end() ? 0 : at->second.version) != version.get()) c.failed.push_back(key);
-  }
-  c.revision = base::Revision(revision_);
-  c.outcome = Outcome::kConflict;
-  if (!c.failed.empty()) return c;
-  for (const auto& w : txn.writes) {
-    if (w.lease && !leases_.contains(w.lease->get())) {
-      c.outcome = Outcome::kMalformed;
-      return c;
-    }
-  }
-  ++revision_;
-  for (const auto& w : txn.writes) {
-    write(w.key, w.value ? *w.value : Json(), w.lease ? w.lease->get() : 0, revision_);
-  }
-  c.revision = base::Revision(revision_);
-  c.outcome = Outcome::kDone;
-  return c;
-}
-
 // Limits hold whatever the conditions: seen at fleet size, a record of all booting machines that no value
 // holds was refused for ever. Those that the store has later hold for what is written now, too.
 void SimulatedCluster::check_limits(std::size_t node, const protocol::Transaction& txn) {
   const auto& limits = nodes_[node].settings;
   if (txn.writes.size() > limits.txn_ops ||
       txn.preconditions.size() > limits.txn_ops * protocol::kPreconditionsPerWrite)
-    broken("a transaction of " + std::to_string(txn.writes.size()) + " changes and " +
-           std::to_string(txn.preconditions.size()) + " conditions");
+    failures_.add("a transaction of " + std::to_string(txn.writes.size()) + " changes and " +
+                  std::to_string(txn.preconditions.size()) + " conditions");
   for (const auto& w : txn.writes) {
     if (w.value && w.value->dump().size() > limits.value_bytes)
-      broken("a value too large for the store: " + w.key);
+      failures_.add("a value too large for the store: " + w.key);
   }
 }
 
@@ -83,7 +45,8 @@
     all_upgraded = all_upgraded && !is_version_before(n);
   for (const protocol::Put& w : txn.writes) {
     const bool divides = w.key.starts_with(protocol::kJobs) && w.value && w.value->contains("p");
-    if (divides && !all_upgraded) broken("pieces before all controllers read them: " + w.key);
+    if (divides && !all_upgraded)
+      failures_.add("pieces before all controllers read them: " + w.key);
   }
 }
 
@@ -91,14 +54,14 @@
                                     const StateClient::Committed& done) {
   if (!trace_.is_open()) return;
   std::ostringstream out;
-  out << "commit " << node_name(node) << " outcome " << static_cast<int>(done.outcome)
+  out << "commit " << controller_name(node) << " outcome " << static_cast<int>(done.outcome)
       << " revision " << done.revision.get();
   for (const auto& [key, version] : txn.preconditions) out << ' ' << key << '@' << version.get();
   for (const auto& w : txn.writes) {
     out << ' ' << w.key << '=' << (w.value ? w.value->dump() : "removed");
     if (w.lease) out << '~' << w.lease->get();
   }
-  trace_.write(t_, out.str());
+  trace_.write(clock_.seconds(), out.str());
 }
 
 StateClient::Committed SimulatedCluster::commit(std::size_t node,
@@ -117,48 +80,17 @@
     c.outcome = Outcome::kConflict;
     return c;
   }
-  if (!state_reachable(node)) {
+  if (!state_.is_reachable_from(node)) {
     c.outcome = Outcome::kRefused;
     return c;
   }
-  if (const auto late = late_commit_.find(node); late != late_commit_.end()) {
-    late_commits_.emplace_back(t_ + late->second, txn);
-    late_commit_.erase(late);
-    return c;
-  }
-  c = apply(is_version_before(node) ? without_format(txn) : txn);
-  if (lose_commit_.erase(node) > 0) {
+  if (state_.delays_commit(node, txn)) return c;
+  c = state_.apply(is_version_before(node) ? without_format(txn) : txn);
+  if (state_.loses_answer(node)) {
     c = {};
-    nodes_[node].busy_until = t_ + 1.5;
+    nodes_[node].busy_until = clock_.seconds() + 1.5;
   }
   return c;
 }
 
-StateClient::Got SimulatedCluster::get(std::size_t node, const std::string& key) {
-  StateClient::Got g;
-  if (!state_reachable(node)) return g;
-  g.answered = true;
-  g.item.key = key;
-  const auto at = store_.find(key);
-  if (at != store_.end()) g.item = {key, at->second.value, base::Version(at->second.version)};
-  return g;
-}
-
-void SimulatedCluster::expire_leases() {
-  if (state_down_) return;
-  for (auto it = leases_.begin(); it != leases_.end();) {
-    if (t_ < it->second.until) {
-      ++it;
-      continue;
-    }
-    std::vector<std::string> keys;
-    for (const auto& [key, k] : store_) {
-      if (k.lease == it->first) keys.push_back(key);
-    }
-    if (!keys.empty()) ++revision_;
-    for (const auto& key : keys) write(key, Json(), 0, revision_);
-    it = leases_.erase(it);
-  }
-}
-
 }  // namespace saddleslip::testing
--- a/tests/simulation/workers.cpp
+++ b/tests/simulation/workers.cpp
@@ -41,9 +41,9 @@
   Json j = {{"mount", w.id},         {"endpoint", w.id + ":1"},  {"breed", w.type},
             {"paddock", w.zone},     {"strays", w.spot},         {"ride", w.agent_incarnation},
             {"tally", ++w.sequence}, {"reins", w.fencing_token}, {"strides", tasks}};
-  if (w.taken_at) j["recall_s"] = *w.taken_at - t_;
+  if (w.taken_at) j["recall_s"] = *w.taken_at - clock_.seconds();
   auto r = protocol::parse_heartbeat(j.dump());
-  if (!r) broken("the stand-in's report can't be parsed");
+  if (!r) failures_.add("the stand-in's report can't be parsed");
   return *r;
 }
 
@@ -54,7 +54,7 @@
                                  [&](const Task& t) { return t.attempt == c.attempt.get(); });
     if (c.op == Command::Op::kRun) {
       if (at != attempts.end()) continue;
-      Task t{c.attempt.get(), "pulling", "", t_ + kPull, 0};
+      Task t{c.attempt.get(), "pulling", "", clock_.seconds() + kPull, 0};
       const auto job = jobs_.find(c.task.job);
       double used = 0;
       for (const auto& [id, all] : w.tasks) {
@@ -91,27 +91,29 @@
 void SimulatedCluster::end_agent_incarnation(Worker& w) {
   w.tasks.clear();
   ++w.agent_incarnation;
-  w.last_answered_at = t_;
+  w.last_answered_at = clock_.seconds();
 }
 
 void SimulatedCluster::heartbeat(Worker& w) {
-  w.next_heartbeat = t_ + heartbeat_s_;
+  w.next_heartbeat = clock_.seconds() + heartbeat_s_;
   const std::size_t n = w.node;
   const auto next = [&] {
     w.node = (w.node + 1) % nodes_.size();
-    w.next_heartbeat = t_ + 1.0;
+    w.next_heartbeat = clock_.seconds() + 1.0;
   };
   if (!nodes_[n].up || !nodes_[n].loaded) return next();
-  if (w.mute || cut(node_name(n), "workers") || cut(node_name(n), w.id) ||
-      cut(node_name(n), w.zone) || t_ < nodes_[n].frozen_until) {
+  if (w.mute || network_.is_cut(controller_name(n), "workers") ||
+      network_.is_cut(controller_name(n), w.id) || network_.is_cut(controller_name(n), w.zone) ||
+      clock_.seconds() < nodes_[n].frozen_until) {
     next();
-    if (silent_cuts_) w.next_heartbeat += kNoResponse;
+    if (network_.cuts_are_silent()) w.next_heartbeat += kNoResponse;
     return;
   }
   const auto heartbeat = heartbeat_of(w);
-  if (w.copies_after >= 0) late_heartbeats_.push_back({t_ + w.copies_after, heartbeat});
-  const auto reply = nodes_[n].controller->handle_heartbeat(heartbeat, now());
-  trace_.write(t_, "report", w.id, node_name(n), reply.status, reply.body);
+  if (w.copies_after >= 0)
+    late_heartbeats_.push_back({clock_.seconds() + w.copies_after, heartbeat});
+  const auto reply = nodes_[n].controller->handle_heartbeat(heartbeat, clock_.now());
+  trace_.write(clock_.seconds(), "report", w.id, controller_name(n), reply.status, reply.body);
   nodes_[n].round_due = true;
   if (w.deaf) {
     next();
@@ -121,9 +123,9 @@
   const Json body = Json::parse(reply.body, nullptr, false);
   if (reply.status == 421 && body.contains("trailboss")) {
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
-      if (node_name(i) != body["trailboss"] || i == n) continue;
+      if (controller_name(i) != body["trailboss"] || i == n) continue;
       w.node = i;
-      w.next_heartbeat = t_ + 0.1;
+      w.next_heartbeat = clock_.seconds() + 0.1;
       return;
     }
   }
@@ -131,7 +133,7 @@
   const auto fencing_token = body["reins"].get<std::uint64_t>();
   if (fencing_token < w.fencing_token) return;
   w.fencing_token = fencing_token;
-  w.last_answered_at = t_;
+  w.last_answered_at = clock_.seconds();
   std::vector<Command> commands;
   for (const Json& c : body["calls"]) {
     const std::string stride = c["stride"];
@@ -147,12 +149,14 @@
     commands.push_back(cmd);
   }
   execute(w, commands);
-  if (!commands.empty()) w.next_heartbeat = std::min(w.next_heartbeat, t_ + 0.5);
+  if (!commands.empty()) w.next_heartbeat = std::min(w.next_heartbeat, clock_.seconds() + 0.5);
 }
 
 void SimulatedCluster::deliver(const coordination::CommandBatch& order, std::size_t from) {
   const auto at = workers_.find(order.machine.get());
-  if (at == workers_.end() || !at->second.alive || at->second.hung || t_ < at->second.boots) return;
+  if (at == workers_.end() || !at->second.alive || at->second.hung ||
+      clock_.seconds() < at->second.boots)
+    return;
   Worker& w = at->second;
   if (w.deaf) return;
   if (order.fencing_token.get() >= w.fencing_token &&
@@ -162,40 +166,41 @@
   }
   const auto heartbeat = heartbeat_of(w);
   if (nodes_[from].up)
-    nodes_[from].controller->handle_command_reply(order.machine, heartbeat, now());
+    nodes_[from].controller->handle_command_reply(order.machine, heartbeat, clock_.now());
 }
 
 void SimulatedCluster::step_workers() {
   for (auto& [id, w] : workers_) {
-    if (!w.alive || t_ < w.boots) continue;
-    if (w.taken_at && t_ >= *w.taken_at) {
+    if (!w.alive || clock_.seconds() < w.boots) continue;
+    if (w.taken_at && clock_.seconds() >= *w.taken_at) {
       w.alive = false;
       w.tasks.clear();
       continue;
     }
     // A hung machine may go on at any time within its lease, not after it.
-    if (t_ - w.last_answered_at > lease_s_) end_agent_incarnation(w);
+    if (clock_.seconds() - w.last_answered_at > lease_s_) end_agent_incarnation(w);
     if (w.hung) continue;
     bool changed = false;
     for (auto& [task, attempts] : w.tasks) {
       for (Task& a : attempts) {
         const auto job = jobs_.find(task.job);
-        if (a.state == "pulling" && t_ >= a.ready) {
+        if (a.state == "pulling" && clock_.seconds() >= a.ready) {
           // On its machine from here on.
           check_start(w, task);
           if (!job->second.began) {
-            job->second.began = t_;
+            job->second.began = clock_.seconds();
             job->second.waited =
-                t_ - std::max(job->second.ready_since.value_or(t_), troubles_over_);
+                clock_.seconds() -
+                std::max(job->second.ready_since.value_or(clock_.seconds()), troubles_over_);
           }
           a.state = "running";
-          a.ends = t_ + job->second.fails_after.value_or(job->second.run);
+          a.ends = clock_.seconds() + job->second.fails_after.value_or(job->second.run);
           if (w.sick) {
             a.state = "ended";
             a.cause = "error";
           }
           changed = true;
-        } else if (a.state == "running" && t_ >= a.ends &&
+        } else if (a.state == "running" && clock_.seconds() >= a.ends &&
                    job->second.spec.kind != protocol::Kind::kService) {
           const bool failed = job->second.fails_after.has_value();
           a.state = "ended";
@@ -205,8 +210,8 @@
         }
       }
     }
-    if (changed) w.next_heartbeat = std::min(w.next_heartbeat, t_ + 0.2);
-    if (t_ >= w.next_heartbeat) heartbeat(w);
+    if (changed) w.next_heartbeat = std::min(w.next_heartbeat, clock_.seconds() + 0.2);
+    if (clock_.seconds() >= w.next_heartbeat) heartbeat(w);
   }
 }
 
