--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -3,13 +3,13 @@
 #include <algorithm>
 
 #include "base/log.h"
-#include "protocol/id_lists.h"
+#include "protocol/paths.h"
+#include "protocol/peer_messages.h"
 
 namespace saddleslip {
 
 using base::JobId;
 using base::Version;
-using protocol::Json;
 using protocol::StateClient;
 using protocol::Transaction;
 using Outcome = StateClient::Outcome;
@@ -23,10 +23,8 @@
 constexpr Seconds kStateCall{1.5};
 constexpr Seconds kShortPause{0.2};
 constexpr Seconds kOrderCall{1.0};
-constexpr Seconds kLeastGap{0.05};     // between two rounds: what comes in a burst shares one
-constexpr double kRoundShare = 6;      // a round waits so many times as long as its decisions take
-constexpr double kMaxDebt = 0.4;       // seconds' worth of writes that urgent work may run ahead
-constexpr double kSurplusShare = 0.6;  // seconds' worth saved up: records that could wait go too
+constexpr Seconds kLeastGap{0.05};  // between two rounds: what comes in a burst shares one
+constexpr double kRoundShare = 6;   // a round waits so many times as long as its decisions take
 constexpr std::size_t kMostOrders = 512;
 constexpr std::size_t kMaxUnsentCancellations = 1024;  // cancellations that a sibling has not taken
 // An answer of changes that were missed takes several times its size once it is parsed.
@@ -51,22 +49,6 @@
 
 }  // namespace
 
-void Daemon::WakeupEvent::notify() {
-  {
-    const std::lock_guard lock(mutex_);
-    if (is_set_) return;
-    is_set_ = true;
-  }
-  is_set_condition_.notify_one();
-}
-
-bool Daemon::WakeupEvent::wait(Seconds most) {
-  std::unique_lock lock(mutex_);
-  const bool is_set = is_set_condition_.wait_for(lock, most, [this] { return is_set_; });
-  is_set_ = false;
-  return is_set;
-}
-
 Daemon::Daemon(base::Settings settings)
     : settings_(std::move(settings)),
       state_(settings_.state, settings_.memory_bytes / kChangesShare),
@@ -75,11 +57,12 @@
       workers_(static_cast<std::size_t>(std::max(4, settings_.sockets / 8))),
       controller_(settings_),
       users_(settings_, mutex_, controller_,
-             {[this] { return read_barrier(); },
+             {[this] { return read_barrier_.wait(); },
               [this](const std::string& key) { return users_store_.get(key, kUserCall); },
               [this](const Transaction& txn) { return users_store_.commit(txn, kStateCall); },
-              [] { return base::wall_seconds(); }, [this] { round_wakeup_.notify(); },
-              [this](const JobId& id) { broadcast_cancellation(id); }}) {
+              [] { return base::wall_seconds(); }, [this] { wakeups_.scheduling.notify(); },
+              [this](const JobId& id) { broadcast_cancellation(id); }}),
+      read_barrier_({kBarrierGap, kUserCall}, [this] { return catch_up(kUserCall); }) {
   for (const base::Peer& s : settings_.peers) {
     peers_.push_back(std::make_unique<Peer>(s));
   }
@@ -95,7 +78,8 @@
   most_asking_ = std::max(8, threads * 3 / 4);
   server_ = std::make_unique<transport::HttpServer>(
       settings_.listen,
-      transport::ServerLimits{most, threads, 64u << 10, "/hello", std::max(1, most - most / 8)},
+      transport::ServerLimits{most, threads, 64u << 10, protocol::kHeartbeatPath,
+                              std::max(1, most - most / 8)},
       [this](const Request& r) { return serve(r); });
   peer_server_ = std::make_unique<transport::HttpServer>(
       settings_.peer_listen,
@@ -118,10 +102,11 @@
 // --- users and workers
 
 Daemon::Reply Daemon::serve(const Request& req) {
-  if (req.path == "/hello") {
+  if (req.path == protocol::kHeartbeatPath) {
     return req.method == "POST" ? handle_heartbeat(req.body) : error(405, "wrong method");
   }
-  if (req.path == "/ready") return req.method == "GET" ? ready() : error(405, "wrong method");
+  if (req.path == protocol::kReadinessPath)
+    return req.method == "GET" ? ready() : error(405, "wrong method");
   const bool admitted = asking_.fetch_add(1) < most_asking_;
   Reply reply = admitted ? serve_user(req) : error(503, "too many requests are waiting", 1);
   --asking_;
@@ -159,7 +144,7 @@
                     return c.has_lease(t) || (was_ready_ && !c.peers_have_state(t));
                   });
   if (ok) was_ready_ = true;
-  return ok ? Reply{200, R"({"ready":true})", 0} : error(503, "not ready", 1);
+  return ok ? Reply{200, protocol::kReadyBody, 0} : error(503, "not ready", 1);
 }
 
 Daemon::Reply Daemon::handle_heartbeat(const std::string& body) {
@@ -177,39 +162,27 @@
     }
     return r;
   });
-  if (news) round_wakeup_.notify();
+  if (news) wakeups_.scheduling.notify();
   return {reply.status, reply.body, 0};
 }
 
 // --- siblings
 
 Daemon::Reply Daemon::serve_peer(const Request& req) {
-  if (req.path != "/sibling" || req.method != "POST") return error(404, "no such path");
-  const Json body = Json::parse(req.body, nullptr, false);
-  if (!body.is_object() || !body.contains("status")) return error(400, "malformed");
-  const auto status = protocol::parse_status(body.at("status"), now());
-  if (!status) return error(400, "malformed");
-  std::vector<protocol::Offers> offers;
-  if (body.contains("offers") && body.at("offers").is_array()) {
-    for (const Json& o : body.at("offers")) {
-      if (auto parsed = protocol::parse_offers(o)) offers.push_back(std::move(*parsed));
-    }
+  if (req.path != protocol::kPeerStatusPath || req.method != "POST") {
+    return error(404, "no such path");
   }
-  const auto cancelled = protocol::parse_ids<JobId>(body, "cancelled");
+  const auto message = protocol::parse_peer_message(req.body, now());
+  if (!message) return error(400, "malformed");
   const auto said = locked([&](coordination::Controller& c) {
-    for (const auto& o : offers) c.add_offers(o, now());
-    for (const JobId& id : cancelled) c.notify_cancelled(id);
-    return c.handle_peer_status(*status, now());
+    for (const auto& o : message->offers) c.add_offers(o, now());
+    for (const JobId& id : message->cancelled) c.notify_cancelled(id);
+    return c.handle_peer_status(message->status, now());
   });
-  if (!offers.empty() || !cancelled.empty()) round_wakeup_.notify();
+  if (!message->offers.empty() || !message->cancelled.empty()) wakeups_.scheduling.notify();
   // Its machines lose their tasks if nobody answers them within their lease.
-  if (status->contact == protocol::WorkerContact::kLost) lease_wakeup_.notify();
-  return {200,
-          Json{{"gone", protocol::ids_to_json(said.released)},
-               {"close", protocol::ids_to_json(said.cordon)},
-               {"drain", protocol::ids_to_json(said.drain)},
-               {"again", said.again}}
-              .dump(),
+  if (message->status.contact == protocol::WorkerContact::kLost) wakeups_.lease_renewal.notify();
+  return {200, protocol::encode_peer_reply({said.released, said.cordon, said.drain, said.again}),
           0};
 }
 
@@ -228,56 +201,42 @@
 void Daemon::sync_peer_loop(Peer& peer) {
   const Seconds period = settings_.tuning.round_period * 0.7;
   for (;;) {
-    peer.wakeup.wait(period);
-    std::vector<protocol::Offers> offers;
-    std::deque<JobId> cancelled;
+    peer.wakeup.wait_for(period, {});
+    protocol::PeerMessage message;
     {
       const std::lock_guard lock(peer.mutex);
-      offers.swap(peer.offers);
-      cancelled = peer.cancelled;
-    }
-    const auto status = locked([&](auto& c) { return c.status(peer.id, now()); });
-    Json body = {{"status", to_json(status, now())}};
-    if (!offers.empty()) {
-      body["offers"] = Json::array();
-      for (const auto& o : offers) body["offers"].push_back(to_json(o));
-    }
-    if (!cancelled.empty()) {
-      body["cancelled"] = Json::array();
-      for (const JobId& id : cancelled) body["cancelled"].push_back(id.get());
+      message.offers.swap(peer.offers);
+      message.cancelled.assign(peer.cancelled.begin(), peer.cancelled.end());
     }
-    const auto answer = peer.http.post("/sibling", body.dump(), Seconds(1.0));
+    message.status = locked([&](auto& c) { return c.status(peer.id, now()); });
+    const auto answer = peer.http.post(protocol::kPeerStatusPath,
+                                       protocol::encode_peer_message(message, now()), Seconds(1.0));
     if (!answer.ok()) {
-      if (!offers.empty()) {
-        locked([&](auto& c) { c.offers_lost(peer.id, offers); });
-        round_wakeup_.notify();
+      if (!message.offers.empty()) {
+        locked([&](auto& c) { c.offers_lost(peer.id, message.offers); });
+        wakeups_.scheduling.notify();
       }
       pause(kShortPause);
       continue;
     }
-    if (!cancelled.empty()) {
+    {
       // Those that came meanwhile stand behind them, unless the bound took some.
       const std::lock_guard lock(peer.mutex);
-      while (!peer.cancelled.empty() && !cancelled.empty()) {
-        if (peer.cancelled.front() == cancelled.front()) peer.cancelled.pop_front();
-        cancelled.pop_front();
+      for (const JobId& id : message.cancelled) {
+        if (peer.cancelled.empty()) break;
+        if (peer.cancelled.front() == id) peer.cancelled.pop_front();
       }
     }
-    const Json said = Json::parse(answer.body, nullptr, false);
-    const auto ids = [&said](const char* field) {
-      return protocol::parse_ids<base::MachineId>(said, field);
-    };
-    const auto released = ids("gone");
-    const bool again = !said.is_object() || said.value("again", true);
-    if (again) peer.wakeup.notify();
+    const protocol::PeerReply reply = protocol::parse_peer_reply(answer.body);
+    if (reply.needs_full_status) peer.wakeup.notify();
     locked([&](coordination::Controller& c) {
       c.peer_reached(peer.id, now());
-      c.status_acknowledged(peer.id, again ? 0 : status.upto);
-      c.mark_released(released, now());
-      c.cordon_idle(ids("close"));
-      c.drain(ids("drain"));
+      c.status_acknowledged(peer.id, reply.needs_full_status ? 0 : message.status.upto);
+      c.mark_released(reply.released, now());
+      c.cordon_idle(reply.cordon);
+      c.drain(reply.drain);
     });
-    if (!released.empty()) round_wakeup_.notify();
+    if (!reply.released.empty()) wakeups_.scheduling.notify();
   }
 }
 
@@ -289,14 +248,14 @@
   for (;;) {
     std::optional<base::LeaseId> lease = locked([this](auto&) { return lease_; });
     if (!loaded_) {
-      lease_wakeup_.wait(kShortPause);
+      wakeups_.lease_renewal.wait_for(kShortPause, {});
       continue;
     }
     if (!lease) {
       const Time sent = now();
       lease = state_.create_lease(ttl, timeout);
       if (!lease) {
-        lease_wakeup_.wait(kShortPause * 2.0);
+        wakeups_.lease_renewal.wait_for(kShortPause * 2.0, {});
         continue;
       }
       const protocol::ControllerIncarnation incarnation{settings_.member,
@@ -309,7 +268,7 @@
       if (done.outcome != Outcome::kDone) {
         locked([](auto& c) { c.end_incarnation(); });
         state_.delete_lease(*lease, timeout);
-        lease_wakeup_.wait(kShortPause * 2.0);
+        wakeups_.lease_renewal.wait_for(kShortPause * 2.0, {});
         continue;
       }
       const std::lock_guard lock(mutex_);
@@ -348,8 +307,8 @@
           c.cache().apply(*txn, done.revision, now());
           c.install_view(now());
         });
-        round_wakeup_.notify();
-        fleet_wakeup_.notify();
+        wakeups_.scheduling.notify();
+        wakeups_.fleet.notify();
         continue;
       }
       if (done.outcome == Outcome::kConflict) refresh(done.failed);
@@ -358,8 +317,8 @@
             locked([](auto& c) { return c.propose_ownership_claims(now()); })) {
       commit(*propose_ownership_claims, kStateCall);
     }
-    round_wakeup_.notify();
-    lease_wakeup_.wait(period);
+    wakeups_.scheduling.notify();
+    wakeups_.lease_renewal.wait_for(period, {});
   }
 }
 
@@ -423,40 +382,6 @@
   }
 }
 
-bool Daemon::read_barrier() {
-  std::unique_lock lock(barrier_mutex_);
-  const std::uint64_t mine =
-      barriers_begun_ + 1;  // what has begun already may miss what is asked for
-  const Time deadline = base::after(now(), kUserCall);
-  while (barriers_done_ < mine) {
-    if (barrier_running_) {
-      if (barrier_done_.wait_until(lock, deadline) == std::cv_status::timeout &&
-          barriers_done_ < mine) {
-        return false;
-      }
-      continue;
-    }
-    barrier_running_ = true;
-    // Under load the polls of a moment share a look.
-    const Seconds gap = kBarrierGap - base::between(barrier_began_at_, now());
-    if (gap.count() > 0) {
-      lock.unlock();
-      pause(gap);
-      lock.lock();
-    }
-    const std::uint64_t n = ++barriers_begun_;
-    barrier_began_at_ = now();
-    lock.unlock();
-    const bool assignment = catch_up(kUserCall);
-    lock.lock();
-    barrier_succeeded_ = assignment;
-    barriers_done_ = n;
-    barrier_running_ = false;
-    barrier_done_.notify_all();
-  }
-  return barrier_succeeded_;
-}
-
 bool Daemon::catch_up(Seconds timeout) {
   if (!loaded_) return false;
   const auto after = locked([](auto& c) { return c.cache().revision(); });
@@ -485,14 +410,14 @@
     loaded_ = true;
     members = true;
   }
-  if (members) lease_wakeup_.notify();
-  if (changed) round_wakeup_.notify();
+  if (members) wakeups_.lease_renewal.notify();
+  if (changed) wakeups_.scheduling.notify();
   return true;
 }
 
 void Daemon::refresh(const std::vector<std::string>& keys) {
   for (const std::string& key : keys) {
-    if (key == protocol::kViewKey) lease_wakeup_.notify();
+    if (key == protocol::kViewKey) wakeups_.lease_renewal.notify();
     // Only what stands for itself may be read ahead of the watch. The view and the rows of starts
     // stand for all that was committed before them: known without it, a team's use would miss
     // other nodes' starts.
@@ -517,13 +442,6 @@
 
 // --- rounds
 
-// This node's share of the store's write rate, with a second's worth saved up at most. Paid after the
-// commit, so that nothing is planned and then left to grow old: while in debt, only what users wait
-// for goes on, and the batch of the rest is wider for it.
-void Daemon::spend_writes(std::size_t n) {
-  write_budget_ -= static_cast<double>(n);
-}
-
 double Daemon::write_rate() {
   const auto members = locked([](coordination::Controller& c) {
     return c.cache().view() ? c.cache().view()->members.size() : std::size_t{0};
@@ -532,23 +450,16 @@
 }
 
 coordination::WriteBudget Daemon::await_write_budget() {
-  const double rate = write_rate();
-  const Time t = now();
-  write_budget_ = std::min(rate, write_budget_ + base::between(write_budget_at_, t).count() * rate);
-  write_budget_at_ = t;
-  const double over = -write_budget_ - rate * kMaxDebt;
-  if (over > 0) {
-    pause(Seconds(over / rate));
-    return await_write_budget();
+  for (;;) {
+    const Seconds wait = write_limiter_.refill(now(), write_rate());
+    if (wait.count() <= 0) return write_limiter_.budget();
+    pause(wait);
   }
-  if (write_budget_ <= 0) return coordination::WriteBudget::kExhausted;
-  return write_budget_ > rate * kSurplusShare ? coordination::WriteBudget::kSurplus
-                                              : coordination::WriteBudget::kNormal;
 }
 
 void Daemon::round_loop() {
   for (;;) {
-    round_wakeup_.wait(settings_.tuning.round_period);
+    wakeups_.scheduling.wait_for(settings_.tuning.round_period, {});
     // What comes in a burst shares a round. The longer its decisions take, the fewer are made, and
     // the more each of them takes in.
     pause(std::clamp(deciding_ * kRoundShare, kLeastGap, settings_.tuning.round_period * 0.7));
@@ -598,7 +509,7 @@
       return finish ? finish : c.split_one_record(now());
     });
     if (!txn) break;
-    spend_writes(txn->writes.size());
+    write_limiter_.charge(txn->writes.size());
     if (!commit(*txn, kStateCall)) break;
   }
   // Records of jobs that are over: when there are writes to spare, or too many of them.
@@ -608,13 +519,13 @@
     return due ? c.collect_garbage() : std::nullopt;
   });
   if (orphans) {
-    spend_writes(orphans->writes.size());
+    write_limiter_.charge(orphans->writes.size());
     commit(*orphans, kStateCall);
   }
   read_unresolved_dependencies();
   // What this node's own records made ready waits for no other event.
   const std::uint64_t ready = locked([](auto& c) { return c.cache().jobs_unblocked(); });
-  if (ready != jobs_unblocked_) round_wakeup_.notify();
+  if (ready != jobs_unblocked_) wakeups_.scheduling.notify();
   jobs_unblocked_ = ready;
 }
 
@@ -634,7 +545,7 @@
 bool Daemon::commit_plan(const coordination::RoundPlan& plan,
                          std::vector<coordination::CommandBatch>& orders) {
   const auto done = state_.commit(plan.txn, kStateCall);
-  spend_writes(plan.txn.writes.size());
+  write_limiter_.charge(plan.txn.writes.size());
   switch (done.outcome) {
     case Outcome::kDone:
       orders = locked([&](coordination::Controller& c) {
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -14,6 +14,9 @@
 #include "api/user_api.h"
 #include "base/settings.h"
 #include "coordination/controller.h"
+#include "daemon/read_barrier.h"
+#include "daemon/wakeup_event.h"
+#include "daemon/write_rate_limiter.h"
 #include "protocol/clients.h"
 #include "transport/http_server.h"
 
@@ -37,19 +40,6 @@
   using Reply = transport::Reply;
   using Request = transport::Request;
 
-  // A flag that a loop waits for.
-  class WakeupEvent {
-   public:
-    void notify();
-    // False if it wasn't rung within that time.
-    bool wait(Seconds most);
-
-   private:
-    std::mutex mutex_;
-    std::condition_variable is_set_condition_;
-    bool is_set_ = false;
-  };
-
   // What one sibling is told: offers and cancellations at once, status regularly.
   struct Peer {
     explicit Peer(const base::Peer& s) : id(s.member), http(s.address, 2) {}
@@ -99,7 +89,6 @@
   std::deque<Rental> rentals(const coordination::ScalingPlan& plan);
   void rent(const coordination::ScalingPlan& plan, Seconds gap);
   RentOutcome rent_once(const Rental& r);
-  void spend_writes(std::size_t n);
   double write_rate();
   coordination::WriteBudget await_write_budget();
 
@@ -122,19 +111,12 @@
   std::atomic<bool> loaded_{false};
   std::atomic<bool> was_ready_{false};
 
-  // One look at the store's changes serves all polls that came before it began: it proves this
-  // process's copy current, or makes it so.
-  bool read_barrier();
   bool catch_up(Seconds timeout);
   // False: it came too late for a copy that was begun anew meanwhile.
   bool take_in(const protocol::StateClient::Watched& w);
-  std::mutex barrier_mutex_;
-  std::condition_variable barrier_done_;
-  std::uint64_t barriers_begun_ = 0, barriers_done_ = 0;
-  bool barrier_running_ = false, barrier_succeeded_ = false;
-  Time barrier_began_at_{};
 
-  WakeupEvent lease_wakeup_, round_wakeup_, fleet_wakeup_;
+  LoopWakeups wakeups_;
+  ReadBarrier read_barrier_;
   std::vector<std::unique_ptr<Peer>> peers_;
 
   std::mutex orders_mutex_;
@@ -143,8 +125,7 @@
 
   std::uint64_t jobs_unblocked_ = 0;  // as counted by the ledger after the last round
   Seconds deciding_{0};               // how long a round's decisions take, on average
-  double write_budget_ = 0;
-  Time write_budget_at_{};
+  WriteRateLimiter write_limiter_;
   std::uint64_t rental_count_ = 0;
   std::optional<Rental> open_rental_;  // sent, and not answered for certain
   struct CloudRead {
--- a/src/daemon/fleet_loop.cpp
+++ b/src/daemon/fleet_loop.cpp
@@ -30,7 +30,7 @@
 void Daemon::scale_loop() {
   const Seconds gap(kCallGap / settings_.cloud_rps);
   for (;;) {
-    fleet_wakeup_.wait(std::max(gap, kLeastTurn));
+    wakeups_.fleet.wait_for(std::max(gap, kLeastTurn), {});
     if (!locked([](Controller& c) { return c.is_leader(now()); })) {
       open_rental_.reset();
       continue;
@@ -86,7 +86,7 @@
   }
   spdlog::info("released:{}", names);
   locked([&](Controller& c) { c.released(machines, now()); });
-  round_wakeup_.notify();
+  wakeups_.scheduling.notify();
 }
 
 std::deque<Daemon::Rental> Daemon::rentals(const coordination::ScalingPlan& plan) {
