--- a/src/coordination/scheduling/failure_evaluation.cpp
+++ b/src/coordination/scheduling/failure_evaluation.cpp
@@ -9,9 +9,6 @@
 
 namespace {
 
-// For so long a peer's report that a job is crash-looping counts.
-constexpr Seconds kCrashLoopingReportFresh{5.0};
-
 bool is_done(const std::optional<protocol::FinalState>& state) {
   return state && state->status == protocol::JobStatus::kDone;
 }
@@ -50,11 +47,7 @@
   if (failures_.is_crash_looping(id)) return true;
   const Job* job = cache_.job(id);
   if (job && job->done > 0) return false;
-  return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
-    const Peer& peer = entry.second;
-    return base::between(peer.last_heartbeat_at, now) < kCrashLoopingReportFresh &&
-           peer.crash_looping_jobs.contains(id);
-  });
+  return peers_.any_sees_crash_loop(id, now);
 }
 
 }  // namespace saddleslip::coordination
