--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -12,6 +12,9 @@
 
 namespace {
 
+constexpr Seconds kReleaseRequestFresh{5.0};  // a peer's request for a release holds for this long
+// A member that is out of reach counts with the machines that it told of for this long.
+constexpr Seconds kFleetRemembered{60.0};
 constexpr Seconds kPauseDetected{2.5};   // without a report, a round or a status
 constexpr Seconds kReleasedKept{600.0};  // late reports and old lists may still name the machine
 
@@ -25,7 +28,10 @@
 }  // namespace
 
 Controller::Controller(const base::Settings& settings)
-    : settings_(settings), cache_(settings), priorities_(settings_, cache_) {}
+    : settings_(settings),
+      cache_(settings),
+      priorities_(settings_, cache_),
+      autoscaler_(settings_, cache_, priorities_) {}
 
 // --- membership
 
@@ -96,9 +102,7 @@
     was_leader_ = is_leader(now);
     if (was_leader_) {
       leader_since_ = now;
-      booting_ = cache_.booting();
-      to_release_.clear();
-      unheard_.clear();
+      autoscaler_.become_leader(now);
       excluded_.clear();
       spdlog::info("leading from now on");
     } else {
@@ -711,12 +715,9 @@
     if (released_.contains(id)) out.released.push_back(id);
   }
   if (is_leader(now)) {
-    auto& cordon = to_cordon_[status.from.member];
-    out.cordon.assign(cordon.begin(), cordon.end());
-    cordon.clear();
-    auto& drain = to_drain_[status.from.member];
-    out.drain.assign(drain.begin(), drain.end());
-    drain.clear();
+    MachineRequests requests = autoscaler_.take_requests(status.from.member);
+    out.cordon = std::move(requests.cordon);
+    out.drain = std::move(requests.drain);
   }
   return out;
 }
@@ -760,4 +761,68 @@
   return coordination::collect_garbage(cache_, self_, settings_);
 }
 
+// --- fleet
+
+FleetStatus Controller::fleet_status(Time now, double wall_now) {
+  FleetStatus fleet;
+  fleet.now = now;
+  fleet.wall_now = wall_now;
+  fleet.self = self_.member;
+  fleet.view_installed_at = view_installed_at_;
+  for (auto& [member, machines] : partitions(now, kFleetRemembered)) {
+    fleet.partitions.push_back({member, std::move(machines)});
+  }
+  fleet.is_released = [this](const MachineId& id) { return released_.contains(id); };
+  return fleet;
+}
+
+ReleaseRequests Controller::fleet_release_requests(Time now) const {
+  ReleaseRequests out;
+  const auto add = [&out](const std::vector<MachineId>& requested,
+                          const std::vector<MachineId>& misdirected_machines) {
+    out.requested.insert(requested.begin(), requested.end());
+    out.misdirected.insert(misdirected_machines.begin(), misdirected_machines.end());
+  };
+  add(release_requests(), misdirected(now));
+  for (const auto& [member, peer] : peers_) {
+    if (base::between(peer.last_heartbeat_at, now) > kReleaseRequestFresh ||
+        !has_member(*cache_.view(), peer.from)) {
+      continue;
+    }
+    add(peer.release_requested, peer.misdirected);
+  }
+  return out;
+}
+
+ScalingActions Controller::plan_scaling(Time now, double wall_now) {
+  if (!is_leader(now) || !has_authority(now) || cache_.catalogue().empty()) return {};
+  const FleetStatus fleet = fleet_status(now, wall_now);
+  const ReleaseRequests requests = fleet_release_requests(now);
+  const auto crash_looping = [this, now](const JobId& id) { return is_crash_looping(id, now); };
+  ScalingActions actions = autoscaler_.plan(fleet, requests, crash_looping);
+  drain(actions.own.drain);
+  cordon_idle(actions.own.cordon);
+  return actions;
+}
+
+void Controller::listed(const std::vector<protocol::CloudMachine>& machines, Time now,
+                        double wall_now) {
+  if (!is_leader(now)) return;
+  for (const protocol::CloudMachine& machine : machines) {
+    if (!released_.contains(machine.id)) zones_.try_emplace(machine.id, machine.zone);
+  }
+  autoscaler_.review_list(machines, fleet_status(now, wall_now));
+}
+
+void Controller::rented(const MachineKind& kind, const std::vector<MachineId>& machines,
+                        double wall_now) {
+  for (const MachineId& id : machines) zones_[id] = kind.zone;
+  autoscaler_.record_rented(kind, machines, wall_now);
+}
+
+void Controller::released(const std::vector<MachineId>& machines, Time now) {
+  autoscaler_.record_released(machines);
+  mark_released(machines, now);
+}
+
 }  // namespace saddleslip::coordination
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -10,8 +10,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "coordination/fleet/boot_tracker.h"
-#include "coordination/fleet/scaling_plan.h"
+#include "coordination/fleet/autoscaler.h"
 #include "coordination/machines/peer_registry.h"
 #include "coordination/machines/status_revisions.h"
 #include "coordination/membership/view.h"
@@ -181,15 +180,14 @@
   bool peers_have_state(Time now) const { return peers_.any_has_state(now); }
 
   // --- fleet, for the leader
-  struct ScalingActions {
-    ScalingPlan plan;
-    std::vector<MachineId> release;
-  };
+  // The autoscaler's plan; what it asks of this member's own machines is done already.
   ScalingActions plan_scaling(Time now, double wall_now);
+  // The cloud listed these machines.
   void listed(const std::vector<protocol::CloudMachine>& machines, Time now, double wall_now);
-  void refused(const MachineKind& kind, Time now);
+  void refused(const MachineKind& kind, Time now) { autoscaler_.record_out_of_capacity(kind, now); }
   void rented(const MachineKind& kind, const std::vector<MachineId>& machines, double wall_now);
-  std::optional<Transaction> fleet_record() const;
+  std::optional<Transaction> fleet_record() const { return autoscaler_.booting_record(); }
+  // The cloud released these machines.
   void released(const std::vector<MachineId>& machines, Time now);
 
  private:
@@ -297,8 +295,6 @@
   void learn_run_time(const RoundPlan::Completion& end);
   void housekeeping(Time now);
   void move_service_away(Machine& m, const Partitions& known, Time now);
-  void count_arrivals(Time now);
-  std::map<JobId, std::size_t> timely_share(Time now, double boot) const;
   // The steps of routing.
   struct Routing;
   bool is_offered(const TaskId& task, Time now) const;
@@ -315,18 +311,9 @@
   void offer_to_roomiest(Routing& r);
   void offer_to_displace(Routing& r);
   void route_job(Routing& r, const Job& job);
-  // The steps of the fleet's plan.
-  std::vector<MachineId> releases_due(const Partitions& known, Time now) const;
-  ScalingInput scaling_input(const Partitions& known, Time now) const;
-  void drop_booted(ScalingInput& in, Time now, double wall_now, std::vector<MachineId>& release);
-  Seconds boot_time(const std::string& type_name) const;
-  double soonest_boot() const;
-  std::size_t within_quota(const protocol::JobSpec& spec, std::size_t waiting,
-                           std::map<std::string, Resources>& team_room) const;
-  void add_waiting(ScalingInput& in, Time now);
-  void add_expected_services(ScalingInput& in, Time now) const;
-  void add_movable_services(ScalingInput& in) const;
-  void pass_on(const ScalingPlan& plan, const Partitions& known, Time now);
+  // What the autoscaler is told about the fleet.
+  FleetStatus fleet_status(Time now, double wall_now);
+  ReleaseRequests fleet_release_requests(Time now) const;
   // A waiting job that may displace other work, and what was done for it and before it.
   struct Preemption {
     const Job* job;
@@ -427,21 +414,7 @@
   Time leader_since_{};
   bool was_leader_ = false;
 
-  std::map<MachineKind, Time> refused_;  // not to be asked for before then
-  std::map<MachineKind, int> refusals_;  // in a row
-  std::vector<protocol::Booting> booting_;
-  BootTracker boots_;
-  std::map<MachineId, Time> unheard_;  // listed, but reporting to nobody, since
-  std::set<MachineId> to_release_;     // what the leader itself found to be of no use
-  struct Arrivals {
-    protocol::JobSpec spec;
-    std::deque<std::pair<Time, TaskNo>> recent;
-  };
-  std::map<std::string, Arrivals> arrivals_;  // of services, by class
-  std::set<JobId> counted_;
-  std::map<MemberId, std::set<MachineId>> to_cordon_, to_drain_;
-  Time last_unplaced_work_at_{};  // something waited for room, or was rented
-  Time last_drain_at_{};
+  Autoscaler autoscaler_;
 };
 
 }  // namespace saddleslip::coordination
--- a/src/coordination/fleet/boot_tracker.h
+++ b/src/coordination/fleet/boot_tracker.h
@@ -1,22 +1,27 @@
-// How long machines take to come up: whether one that was rented can still be counted on.
+// How long machines take to boot: whether one that was rented can still be
+// counted on.
 //
-// Most machines are up within twice the usual boot time of their type. At times all of a kind take
-// several times as long, and a few never come up. A late machine is judged by what its kind has shown
-// lately: given up too early, a second fleet is rented for the same work; too late, work waits for
-// machines that never come.
+// Most machines report within twice the usual boot time of their type. At times
+// all of a kind take several times as long, and a few never report. An overdue
+// machine is judged by the recent boots of its kind: given up too early, a
+// second fleet is rented for the same work; too late, work waits for machines
+// that never come.
 //
-// Holds state only; takes the time as an argument. Not safe for use from several threads at once.
+// Holds state only; takes the time as an argument. Not safe for use from
+// several threads at once.
 #pragma once
 
 #include <deque>
 #include <map>
+#include <string>
 
 #include "base/clock.h"
 #include "coordination/fleet/scaling_plan.h"
 
 namespace saddleslip::coordination {
 
-// How many machines of one type, of whatever zone and kind, are rented and have not come up.
+// How many machines of one type, of whatever zone, are rented and have not
+// reported.
 struct BootingCount {
   std::size_t overdue = 0;  // later than is usual for the type
 };
@@ -24,28 +29,29 @@
 class BootTracker {
  public:
   // A machine of this kind first reported so long after it was rented.
-  void record_up(const MachineKind& kind, base::Seconds took, base::Time now);
+  void record_boot(const MachineKind& kind, base::Seconds took, base::Time now);
 
-  // Is a machine of this age later than its type's boot time explains?
-  static bool is_overdue(base::Seconds age, base::Seconds usual);
-  // May it be counted as room to come? `all` are the machines of its type that have not come up.
-  bool is_likely(const MachineKind& kind, base::Seconds age, base::Seconds usual,
+  // Is a machine of this age later than its type's usual boot time explains?
+  static bool is_overdue(base::Seconds age, base::Seconds usual_boot_time);
+  // May it be counted as future capacity? `all` are the machines of its type
+  // that have not reported.
+  bool is_likely(const MachineKind& kind, base::Seconds age, base::Seconds usual_boot_time,
                  const BootingCount& all, base::Time now) const;
   // Has it taken so long that it is to be released?
-  bool is_given_up(const MachineKind& kind, base::Seconds age, base::Seconds usual,
+  bool is_given_up(const MachineKind& kind, base::Seconds age, base::Seconds usual_boot_time,
                    base::Time now) const;
 
  private:
   struct Boot {
-    base::Time at;
-    base::Seconds took;
+    base::Time reported_at{};
+    base::Seconds took{0};
   };
-  struct Recent {
+  struct RecentBoots {
     std::size_t count = 0;
     base::Seconds slowest{0};
   };
 
-  Recent recent(const MachineKind& kind, base::Time now) const;
+  RecentBoots recent(const MachineKind& kind, base::Time now) const;
   std::size_t recent_of_type(const std::string& type, base::Time now) const;
 
   std::map<MachineKind, std::deque<Boot>> boots_;
--- /dev/null
+++ b/src/coordination/fleet/booting_machines.cpp
@@ -0,0 +1,83 @@
+#include "coordination/fleet/booting_machines.h"
+
+#include <algorithm>
+
+#include "base/log.h"
+
+namespace saddleslip::coordination {
+
+using protocol::Booting;
+
+namespace {
+
+constexpr double kAdoptFactor =
+    3;  // times the usual boot time, for a rental of another incarnation
+constexpr Seconds kUnknownBootTime{30.0};
+
+MachineKind kind_of(const Booting& machine) {
+  return {machine.type, machine.zone, machine.spot};
+}
+
+Seconds age_of(const Booting& machine, double wall_now) {
+  return Seconds(wall_now - machine.rented);
+}
+
+}  // namespace
+
+void BootingMachines::add(const MachineId& id, const MachineKind& kind, double wall_now) {
+  machines_.push_back({id, kind.type, kind.zone, kind.spot, wall_now});
+}
+
+bool BootingMachines::adopt(const CloudMachine& machine, double wall_now) {
+  if (machine.state != protocol::CloudState::kStarting ||
+      machine.age >= usual_boot_time(machine.type) * kAdoptFactor) {
+    return false;
+  }
+  spdlog::info("machine is booting, rented by another incarnation: machine={} type={}",
+               machine.id.get(), machine.type);
+  machines_.push_back(
+      {machine.id, machine.type, machine.zone, machine.spot, wall_now - machine.age.count()});
+  return true;
+}
+
+std::vector<MachineId> BootingMachines::remove_booted(const FleetStatus& fleet) {
+  const std::set<MachineId> reporting = fleet.reporting();
+  std::vector<MachineId> failed;
+  std::erase_if(machines_, [&](const Booting& machine) {
+    const MachineKind kind = kind_of(machine);
+    const Seconds age = age_of(machine, fleet.wall_now);
+    if (reporting.contains(machine.id)) {
+      boots_.record_boot(kind, age, fleet.now);
+      return true;
+    }
+    if (fleet.is_released(machine.id)) return true;
+    if (!boots_.is_given_up(kind, age, usual_boot_time(machine.type), fleet.now)) return false;
+    spdlog::info("machine never came up, to be released: machine={} age_s={:.0f}", machine.id.get(),
+                 age.count());
+    failed.push_back(machine.id);
+    return true;
+  });
+  return failed;
+}
+
+std::vector<Booting> BootingMachines::likely(Time now, double wall_now) const {
+  std::map<std::string, BootingCount> by_type;
+  for (const Booting& machine : machines_) {
+    if (BootTracker::is_overdue(age_of(machine, wall_now), usual_boot_time(machine.type)))
+      ++by_type[machine.type].overdue;
+  }
+  std::vector<Booting> out;
+  for (const Booting& machine : machines_) {
+    if (boots_.is_likely(kind_of(machine), age_of(machine, wall_now), usual_boot_time(machine.type),
+                         by_type[machine.type], now))
+      out.push_back(machine);
+  }
+  return out;
+}
+
+Seconds BootingMachines::usual_boot_time(const std::string& type_name) const {
+  const MachineType* type = cache_.type(type_name);
+  return type ? type->boot : kUnknownBootTime;
+}
+
+}  // namespace saddleslip::coordination
--- a/src/coordination/fleet/scaling_plan.cpp
+++ b/src/coordination/fleet/scaling_plan.cpp
@@ -10,61 +10,62 @@
 
 namespace {
 
-constexpr double kDrainBelow = 0.55;  // a machine that is busier than this is not emptied
-constexpr double kFarFromControllers = 1.6;
-constexpr double kInTheWay = 1.05;
-constexpr double kInServicesWay = 1.3;  // ordinary machines are all that services may use
-constexpr double kSpread = 0.02;  // how much dearer a zone looks that has all machines already
-constexpr std::size_t kMostAtOnce = 200;  // machines rented by one plan
-constexpr std::size_t kDrainOneOf = 40;   // one machine of so many is emptied at a time
-
-// What a kind costs for each task of the demand that it can really be filled with.
-double cost_per_task(const MachineType& type, bool spot, const Demand& d, std::size_t count) {
-  Resources free = type.size;
-  std::size_t fits = 0;
-  while (fits < count && free.fits(d.request)) {
-    free -= d.request;
-    ++fits;
-  }
-  if (fits == 0) return -1;
-  return (spot ? type.spot_price : type.price) / static_cast<double>(fits);
-}
+constexpr double kMaxDrainedUse = 0.55;  // a machine with a higher share of cores in use stays
+constexpr std::size_t kMaxRented = 200;  // machines rented by one plan
+constexpr std::size_t kMachinesPerDrain = 40;  // one machine of so many is drained at a time
 
-}  // namespace
+// Factors on the price of a machine in the wrong zone. Services run where
+// controllers are, and other work should leave these zones to them.
+constexpr double kServiceFarFromControllers = 1.6;
+constexpr double kOtherWorkOnSpotNearControllers = 1.05;
+constexpr double kOtherWorkOnDemandNearControllers = 1.3;  // services run on these machines only
+// By how much a zone that has all machines already is dearer than one that has
+// none.
+constexpr double kZoneSpread = 0.02;
 
-bool may_run(const protocol::JobSpec& spec, const std::string& type, const std::string& zone,
-             bool spot) {
-  if (spot && !spec.spot) return false;
-  if (spec.zone && *spec.zone != zone) return false;
-  return !spec.types ||
-         std::find(spec.types->begin(), spec.types->end(), type) != spec.types->end();
-}
+// A zone counts as cut off with so many silent machines, if they are more than
+// half of its machines.
+constexpr int kMinSilentOfCutOffZone = 2;
 
-namespace {
+// The price of a machine of this type for each task of the demand that it would
+// be filled with; none if not one fits.
+std::optional<double> price_per_task(const MachineType& type, bool spot, const Demand& demand,
+                                     std::size_t count) {
+  Resources free = type.size;
+  std::size_t tasks = 0;
+  while (tasks < count && free.fits(demand.request)) {
+    free -= demand.request;
+    ++tasks;
+  }
+  if (tasks == 0) return {};
+  return (spot ? type.spot_price : type.price) / static_cast<double>(tasks);
+}
 
-// The steps of one plan. What waits is packed into the room that there is, then into machines that
-// are to be rented; what is left over shows which machines can go.
+// The steps of one plan. Demand is packed into the free capacity that there is,
+// then into machines that are to be rented; machines that no demand was packed
+// into can go.
 class ScalingPlanner {
  public:
-  explicit ScalingPlanner(const ScalingInput& in) : in_(in) {}
+  explicit ScalingPlanner(const ScalingInput& input) : input_(input) {}
 
   ScalingPlan run() {
-    if (!in_.catalogue || in_.catalogue->empty()) return {};
-    add_sites();
-    count_silent();
+    if (!input_.catalogue || input_.catalogue->empty()) return {};
+    add_hosts();
+    count_silent_machines();
     pack_demand();
     rent();
-    if (in_.calm && plan_.scale_out.empty()) drain();
+    if (input_.may_drain && plan_.scale_out.empty()) drain();
     cordon_idle();
     return std::move(plan_);
   }
 
  private:
-  // A machine that there is, that boots, or that is to be rented. Its bin has the same index.
-  struct Site {
+  // A machine that there is, that boots, or that is to be rented. Its bin has
+  // the same index.
+  struct Host {
     MachineKind kind;
-    const MachineStatus* machine = nullptr;
-    bool used = false;
+    const MachineStatus* machine = nullptr;  // if it reports already
+    bool used = false;                       // some demand was packed into it
   };
   struct Choice {
     const MachineType* type;
@@ -72,140 +73,172 @@
     double cost;
   };
   struct ZoneHealth {
-    int silent = 0, all = 0;
+    int silent = 0;
+    int all = 0;
+  };
+  struct DrainCandidate {
+    double saved_per_service;  // of the machine's price
+    std::size_t host;
   };
 
-  const MachineType* type_of(const std::string& name) const {
-    for (const MachineType& t : *in_.catalogue) {
-      if (t.name == name) return &t;
-    }
-    return nullptr;
-  }
-
-  void add_sites();
-  void count_silent();
-  // A zone most of whose machines are silent is cut off: new ones there could not be used either.
-  bool cut_off(const std::string& zone) const;
+  const MachineType* type_of(const std::string& name) const;
+  void add_hosts();
+  void add_host(const MachineKind& kind, const MachineStatus* machine, const Resources& free);
+  void count_silent_machines();
+  // Are most of the zone's machines silent? New ones there could not be used
+  // either.
+  bool is_cut_off(const std::string& zone) const;
   void pack_demand();
+  bool may_rent(const Demand& demand, const MachineKind& kind) const;
+  double placement_factor(const Demand& demand, const MachineKind& kind) const;
   std::optional<double> cost_of(std::size_t group, const MachineType& type,
                                 const MachineKind& kind) const;
   std::optional<Choice> cheapest(std::size_t group) const;
   void rent();
   void add_rental(const Choice& choice);
   void drain();
-  bool empties(std::size_t site, const std::set<std::size_t>& leaving,
-               std::vector<std::size_t>& to);
+  std::vector<DrainCandidate> drain_candidates() const;
+  // Moves all services of this host to others, if they fit there; returns these
+  // others, or nothing if some service fits nowhere.
+  std::optional<std::vector<std::size_t>> move_services(std::size_t host,
+                                                        const std::set<std::size_t>& leaving);
+  std::optional<std::size_t> host_for(const protocol::JobSpec& service, std::size_t from,
+                                      const std::set<std::size_t>& leaving) const;
   void cordon_idle();
 
-  const ScalingInput& in_;
+  const ScalingInput& input_;
   ScalingPlan plan_;
-  std::vector<Site> sites_;
+  std::vector<Host> hosts_;
   std::vector<Bin> bins_;
-  std::vector<Group> groups_;  // one for each demand
-  std::vector<std::size_t> by_tier_;
+  std::vector<Group> groups_;               // one for each demand
+  std::vector<std::size_t> group_by_tier_;  // indices of groups
   Resources scale_;
-  std::map<std::string, ZoneHealth> health_;
-  std::map<std::string, double> in_zone_;  // machines, those to be rented too
+  std::map<std::string, ZoneHealth> health_;        // by zone
+  std::map<std::string, double> machines_in_zone_;  // those to be rented too
 };
 
-void ScalingPlanner::add_sites() {
-  for (const MachineType& t : *in_.catalogue) {
+const MachineType* ScalingPlanner::type_of(const std::string& name) const {
+  for (const MachineType& type : *input_.catalogue) {
+    if (type.name == name) return &type;
+  }
+  return nullptr;
+}
+
+void ScalingPlanner::add_hosts() {
+  for (const MachineType& type : *input_.catalogue) {
     for (std::size_t i = 0; i < scale_.v.size(); ++i) {
-      scale_.v[i] = std::max(scale_.v[i], t.size.v[i]);
+      scale_.v[i] = std::max(scale_.v[i], type.size.v[i]);
     }
   }
-  for (const MachineStatus* m : in_.machines) {
-    if (!m->open && !m->soon) continue;
-    sites_.push_back({{m->type, m->zone, m->spot}, m, false});
-    bins_.push_back({m->free});
+  for (const MachineStatus* machine : input_.machines) {
+    if (!machine->open && !machine->soon) continue;
+    add_host({machine->type, machine->zone, machine->spot}, machine, machine->free);
   }
-  for (const auto& b : in_.booting) {
-    const MachineType* t = type_of(b.type);
-    if (!t) continue;
-    sites_.push_back({{b.type, b.zone, b.spot}, nullptr, false});
-    bins_.push_back({t->size});
+  for (const protocol::Booting& booting : input_.booting) {
+    const MachineType* type = type_of(booting.type);
+    if (type) add_host({booting.type, booting.zone, booting.spot}, nullptr, type->size);
   }
-  for (const Site& s : sites_) ++in_zone_[s.kind.zone];
 }
 
-void ScalingPlanner::count_silent() {
-  for (const MachineStatus* m : in_.machines) {
-    ZoneHealth& zone = health_[m->zone];
+void ScalingPlanner::add_host(const MachineKind& kind, const MachineStatus* machine,
+                              const Resources& free) {
+  hosts_.push_back({kind, machine, false});
+  bins_.push_back({free});
+  ++machines_in_zone_[kind.zone];
+}
+
+void ScalingPlanner::count_silent_machines() {
+  for (const MachineStatus* machine : input_.machines) {
+    ZoneHealth& zone = health_[machine->zone];
     ++zone.all;
-    if (m->silent) ++zone.silent;
+    if (machine->silent) ++zone.silent;
   }
 }
 
-bool ScalingPlanner::cut_off(const std::string& zone) const {
-  const auto z = health_.find(zone);
-  return z != health_.end() && z->second.silent >= 2 && z->second.silent * 2 > z->second.all;
+bool ScalingPlanner::is_cut_off(const std::string& zone) const {
+  const auto at = health_.find(zone);
+  if (at == health_.end()) return false;
+  const ZoneHealth& health = at->second;
+  return health.silent >= kMinSilentOfCutOffZone && health.silent * 2 > health.all;
 }
 
 void ScalingPlanner::pack_demand() {
-  groups_.reserve(in_.demand.size());
-  for (const Demand& d : in_.demand) {
-    Group g;
-    g.request = d.request;
-    g.count = d.count;
-    g.tier = d.tier;
-    g.allowed = [this, &d](std::size_t b) {
-      const MachineKind& kind = sites_[b].kind;
-      return !d.spec || may_run(*d.spec, kind.type, kind.zone, kind.spot);
+  groups_.reserve(input_.demand.size());
+  for (const Demand& demand : input_.demand) {
+    Group group;
+    group.request = demand.request;
+    group.count = demand.count;
+    group.tier = demand.tier;
+    group.allowed = [this, &demand](std::size_t bin) {
+      const MachineKind& kind = hosts_[bin].kind;
+      return !demand.spec || may_run(*demand.spec, kind.type, kind.zone, kind.spot);
     };
-    g.placed = [this](std::size_t b) { sites_[b].used = true; };
-    groups_.push_back(std::move(g));
+    group.placed = [this](std::size_t bin) { hosts_[bin].used = true; };
+    groups_.push_back(std::move(group));
   }
   pack(groups_, bins_, scale_);
-  by_tier_.resize(groups_.size());
-  for (std::size_t g = 0; g < groups_.size(); ++g) by_tier_[g] = g;
-  std::stable_sort(by_tier_.begin(), by_tier_.end(), [this](std::size_t x, std::size_t y) {
-    return groups_[x].tier < groups_[y].tier;
-  });
+  group_by_tier_.resize(groups_.size());
+  for (std::size_t i = 0; i < groups_.size(); ++i) group_by_tier_[i] = i;
+  std::stable_sort(
+      group_by_tier_.begin(), group_by_tier_.end(),
+      [this](std::size_t a, std::size_t b) { return groups_[a].tier < groups_[b].tier; });
 }
 
-// What a machine of this kind costs for each task of the group; none if it can't be had or used.
+// Can such a machine be had now, and would the demand use it?
+bool ScalingPlanner::may_rent(const Demand& demand, const MachineKind& kind) const {
+  if (demand.spec ? !may_run(*demand.spec, kind.type, kind.zone, kind.spot) : kind.spot)
+    return false;
+  if (kind.spot && input_.spot_share <= 0) return false;
+  if (demand.spot_only && !kind.spot) return false;
+  if (is_cut_off(kind.zone) && !(demand.spec && demand.spec->zone)) return false;
+  const auto backoff = input_.retry_at.find(kind);
+  return backoff == input_.retry_at.end() || input_.now >= backoff->second;
+}
+
+double ScalingPlanner::placement_factor(const Demand& demand, const MachineKind& kind) const {
+  const bool is_service = !demand.spec || demand.spec->kind == protocol::Kind::kService;
+  if (is_service == input_.controller_zones.contains(kind.zone)) return 1.0;
+  if (is_service) return kServiceFarFromControllers;
+  return kind.spot ? kOtherWorkOnSpotNearControllers : kOtherWorkOnDemandNearControllers;
+}
+
+// What a machine of this kind costs for each task of the group; none if it
+// can't be had or used.
 std::optional<double> ScalingPlanner::cost_of(std::size_t group, const MachineType& type,
                                               const MachineKind& kind) const {
-  const Demand& d = in_.demand[group];
-  if (d.spec ? !may_run(*d.spec, kind.type, kind.zone, kind.spot) : kind.spot) return {};
-  if (kind.spot && in_.spot_share <= 0) return {};
-  if (d.spot_only && !kind.spot) return {};
-  if (cut_off(kind.zone) && !(d.spec && d.spec->zone)) return {};
-  const auto refused = in_.refused.find(kind);
-  if (refused != in_.refused.end() && in_.now < refused->second) return {};
-  double cost = cost_per_task(type, kind.spot, d, groups_[group].count);
-  if (cost < 0) return {};
-  // Equal prices: spread over the zones, so that no one fault takes all.
-  const auto there = in_zone_.find(kind.zone);
-  const double count = there == in_zone_.end() ? 0 : there->second;
-  cost *= 1.0 + kSpread * count / (static_cast<double>(sites_.size()) + 1);
-  // Services go where controllers are, and other work keeps out of the way.
-  const bool service = !d.spec || d.spec->kind == protocol::Kind::kService;
-  if (service != in_.controller_zones.contains(kind.zone))
-    cost *= service ? kFarFromControllers : kind.spot ? kInTheWay : kInServicesWay;
-  return cost;
+  const Demand& demand = input_.demand[group];
+  if (!may_rent(demand, kind)) return {};
+  const auto price = price_per_task(type, kind.spot, demand, groups_[group].count);
+  if (!price) return {};
+  // Equal prices: spread over the zones, so that no one fault takes all
+  // machines.
+  const auto in_zone = machines_in_zone_.find(kind.zone);
+  const double there = in_zone == machines_in_zone_.end() ? 0 : in_zone->second;
+  const double spread = 1.0 + kZoneSpread * there / (static_cast<double>(hosts_.size()) + 1);
+  return *price * spread * placement_factor(demand, kind);
 }
 
 std::optional<ScalingPlanner::Choice> ScalingPlanner::cheapest(std::size_t group) const {
   std::optional<Choice> best;
-  for (const MachineType& t : *in_.catalogue) {
-    for (const std::string& zone : t.zones) {
+  for (const MachineType& type : *input_.catalogue) {
+    for (const std::string& zone : type.zones) {
       for (const bool spot : {true, false}) {
-        const MachineKind kind{t.name, zone, spot};
-        const auto cost = cost_of(group, t, kind);
-        if (cost && (!best || *cost < best->cost)) best = Choice{&t, kind, *cost};
+        const MachineKind kind{type.name, zone, spot};
+        const auto cost = cost_of(group, type, kind);
+        if (cost && (!best || *cost < best->cost)) best = Choice{&type, kind, *cost};
       }
     }
   }
   return best;
 }
 
-// What found no room: the cheapest kind for the first group, then whatever else fits into it.
+// For demand that found no capacity: the cheapest kind for the first group,
+// which is then filled with whatever else fits.
 void ScalingPlanner::rent() {
   std::size_t rented = 0;
-  for (const std::size_t first : by_tier_) {
-    while (groups_[first].count > 0 && rented < kMostAtOnce) {
-      const auto best = cheapest(first);
+  for (const std::size_t group : group_by_tier_) {
+    while (groups_[group].count > 0 && rented < kMaxRented) {
+      const auto best = cheapest(group);
       if (!best) break;
       add_rental(*best);
       ++rented;
@@ -221,86 +254,110 @@
   } else {
     ++same->count;
   }
-  ++in_zone_[choice.kind.zone];
-  sites_.push_back({choice.kind, nullptr, true});
-  bins_.push_back({choice.type->size});
-  Resources& free = bins_.back().free;
-  for (const std::size_t g : by_tier_) {
-    Group& group = groups_[g];
-    while (group.count > 0 && free.fits(group.request) && group.allowed(sites_.size() - 1)) {
+  add_host(choice.kind, nullptr, choice.type->size);
+  const std::size_t host = hosts_.size() - 1;
+  hosts_[host].used = true;
+  Resources& free = bins_[host].free;
+  for (const std::size_t index : group_by_tier_) {
+    Group& group = groups_[index];
+    while (group.count > 0 && free.fits(group.request) && group.allowed(host)) {
       free -= group.request;
       --group.count;
     }
   }
 }
 
-// Machines whose services fit elsewhere, where their images are, at no one's cost: room that is left
-// after all that waits or is expected, on machines that stay anyway.
+// Empties machines whose services fit on others that have their images: into
+// capacity that is left after all demand, on machines that stay anyway.
 void ScalingPlanner::drain() {
-  struct Candidate {
-    double gain;
-    std::size_t site;
-  };
-  std::vector<Candidate> candidates;
-  for (std::size_t b = 0; b < sites_.size(); ++b) {
-    const MachineStatus* m = sites_[b].machine;
-    const MachineType* type = m ? type_of(m->type) : nullptr;
-    if (!type || m->spot || m->tasks == 0 || !m->open) continue;
-    const auto movable = in_.movable.find(m->id);
-    if (movable == in_.movable.end() || movable->second.empty()) continue;
-    const double busy = type->size.cores() - m->free.cores();
-    if (busy > type->size.cores() * kDrainBelow) continue;
-    candidates.push_back({type->price / static_cast<double>(movable->second.size()), b});
+  const std::size_t most = std::max<std::size_t>(1, input_.machines.size() / kMachinesPerDrain);
+  std::set<std::size_t> leaving, receiving;
+  for (const DrainCandidate& candidate : drain_candidates()) {
+    if (plan_.drain.size() >= most) break;
+    if (receiving.contains(candidate.host)) continue;
+    const auto receivers = move_services(candidate.host, leaving);
+    if (!receivers) continue;
+    leaving.insert(candidate.host);
+    receiving.insert(receivers->begin(), receivers->end());
+    plan_.drain.push_back(hosts_[candidate.host].machine->id);
+  }
+}
+
+// Machines of which little is in use, the ones that save most for each service
+// moved first.
+std::vector<ScalingPlanner::DrainCandidate> ScalingPlanner::drain_candidates() const {
+  std::vector<DrainCandidate> candidates;
+  for (std::size_t host = 0; host < hosts_.size(); ++host) {
+    const MachineStatus* machine = hosts_[host].machine;
+    const MachineType* type = machine ? type_of(machine->type) : nullptr;
+    if (!type || machine->spot || machine->tasks == 0 || !machine->open) continue;
+    const auto services = input_.movable_services.find(machine->id);
+    if (services == input_.movable_services.end() || services->second.empty()) continue;
+    const double used_cores = type->size.cores() - machine->free.cores();
+    if (used_cores > type->size.cores() * kMaxDrainedUse) continue;
+    candidates.push_back({type->price / static_cast<double>(services->second.size()), host});
   }
   std::stable_sort(candidates.begin(), candidates.end(),
-                   [](const Candidate& x, const Candidate& y) { return x.gain > y.gain; });
-  const std::size_t most = std::max<std::size_t>(1, in_.machines.size() / kDrainOneOf);
-  std::set<std::size_t> leaving, filling;
-  for (const Candidate& c : candidates) {
-    if (plan_.drain.size() >= most) break;
-    std::vector<std::size_t> to;
-    if (filling.contains(c.site) || !empties(c.site, leaving, to)) continue;
-    leaving.insert(c.site);
-    filling.insert(to.begin(), to.end());
-    plan_.drain.push_back(sites_[c.site].machine->id);
+                   [](const DrainCandidate& a, const DrainCandidate& b) {
+                     return a.saved_per_service > b.saved_per_service;
+                   });
+  return candidates;
+}
+
+std::optional<std::vector<std::size_t>> ScalingPlanner::move_services(
+    std::size_t host, const std::set<std::size_t>& leaving) {
+  const auto& services = input_.movable_services.at(hosts_[host].machine->id);
+  std::vector<std::size_t> receivers;
+  for (const protocol::JobSpec* service : services) {
+    const auto receiver = host_for(*service, host, leaving);
+    if (!receiver) break;
+    bins_[*receiver].free -= service->request;
+    receivers.push_back(*receiver);
   }
+  if (receivers.size() == services.size()) return receivers;
+  for (std::size_t i = 0; i < receivers.size(); ++i) {
+    bins_[receivers[i]].free += services[i]->request;
+  }
+  return {};
 }
 
-// Do all services of this machine fit elsewhere? Then the room for them is taken, and `to` says where.
-bool ScalingPlanner::empties(std::size_t site, const std::set<std::size_t>& leaving,
-                             std::vector<std::size_t>& to) {
-  const auto& services = in_.movable.at(sites_[site].machine->id);
-  const auto takes = [&](std::size_t o, const protocol::JobSpec& spec) {
-    const MachineStatus* other = sites_[o].machine;
-    return o != site && other && other->open && other->tasks > 0 && !leaving.contains(o) &&
-           bins_[o].free.fits(spec.request) &&
-           may_run(spec, other->type, other->zone, other->spot) && other->has_image(spec.image);
-  };
-  for (const protocol::JobSpec* spec : services) {
-    std::size_t at = 0;
-    while (at < sites_.size() && !takes(at, *spec)) ++at;
-    if (at == sites_.size()) break;
-    bins_[at].free -= spec->request;
-    to.push_back(at);
+std::optional<std::size_t> ScalingPlanner::host_for(const protocol::JobSpec& service,
+                                                    std::size_t from,
+                                                    const std::set<std::size_t>& leaving) const {
+  for (std::size_t host = 0; host < hosts_.size(); ++host) {
+    const MachineStatus* machine = hosts_[host].machine;
+    if (host != from && machine && machine->open && machine->tasks > 0 && !leaving.contains(host) &&
+        bins_[host].free.fits(service.request) &&
+        may_run(service, machine->type, machine->zone, machine->spot) &&
+        machine->has_image(service.image)) {
+      return host;
+    }
   }
-  if (to.size() == services.size()) return true;
-  for (std::size_t i = 0; i < to.size(); ++i) bins_[to[i]].free += services[i]->request;
-  return false;
+  return {};
 }
 
 void ScalingPlanner::cordon_idle() {
-  for (const Site& s : sites_) {
-    if (s.machine && !s.used && s.machine->tasks == 0 &&
-        base::between(s.machine->idle_since, in_.now) >= in_.idle_return) {
-      plan_.cordon.push_back(s.machine->id);
+  for (const Host& host : hosts_) {
+    const MachineStatus* machine = host.machine;
+    if (machine && !host.used && machine->tasks == 0 &&
+        base::between(machine->idle_since, input_.now) >= input_.idle_return) {
+      plan_.cordon.push_back(machine->id);
     }
   }
 }
 
 }  // namespace
 
-ScalingPlan plan_scaling(const ScalingInput& in) {
-  return ScalingPlanner(in).run();
+bool may_run(const protocol::JobSpec& spec, const std::string& type, const std::string& zone,
+             bool spot) {
+  if (spot && !spec.spot) return false;
+  if (spec.zone && *spec.zone != zone) return false;
+  return !spec.types ||
+         std::find(spec.types->begin(), spec.types->end(), type) != spec.types->end();
+}
+
+ScalingPlan plan_scaling(const ScalingInput& input) {
+  return ScalingPlanner(input).run();
 }
 
 }  // namespace saddleslip::coordination
--- /dev/null
+++ b/src/coordination/fleet/service_arrivals.cpp
@@ -0,0 +1,56 @@
+#include "coordination/fleet/service_arrivals.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace saddleslip::coordination {
+
+namespace {
+
+constexpr Seconds kArrivalWindow{120.0};  // over which the rate of arrivals is taken
+constexpr Seconds kShortestSpan{30.0};    // a rate over less time would be mostly chance
+constexpr Seconds kCountStartsAfter{2.0};
+constexpr double kBootMargin = 1.5;  // boots take up to so many times as long
+constexpr int kExpectedTier = 100;   // packed after all that waits already
+
+}  // namespace
+
+void ServiceArrivals::update(const storage::StateCache& cache, Time now) {
+  for (const auto& [id, job] : cache.jobs()) {
+    const protocol::JobSpec& spec = job.record.spec;
+    if (spec.kind != protocol::Kind::kService || !counted_.insert(id).second) continue;
+    ClassArrivals& arrivals = arrivals_[spec.job_class];
+    arrivals.latest_spec = spec;
+    arrivals.recent.push_back({job.seen, spec.tasks});
+  }
+  std::erase_if(counted_, [&](const base::JobId& id) { return !cache.job(id); });
+  for (auto& [job_class, arrivals] : arrivals_) {
+    auto& recent = arrivals.recent;
+    while (!recent.empty() && base::between(recent.front().at, now) > kArrivalWindow) {
+      recent.pop_front();
+    }
+  }
+}
+
+std::vector<Demand> ServiceArrivals::expected(const Forecast& forecast, Time now) const {
+  std::vector<Demand> out;
+  const Seconds span =
+      std::clamp(base::between(forecast.counted_since, now), kShortestSpan, kArrivalWindow);
+  for (const auto& [job_class, arrivals] : arrivals_) {
+    double tasks = 0;
+    for (const Arrival& arrival : arrivals.recent) {
+      if (base::between(forecast.counted_since, arrival.at) > kCountStartsAfter)
+        tasks += arrival.tasks;
+    }
+    Demand demand;
+    demand.request = arrivals.latest_spec.request;
+    demand.count = static_cast<std::size_t>(std::ceil(
+        tasks / span.count() * forecast.boot_time.count() * kBootMargin * forecast.headroom));
+    demand.tier = kExpectedTier;
+    demand.spec = &arrivals.latest_spec;
+    if (demand.count > 0) out.push_back(demand);
+  }
+  return out;
+}
+
+}  // namespace saddleslip::coordination
--- /dev/null
+++ b/tests/autoscaler_test.cpp
@@ -0,0 +1,145 @@
+// What the leader's autoscaler does, and when.
+#include "coordination/fleet/autoscaler.h"
+
+#include <gtest/gtest.h>
+
+namespace saddleslip::coordination {
+
+namespace {
+
+using base::MemberId;
+using protocol::ControllerIncarnation;
+
+const MemberId kSelf("a"), kOther("b");
+const MachineId kMine("i-1"), kTheirs("i-2");
+
+class AutoscalerTest : public ::testing::Test {
+ protected:
+  AutoscalerTest()
+      : cache_(settings_),
+        priorities_(settings_, cache_),
+        autoscaler_(settings_, cache_, priorities_) {
+    settings_.teams["t"];
+    settings_.controller_zones = {"a"};
+    MachineType small;
+    small.name = "small";
+    small.size.v = {4, 0, 16};
+    small.price = 0.4;
+    small.spot_price = 0.2;
+    small.boot = Seconds(10);
+    small.zones = {"a"};
+    apply(protocol::kCatalogueKey, to_json(std::vector{small}));
+    protocol::View view;
+    view.epoch = base::Epoch(1);
+    view.members = {ControllerIncarnation{kSelf, base::Incarnation(1)},
+                    ControllerIncarnation{kOther, base::Incarnation(1)}};
+    apply(protocol::kViewKey, to_json(view));
+    fleet_.self = kSelf;
+    fleet_.is_released = [](const MachineId&) { return false; };
+    advance(500);
+    autoscaler_.become_leader(fleet_.now);
+    fleet_.partitions = {{kSelf, {}}, {kOther, {}}};
+  }
+
+  void apply(const std::string& key, const protocol::Json& value) {
+    cache_.apply({key, value, base::Version(++version_)}, fleet_.now);
+  }
+  void add_service() {
+    protocol::JobRecord record;
+    record.spec.id = base::JobId("run-000001");
+    record.spec.job_class = "c";
+    record.spec.team = "t";
+    record.spec.kind = protocol::Kind::kService;
+    record.spec.tasks = 1;
+    record.spec.request.v = {2, 0, 1};
+    record.spec.image = "img";
+    apply(protocol::job_key(record.spec.id), to_json(record));
+    priorities_.update(fleet_.now);
+  }
+  void advance(double s) {
+    fleet_.now = base::after(fleet_.now, Seconds(s));
+    fleet_.wall_now += s;
+  }
+  ScalingActions plan(const ReleaseRequests& requests = {}) {
+    return autoscaler_.plan(fleet_, requests, [](const base::JobId&) { return false; });
+  }
+  // A machine that is idle since the start.
+  static MachineStatus idle(const MachineId& id) {
+    MachineStatus status;
+    status.id = id;
+    status.type = "small";
+    status.zone = "a";
+    status.open = true;
+    return status;
+  }
+
+  base::Settings settings_;
+  storage::StateCache cache_;
+  JobPriorities priorities_;
+  Autoscaler autoscaler_;
+  FleetStatus fleet_;
+  std::uint64_t version_ = 0;
+};
+
+}  // namespace
+
+// To rent for tasks that may have capacity on machines not yet heard of would pay for it twice.
+TEST_F(AutoscalerTest, PlanRentsOnlyOnceAllPartitionsAreKnown) {
+  add_service();
+  EXPECT_TRUE(plan().plan.scale_out.empty());
+  advance(60);
+  fleet_.partitions.pop_back();
+  EXPECT_TRUE(plan().plan.scale_out.empty());
+  fleet_.partitions.push_back({kOther, {}});
+  const ScalingActions actions = plan();
+  ASSERT_EQ(actions.plan.scale_out.size(), 1u);
+  EXPECT_EQ(actions.plan.scale_out[0].kind.type, "small");
+}
+
+TEST_F(AutoscalerTest, PlanCountsOnRentedMachinesUntilTheyReport) {
+  add_service();
+  advance(60);
+  autoscaler_.record_rented({"small", "a", false}, {kMine}, fleet_.wall_now);
+  EXPECT_TRUE(plan().plan.scale_out.empty());
+  EXPECT_EQ(autoscaler_.booting_record().writes.at(0).key, protocol::kFleetKey);
+}
+
+TEST_F(AutoscalerTest, PlanRentsNothingOfAKindThatIsOutOfCapacity) {
+  add_service();
+  advance(60);
+  autoscaler_.record_out_of_capacity({"small", "a", false}, fleet_.now);
+  EXPECT_TRUE(plan().plan.scale_out.empty());
+  advance(9);
+  EXPECT_EQ(plan().plan.scale_out.size(), 1u);
+}
+
+// Each owner cordons its own machines: this member at once, the other with its next status.
+TEST_F(AutoscalerTest, PlanAsksTheOwnersToCordonIdleMachines) {
+  advance(60);
+  const MachineStatus mine = idle(kMine), theirs = idle(kTheirs);
+  fleet_.partitions = {{kSelf, {&mine}}, {kOther, {&theirs}}};
+  EXPECT_EQ(plan().own.cordon, std::vector{kMine});
+  EXPECT_EQ(autoscaler_.take_requests(kOther).cordon, std::vector{kTheirs});
+}
+
+TEST_F(AutoscalerTest, PlanReleasesWhatOwnersAskForAlsoBeforeItRents) {
+  EXPECT_EQ(plan({{kTheirs}, {}}).release, std::vector{kTheirs});
+}
+
+TEST_F(AutoscalerTest, PlanReleasesAFailedMachineOfTheListUntilItIsReleased) {
+  const CloudMachine failed{kMine, "small", "a", false, protocol::CloudState::kFailed, Seconds(5)};
+  autoscaler_.review_list({failed}, fleet_);
+  EXPECT_EQ(plan().release, std::vector{kMine});
+  autoscaler_.record_released({kMine});
+  EXPECT_TRUE(plan().release.empty());
+}
+
+TEST_F(AutoscalerTest, ListReviewCountsOnMachinesThatBoot) {
+  add_service();
+  advance(60);
+  autoscaler_.review_list(
+      {{kMine, "small", "a", false, protocol::CloudState::kStarting, Seconds(5)}}, fleet_);
+  EXPECT_TRUE(plan().plan.scale_out.empty());
+}
+
+}  // namespace saddleslip::coordination
--- a/tests/boot_tracker_test.cpp
+++ b/tests/boot_tracker_test.cpp
@@ -35,13 +35,13 @@
 
 // Others of the kind came up meanwhile: those that are late are lost.
 TEST_F(BootTrackerTest, WhereOthersCameUpTheLateOnesAreNotCountedOn) {
-  for (int i = 0; i < 5; ++i) tracker_.record_up(kind_, Seconds(20), now(0));
+  for (int i = 0; i < 5; ++i) tracker_.record_boot(kind_, Seconds(20), now(0));
   EXPECT_FALSE(likely(60, 2));
 }
 
 // Lately the kind took long: that is how long one is waited for.
 TEST_F(BootTrackerTest, ALateMachineIsJudgedByWhatItsKindHasShown) {
-  tracker_.record_up(kind_, Seconds(90), now(0));
+  tracker_.record_boot(kind_, Seconds(90), now(0));
   EXPECT_TRUE(likely(100, 1));
   EXPECT_FALSE(likely(115, 1));
   EXPECT_FALSE(given_up(130));
@@ -52,7 +52,7 @@
 }
 
 TEST_F(BootTrackerTest, OtherKindsDoNotCount) {
-  tracker_.record_up({"small", "a", false}, Seconds(90), now(0));
+  tracker_.record_boot({"small", "a", false}, Seconds(90), now(0));
   EXPECT_FALSE(likely(100, 1));
 }
 
--- /dev/null
+++ b/tests/fleet_demand_test.cpp
@@ -0,0 +1,120 @@
+// The demand for machines: waiting tasks, and services that are expected.
+#include <gtest/gtest.h>
+
+#include "coordination/fleet/demand_estimator.h"
+#include "coordination/fleet/service_arrivals.h"
+
+namespace saddleslip::coordination {
+
+namespace {
+
+using base::JobId;
+using protocol::JobRecord;
+using protocol::Kind;
+
+class FleetDemand : public ::testing::Test {
+ protected:
+  FleetDemand() : cache_(settings_), priorities_(settings_, cache_) {
+    settings_.teams["t"];
+    settings_.teams["limited"].max_cores = 6;
+    priorities_.set_time_of_day(now_, 1000);
+    MachineType slow, fast;
+    slow.name = "slow";
+    slow.boot = Seconds(30);
+    fast.name = "fast";
+    fast.boot = Seconds(10);
+    cache_.apply({protocol::kCatalogueKey, to_json(std::vector{slow, fast}), next_version()}, now_);
+  }
+
+  static JobRecord job(const std::string& id, Kind kind, base::TaskNo tasks) {
+    JobRecord record;
+    record.spec.id = JobId(id);
+    record.spec.job_class = "c";
+    record.spec.team = "t";
+    record.spec.kind = kind;
+    record.spec.tasks = tasks;
+    record.spec.request.v = {2, 0, 1};
+    record.spec.image = "img";
+    record.spec.estimate = Seconds(100);
+    record.submitted = 1000;
+    return record;
+  }
+  void add(const JobRecord& record, Time at) {
+    cache_.apply({protocol::job_key(record.spec.id), to_json(record), next_version()}, at);
+    priorities_.update(now_);
+  }
+  base::Version next_version() { return base::Version(++version_); }
+  std::vector<Demand> waiting(const JobPredicate& is_crash_looping = [](const JobId&) {
+    return false;
+  }) const {
+    return DemandEstimator(settings_, cache_, priorities_).waiting(is_crash_looping, now_);
+  }
+  Time after(double s) const { return base::after(now_, Seconds(s)); }
+
+  base::Settings settings_;
+  storage::StateCache cache_;
+  JobPriorities priorities_;
+  const Time now_ = base::after(Time{}, Seconds(500));
+  std::uint64_t version_ = 0;
+};
+
+}  // namespace
+
+TEST_F(FleetDemand, WaitingTasksOfACrashLoopingJobNeedNoCapacity) {
+  add(job("run-000001", Kind::kService, 3), now_);
+  ASSERT_EQ(waiting().size(), 1u);
+  EXPECT_EQ(waiting()[0].count, 3u);
+  EXPECT_TRUE(waiting([](const JobId&) { return true; }).empty());
+}
+
+// The quota of the team is shared by its jobs, in the order of their ids.
+TEST_F(FleetDemand, WaitingTasksCountWithinTheQuotaOfTheirTeam) {
+  JobRecord first = job("run-000001", Kind::kService, 2);
+  JobRecord second = job("run-000002", Kind::kService, 2);
+  JobRecord third = job("run-000003", Kind::kService, 2);
+  for (JobRecord* record : {&first, &second, &third}) {
+    record->spec.team = "limited";
+    add(*record, now_);
+  }
+  const std::vector<Demand> demand = waiting();
+  ASSERT_EQ(demand.size(), 2u);
+  EXPECT_EQ(demand[0].count, 2u);
+  EXPECT_EQ(demand[1].count, 1u);
+}
+
+// What may run one after the other until the deadline needs no machines side by side.
+TEST_F(FleetDemand, WaitingTasksOfAnArrayCountAsFarAsItsDeadlineNeeds) {
+  JobRecord array = job("run-000001", Kind::kArray, 30);
+  array.spec.deadline = Seconds(1000);
+  add(array, now_);
+  ASSERT_EQ(waiting().size(), 1u);
+  EXPECT_EQ(waiting()[0].count, 10u);
+  array.spec.deadline = Seconds(150);
+  add(array, now_);
+  EXPECT_EQ(waiting()[0].count, 30u);
+}
+
+TEST_F(FleetDemand, ShortestBootTimeIsThatOfTheFastestType) {
+  EXPECT_EQ(DemandEstimator(settings_, cache_, priorities_).shortest_boot_time(), Seconds(10));
+}
+
+TEST_F(FleetDemand, ExpectedServicesFollowTheirRecentArrivals) {
+  ServiceArrivals arrivals;
+  const ServiceArrivals::Forecast forecast{now_, Seconds(10), 0.5};
+  add(job("run-000001", Kind::kService, 50), now_);
+  arrivals.update(cache_, now_);
+  // What was there at the start of the count did not arrive.
+  EXPECT_TRUE(arrivals.expected(forecast, after(60)).empty());
+  add(job("run-000002", Kind::kService, 60), after(30));
+  add(job("run-000003", Kind::kArray, 60), after(30));
+  arrivals.update(cache_, after(60));
+  arrivals.update(cache_, after(60));
+  const std::vector<Demand> expected = arrivals.expected(forecast, after(60));
+  ASSERT_EQ(expected.size(), 1u);
+  // One task a second, for boots of up to 15 s, half of that as headroom.
+  EXPECT_EQ(expected[0].count, 8u);
+  arrivals.update(cache_, after(200));
+  EXPECT_TRUE(arrivals.expected(forecast, after(200)).empty());
+}
+
+}  // namespace saddleslip::coordination
--- a/tests/packing_test.cpp
+++ b/tests/packing_test.cpp
@@ -152,9 +152,9 @@
   // What boots already is counted.
   in.booting = {{MachineId("i-1"), "big", "a", false, 0}};
   EXPECT_TRUE(plan_scaling(in).scale_out.empty());
-  // Refused lately: the next best kind. Spot only for jobs that allow it.
+  // Out of capacity lately: the next best kind. Spot only for jobs that allow it.
   in.booting.clear();
-  in.refused[{"big", "a", false}] = base::after(in.now, Seconds(5));
+  in.retry_at[{"big", "a", false}] = base::after(in.now, Seconds(5));
   plan = plan_scaling(in);
   ASSERT_EQ(plan.scale_out.size(), 1u);
   EXPECT_EQ(plan.scale_out[0].kind.type, "small");
