--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -7,7 +7,7 @@
 #include <sstream>
 
 #include "base/log.h"
-#include "simulation/simulated_cluster.h"
+#include "simulation/scenario_player.h"
 
 namespace saddleslip::testing {
 
@@ -27,9 +27,9 @@
   std::ifstream in(std::string(SCENARIOS) + "/" + GetParam() + ".txt");
   std::stringstream text;
   text << in.rdbuf();
-  SimulatedCluster world;
-  world.trace_as(GetParam());
-  for (const std::string& what : world.run(text.str())) ADD_FAILURE() << what;
+  ScenarioPlayer player;
+  player.trace_as(GetParam());
+  for (const std::string& what : player.play(text.str())) ADD_FAILURE() << what;
 }
 
 INSTANTIATE_TEST_SUITE_P(All, Scenario, ::testing::ValuesIn(scenario_names()),
--- a/tests/simulated_cluster_test.cpp
+++ b/tests/simulated_cluster_test.cpp
@@ -1,10 +1,9 @@
 // The operators' checks of a whole day, each seen to fail on a day that breaks it: a check of the
 // scenario runner that never fails would show nothing.
-#include "simulation/simulated_cluster.h"
-
 #include <gtest/gtest.h>
 
 #include "base/log.h"
+#include "simulation/scenario_player.h"
 
 namespace saddleslip::testing {
 
@@ -13,9 +12,9 @@
 // The failures of a day, in one text.
 std::string failures_of(const std::string& scenario) {
   if (!std::getenv("LOG_LEVEL")) spdlog::set_level(spdlog::level::off);
-  SimulatedCluster world;
+  ScenarioPlayer player;
   std::string text;
-  for (const std::string& failure : world.run(scenario)) text += failure + "\n";
+  for (const std::string& failure : player.play(scenario)) text += failure + "\n";
   return text;
 }
 
--- /dev/null
+++ b/tests/simulation/cluster_commands.cpp
@@ -0,0 +1,91 @@
+// Commands that say what the cluster consists of and how it is configured.
+#include "simulation/scenario_commands.h"
+
+namespace saddleslip::testing {
+
+namespace {
+
+void play_workers(SimulatedCluster& cluster, CommandLine& line) {
+  cluster.config.heartbeat_s = line.number();
+  cluster.config.lease_s = line.number();
+}
+
+void play_team(SimulatedCluster& cluster, CommandLine& line) {
+  ClusterConfig::TeamQuota quota;
+  quota.team = line.text();
+  quota.guaranteed_cores = line.number();
+  quota.max_cores = line.number();
+  cluster.config.teams.push_back(quota);
+}
+
+void play_operators(SimulatedCluster& cluster, CommandLine& line) {
+  const std::string setting = line.rest();
+  cluster.config.tuning += setting.substr(1) + "\n";
+}
+
+ClusterConfig::StateLimits read_limits(CommandLine& line) {
+  ClusterConfig::StateLimits limits;
+  limits.value_bytes = line.count();
+  limits.writes = line.count();
+  return limits;
+}
+
+void play_state_limits(SimulatedCluster& cluster, CommandLine& line) {
+  cluster.config.limits = read_limits(line);
+}
+
+void play_next_limits(SimulatedCluster& cluster, CommandLine& line) {
+  cluster.config.next_limits = read_limits(line);
+}
+
+void play_nodes(SimulatedCluster& cluster, CommandLine& line) {
+  cluster.controllers.start_all(line.count());
+}
+
+void play_capacity(SimulatedCluster& cluster, CommandLine& line) {
+  const std::string type = line.text();
+  cluster.cloud.set_capacity(type, static_cast<int>(line.count()));
+}
+
+void play_machine(SimulatedCluster& cluster, CommandLine& line) {
+  const std::string id = line.text(), type = line.text(), zone = line.text();
+  cluster.workers.add(id, type, zone, line.is("spot"), cluster.clock.seconds());
+}
+
+void play_machines(SimulatedCluster& cluster, CommandLine& line) {
+  const std::size_t count = line.count();
+  const std::string type = line.text(), zone = line.text();
+  cluster.workers.add_fleet(count, type, zone);
+}
+
+void play_put(SimulatedCluster& cluster, CommandLine& line) {
+  const std::string key = line.text();
+  cluster.state.put(key, protocol::Json::parse(line.rest()));
+}
+
+constexpr ScenarioCommand kCommands[] = {
+    {"workers", "HEARTBEAT_S LEASE_S", "the agents' periods; before nodes", play_workers},
+    {"team", "NAME GUARANTEED_CORES MAX_CORES", "a team and its quota; before nodes", play_team},
+    {"operators", "SETTING: VALUE", "a line of the operators' settings; before nodes",
+     play_operators},
+    {"state_limits", "VALUE_BYTES WRITES",
+     "the state service's limits of a value and of a transaction; before nodes", play_state_limits},
+    {"next_limits", "VALUE_BYTES WRITES",
+     "limits that hold later; before nodes, which then begin with the version before",
+     play_next_limits},
+    {"nodes", "COUNT", "starts so many controllers: n0, n1, ...", play_nodes},
+    {"capacity", "TYPE COUNT", "how many machines of a type can be rented", play_capacity},
+    {"machine", "ID TYPE ZONE [spot]", "adds a machine; types: small, big", play_machine},
+    {"machines", "COUNT TYPE ZONE", "adds machines of a large fleet: f1001, f1002, ...",
+     play_machines},
+    {"put", "KEY JSON", "a record that no controller wrote: damaged, or of another version",
+     play_put},
+};
+
+}  // namespace
+
+std::span<const ScenarioCommand> cluster_commands() {
+  return kCommands;
+}
+
+}  // namespace saddleslip::testing
--- /dev/null
+++ b/tests/simulation/cluster_config.cpp
@@ -0,0 +1,53 @@
+#include "simulation/cluster_config.h"
+
+#include "protocol/messages.h"
+#include "simulation/simulated_network.h"
+
+namespace saddleslip::testing {
+
+namespace {
+
+using protocol::Json;
+
+Json state_section(const ClusterConfig::StateLimits& limits) {
+  return {{"value_kb", static_cast<double>(limits.value_bytes) / 1024.0},
+          {"txn_ops", limits.writes}};
+}
+
+Json teams_section(const std::vector<ClusterConfig::TeamQuota>& teams) {
+  Json out = Json::array();
+  for (const auto& quota : teams) {
+    out.push_back(
+        {{"name", quota.team}, {"cpus", quota.guaranteed_cores}, {"cpus_max", quota.max_cores}});
+  }
+  return out;
+}
+
+}  // namespace
+
+base::Settings ClusterConfig::settings_of(std::size_t controller, std::size_t controllers,
+                                          bool upgraded) const {
+  Json peers = Json::array();
+  for (std::size_t i = 0; i < controllers; ++i) {
+    if (i != controller)
+      peers.push_back({{"member", controller_name(i)}, {"address", "10.0.0.1:1"}});
+  }
+  Json json = {
+      {"member", controller_name(controller)},
+      {"serve_on", "10.0.0.1:1"},
+      {"peer_listen", "10.0.0.1:2"},
+      {"siblings", peers},
+      {"endpoints", {{"cloud", "10.0.0.1:3"}, {"state", "10.0.0.1:4"}}},
+      {"settings",
+       {{"size", controllers},
+        {"teams", teams_section(teams)},
+        {"workers", {{"report_s", heartbeat_s}, {"lease_s", lease_s}, {"cancel_s", cancel_s}}},
+        {"cloud", {{"list_lag_s", 5}}}}}};
+  if (limits) json["settings"]["state"] = state_section(*limits);
+  if (next_limits && upgraded) json["settings"]["state"]["next"] = state_section(*next_limits);
+  base::Settings settings = base::parse_settings(json.dump());
+  base::apply_tuning(settings, tuning);
+  return settings;
+}
+
+}  // namespace saddleslip::testing
--- /dev/null
+++ b/tests/simulation/command_channel.cpp
@@ -0,0 +1,54 @@
+#include "simulation/command_channel.h"
+
+namespace saddleslip::testing {
+
+namespace {
+
+constexpr double kRepeatAfter = 20;  // seconds
+
+}  // namespace
+
+void CommandChannel::send(std::size_t from, const coordination::CommandBatch& batch,
+                          ControllerEndpoints& controllers) {
+  if (lost_) return;
+  if (clock_.seconds() < hold_until_) {
+    pending_.push_back({hold_until_, from, batch});
+    return;
+  }
+  if (network_.is_cut(controller_name(from), "workers") ||
+      network_.is_cut(controller_name(from), batch.machine.get())) {
+    return;
+  }
+  if (is_hung(batch.machine)) {
+    pending_.push_back({std::nullopt, from, batch});
+    return;
+  }
+  deliver(from, batch, controllers);
+  if (repeated_) pending_.push_back({clock_.seconds() + kRepeatAfter, from, batch});
+}
+
+void CommandChannel::step(ControllerEndpoints& controllers) {
+  for (std::size_t i = 0; i < pending_.size();) {
+    const auto& due_at = pending_[i].due_at;
+    if (is_hung(pending_[i].batch.machine) || (due_at && clock_.seconds() < *due_at)) {
+      ++i;
+      continue;
+    }
+    const Pending due = pending_[i];
+    pending_.erase(pending_.begin() + static_cast<std::ptrdiff_t>(i));
+    deliver(due.from, due.batch, controllers);
+  }
+}
+
+bool CommandChannel::is_hung(const base::MachineId& machine) const {
+  const SimulatedMachine* at = workers_.find(machine.get());
+  return at && at->is_hung;
+}
+
+void CommandChannel::deliver(std::size_t from, const coordination::CommandBatch& batch,
+                             ControllerEndpoints& controllers) {
+  const auto reply = workers_.deliver(batch);
+  if (reply) controllers.handle_command_reply(from, batch.machine, *reply);
+}
+
+}  // namespace saddleslip::testing
--- a/tests/simulation/command_line.h
+++ b/tests/simulation/command_line.h
@@ -1,46 +1,38 @@
-// One line of a scenario: a command and its words.
+// One line of a scenario: a command and its arguments.
 #pragma once
 
+#include <cstddef>
 #include <map>
+#include <optional>
 #include <sstream>
 #include <string>
 
 namespace saddleslip::testing {
 
+// Reads the arguments from left to right. Numbers throw std::invalid_argument if there is none.
 class CommandLine {
  public:
-  explicit CommandLine(const std::string& text) : in_(text) { in_ >> word_; }
+  explicit CommandLine(const std::string& text) : in_(text) { in_ >> command_; }
 
-  const std::string& word() const { return word_; }
-  // The next word; empty: there is none.
-  std::string text() {
-    std::string s;
-    in_ >> s;
-    return s;
-  }
+  const std::string& command() const { return command_; }
+  // The next argument; empty: there is none.
+  std::string text();
   double number() { return std::stod(text()); }
+  // None: there is no further argument.
+  std::optional<double> optional_number();
   std::size_t count() { return std::stoul(text()); }
   // A controller's number, from its name: n0, n1, ...
-  std::size_t node() { return std::stoul(text().substr(1)); }
+  std::size_t controller() { return std::stoul(text().substr(1)); }
+  // Is the next argument this word?
+  bool is(const std::string& word) { return text() == word; }
   // All that is left, with the space before it.
-  std::string rest() {
-    std::string s;
-    std::getline(in_, s);
-    return s;
-  }
+  std::string rest();
   // All that is left, as key=value; a key alone has the value 1.
-  std::map<std::string, std::string> options() {
-    std::map<std::string, std::string> out;
-    for (std::string s = text(); !s.empty(); s = text()) {
-      const auto eq = s.find('=');
-      out[s.substr(0, eq)] = eq == std::string::npos ? "1" : s.substr(eq + 1);
-    }
-    return out;
-  }
+  std::map<std::string, std::string> options();
 
  private:
   std::istringstream in_;
-  std::string word_;
+  std::string command_;
 };
 
 }  // namespace saddleslip::testing
--- /dev/null
+++ b/tests/simulation/controller_store_access.cpp
@@ -0,0 +1,170 @@
+// The controllers' use of the state service: commits with the checks of what is written, the load
+// at the start, and the watch.
+#include <algorithm>
+#include <sstream>
+
+#include "simulation/simulated_controllers.h"
+
+namespace saddleslip::testing {
+
+using protocol::StateClient;
+using Outcome = StateClient::Outcome;
+
+namespace {
+
+constexpr double kCommitTimeout = 1.5;  // seconds until a lost answer is given up
+
+// The version before says nothing of formats, and never that all read a later one.
+bool writes_format_record(const protocol::Transaction& txn) {
+  return std::any_of(txn.writes.begin(), txn.writes.end(),
+                     [](const protocol::Put& put) { return put.key == protocol::kFormatKey; });
+}
+
+protocol::Transaction without_format(protocol::Transaction txn) {
+  for (protocol::Put& put : txn.writes) {
+    if (put.key.starts_with(protocol::kMembers) && put.value) put.value->erase("format");
+  }
+  return txn;
+}
+
+}  // namespace
+
+bool SimulatedControllers::is_version_before(std::size_t n) const {
+  return config_.next_limits && !processes_[n].is_upgraded;
+}
+
+// Limits hold whatever the preconditions: a record that no value holds would be refused for good.
+// Limits that the store gets later hold for what is written now, too.
+void SimulatedControllers::check_limits(std::size_t n, const protocol::Transaction& txn) const {
+  const base::Settings& limits = processes_[n].settings;
+  if (txn.writes.size() > limits.txn_ops ||
+      txn.preconditions.size() > limits.txn_ops * protocol::kPreconditionsPerWrite) {
+    failures_.add("a transaction of " + std::to_string(txn.writes.size()) + " changes and " +
+                  std::to_string(txn.preconditions.size()) + " conditions");
+  }
+  for (const protocol::Put& put : txn.writes) {
+    if (put.value && put.value->dump().size() > limits.value_bytes)
+      failures_.add("a value too large for the store: " + put.key);
+  }
+}
+
+// Records that the version before can't read must not be written while it may come back.
+void SimulatedControllers::check_format(const protocol::Transaction& txn) const {
+  bool all_upgraded = true;
+  for (std::size_t n = 0; n < processes_.size(); ++n)
+    all_upgraded = all_upgraded && !is_version_before(n);
+  for (const protocol::Put& put : txn.writes) {
+    const bool splits =
+        put.key.starts_with(protocol::kJobs) && put.value && put.value->contains("p");
+    if (splits && !all_upgraded)
+      failures_.add("a split record before all controllers read it: " + put.key);
+  }
+}
+
+StateClient::Committed SimulatedControllers::commit(std::size_t n,
+                                                    const protocol::Transaction& txn) {
+  check_limits(n, txn);
+  check_format(txn);
+  const StateClient::Committed done = commit_untraced(n, txn);
+  trace_commit(n, txn, done);
+  return done;
+}
+
+StateClient::Committed SimulatedControllers::commit_untraced(std::size_t n,
+                                                             const protocol::Transaction& txn) {
+  StateClient::Committed done;
+  if (is_version_before(n) && writes_format_record(txn)) {
+    done.outcome = Outcome::kConflict;
+    return done;
+  }
+  if (!state_.is_reachable_from(n)) {
+    done.outcome = Outcome::kRefused;
+    return done;
+  }
+  if (state_.delays_commit(n, txn)) return done;
+  done = state_.apply(is_version_before(n) ? without_format(txn) : txn);
+  if (!state_.loses_answer(n)) return done;
+  processes_[n].busy_until = clock_.seconds() + kCommitTimeout;
+  return {};
+}
+
+void SimulatedControllers::trace_commit(std::size_t n, const protocol::Transaction& txn,
+                                        const StateClient::Committed& done) {
+  if (!trace_.is_open()) return;
+  std::ostringstream out;
+  out << "commit " << controller_name(n) << " outcome " << static_cast<int>(done.outcome)
+      << " revision " << done.revision.get();
+  for (const auto& [key, version] : txn.preconditions) out << ' ' << key << '@' << version.get();
+  for (const protocol::Put& put : txn.writes) {
+    out << ' ' << put.key << '=' << (put.value ? put.value->dump() : "removed");
+    if (put.lease) out << '~' << put.lease->get();
+  }
+  trace_.write(clock_.seconds(), out.str());
+}
+
+// Reads the jobs first and their tasks' records after that, as late as the scenario says.
+void SimulatedControllers::load(std::size_t n) {
+  if (!state_.is_reachable_from(n)) return;
+  ControllerProcess& process = processes_[n];
+  if (!process.reads_chunks_at) {
+    apply_records(n, false);
+    process.load_revision = state_.revision();
+    process.reads_chunks_at = clock_.seconds() + process.load_time_s;
+  }
+  if (clock_.seconds() < *process.reads_chunks_at) return;
+  apply_records(n, true);
+  process.controller->cache().advance_to(base::Revision(process.load_revision));
+  process.reads_chunks_at.reset();
+  process.is_loaded = true;
+}
+
+void SimulatedControllers::apply_records(std::size_t n, bool chunks) {
+  auto& cache = processes_[n].controller->cache();
+  for (const auto& [key, record] : state_.records()) {
+    if (key.starts_with(protocol::kFinals) || key.starts_with(protocol::kChunks) != chunks)
+      continue;
+    cache.apply({key, record.value, base::Version(record.version)}, clock_.now());
+  }
+}
+
+void SimulatedControllers::apply_changes(std::size_t n, double lag) {
+  ControllerProcess& process = processes_[n];
+  auto& cache = process.controller->cache();
+  std::uint64_t revision = cache.revision().get();
+  for (const auto& change : state_.changes()) {
+    if (change.revision <= cache.revision().get() || change.changed_at + lag > clock_.seconds())
+      continue;
+    if (cache.apply(change.item, clock_.now())) process.is_round_due = true;
+    if (change.item.key == protocol::kViewKey || change.item.key == protocol::kLeadKey)
+      process.is_renewal_due = true;
+    revision = std::max(revision, change.revision);
+  }
+  cache.advance_to(base::Revision(revision));
+  process.controller->install_view(clock_.now());
+}
+
+bool SimulatedControllers::catch_up(std::size_t n) {
+  if (!processes_[n].is_loaded || !state_.is_reachable_from(n)) return false;
+  apply_changes(n, 0);
+  return true;
+}
+
+void SimulatedControllers::refresh(std::size_t n, const std::vector<std::string>& keys) {
+  for (const std::string& key : keys) {
+    if (!key.starts_with(protocol::kJobs) && !key.starts_with(protocol::kChunks)) continue;
+    const auto got = state_.get(n, key);
+    if (got.answered && got.item.version.get() != 0)
+      processes_[n].controller->cache().apply(got.item, clock_.now());
+  }
+}
+
+void SimulatedControllers::read_unresolved_dependencies(std::size_t n) {
+  auto& cache = processes_[n].controller->cache();
+  for (const base::JobId& id : cache.unresolved_dependencies()) {
+    const auto got = state_.get(n, protocol::final_key(id));
+    const auto state = got.answered ? protocol::parse_final(got.item.value) : std::nullopt;
+    if (state) cache.remember_final(id, *state);
+  }
+}
+
+}  // namespace saddleslip::testing
--- /dev/null
+++ b/tests/simulation/fault_commands.cpp
@@ -0,0 +1,201 @@
+// Commands that bring faults about, and mend them.
+#include "simulation/scenario_commands.h"
+
+namespace saddleslip::testing {
+
+namespace {
+
+void play_crash(SimulatedCluster& cluster, CommandLine& line) {
+  const std::size_t controller = line.controller();
+  cluster.controllers.crash(controller, line.optional_number());
+}
+
+void play_upgrade(SimulatedCluster& cluster, CommandLine& line) {
+  const std::size_t controller = line.controller();
+  cluster.controllers.upgrade(controller, line.number());
+}
+
+void play_freeze(SimulatedCluster& cluster, CommandLine& line) {
+  const std::size_t controller = line.controller();
+  cluster.controllers.freeze(controller, line.number());
+}
+
+void play_slow_load(SimulatedCluster& cluster, CommandLine& line) {
+  const std::size_t controller = line.controller();
+  cluster.controllers.set_load_time(controller, line.number());
+}
+
+void play_watch_lag(SimulatedCluster& cluster, CommandLine& line) {
+  const std::size_t controller = line.controller();
+  cluster.controllers.set_watch_lag(controller, line.number());
+}
+
+void play_lose_commit(SimulatedCluster& cluster, CommandLine& line) {
+  cluster.state.lose_next_answer(line.controller());
+}
+
+void play_late_commit(SimulatedCluster& cluster, CommandLine& line) {
+  const std::size_t controller = line.controller();
+  cluster.state.delay_next_commit(controller, line.number());
+}
+
+void play_state(SimulatedCluster& cluster, CommandLine& line) {
+  cluster.state.set_down(line.is("down"));
+}
+
+void play_cloud(SimulatedCluster& cluster, CommandLine& line) {
+  cluster.cloud.set_down(line.is("down"));
+}
+
+void play_spot(SimulatedCluster& cluster, CommandLine& line) {
+  cluster.cloud.set_spot_offered(line.is("on"));
+}
+
+void play_boots(SimulatedCluster& cluster, CommandLine& line) {
+  const std::string after = line.text();
+  if (after == "never") return cluster.cloud.set_boots_never();
+  cluster.cloud.set_boot_time(std::stod(after));
+}
+
+void play_cut(SimulatedCluster& cluster, CommandLine& line) {
+  const std::string from = line.text(), to = line.text();
+  cluster.network.cut(from, to);
+}
+
+void play_mend(SimulatedCluster& cluster, CommandLine& line) {
+  const std::string from = line.text(), to = line.text();
+  cluster.network.mend(from, to);
+}
+
+void play_silent_cuts(SimulatedCluster& cluster, CommandLine& line) {
+  cluster.network.set_silent_cuts(line.is("on"));
+}
+
+SimulatedMachine& machine(SimulatedCluster& cluster, CommandLine& line) {
+  return cluster.workers.at(line.text());
+}
+
+void play_die(SimulatedCluster& cluster, CommandLine& line) {
+  machine(cluster, line).die();
+}
+
+void play_hang(SimulatedCluster& cluster, CommandLine& line) {
+  machine(cluster, line).is_hung = true;
+}
+
+void play_wake(SimulatedCluster& cluster, CommandLine& line) {
+  machine(cluster, line).is_hung = false;
+}
+
+// Every so-manieth machine of the large fleet.
+void play_some(SimulatedCluster& cluster, CommandLine& line) {
+  const std::size_t every = line.count();
+  const std::string fault = line.text();
+  for (SimulatedMachine* machine : cluster.workers.every_nth_of_fleet(every)) {
+    if (fault == "die") {
+      machine->die();
+    } else {
+      machine->is_hung = fault == "hang";
+    }
+  }
+}
+
+void play_reboot(SimulatedCluster& cluster, CommandLine& line) {
+  const std::string id = line.text();
+  cluster.workers.reboot(id, line.number());
+}
+
+void play_sick(SimulatedCluster& cluster, CommandLine& line) {
+  machine(cluster, line).is_faulty = true;
+}
+
+void play_deaf(SimulatedCluster& cluster, CommandLine& line) {
+  machine(cluster, line).is_half_open = true;
+}
+
+void play_hears(SimulatedCluster& cluster, CommandLine& line) {
+  machine(cluster, line).is_half_open = false;
+}
+
+void play_mute(SimulatedCluster& cluster, CommandLine& line) {
+  machine(cluster, line).is_silent = true;
+}
+
+void play_speaks(SimulatedCluster& cluster, CommandLine& line) {
+  machine(cluster, line).is_silent = false;
+}
+
+void play_notice(SimulatedCluster& cluster, CommandLine& line) {
+  SimulatedMachine& spot = machine(cluster, line);
+  spot.spot_ends_at = cluster.clock.seconds() + line.number();
+}
+
+void play_copies(SimulatedCluster& cluster, CommandLine& line) {
+  SimulatedMachine& copied = machine(cluster, line);
+  copied.copies_delay = line.number();
+}
+
+void play_hold_orders(SimulatedCluster& cluster, CommandLine& line) {
+  cluster.commands.hold(line.number());
+}
+
+void play_lose_orders(SimulatedCluster& cluster, CommandLine& line) {
+  cluster.commands.set_lost(line.is("on"));
+}
+
+void play_repeat_orders(SimulatedCluster& cluster, CommandLine& line) {
+  cluster.commands.set_repeated(line.is("on"));
+}
+
+constexpr ScenarioCommand kServiceFaults[] = {
+    {"crash", "NODE [BACK_AFTER_S]", "ends a controller's process", play_crash},
+    {"upgrade", "NODE BACK_AFTER_S", "it ends, and comes back with this version", play_upgrade},
+    {"freeze", "NODE SECONDS", "it stands still while its clocks run on", play_freeze},
+    {"slow_load", "NODE SECONDS", "the time between reading the jobs and their tasks' records",
+     play_slow_load},
+    {"watch_lag", "NODE SECONDS", "it learns of changes so much later", play_watch_lag},
+    {"lose_commit", "NODE", "its next commit is carried out, unanswered", play_lose_commit},
+    {"late_commit", "NODE SECONDS", "its next commit is carried out so much later, unanswered",
+     play_late_commit},
+    {"state", "up|down", "the state service", play_state},
+    {"cloud", "up|down", "the cloud's interface", play_cloud},
+    {"spot", "on|off", "does the cloud have spot machines?", play_spot},
+    {"boots", "SECONDS|never", "how long machines boot that are rented from now on", play_boots},
+    {"cut", "A B", "cuts a link between controllers, state, workers, a machine or a zone",
+     play_cut},
+    {"mend", "A B", "takes back a cut", play_mend},
+    {"silent_cuts", "on|off", "what is cut gives no error: the sender waits for its timeout",
+     play_silent_cuts},
+};
+
+constexpr ScenarioCommand kMachineFaults[] = {
+    {"die", "MACHINE", "it is gone with its tasks", play_die},
+    {"hang", "MACHINE", "it stands still", play_hang},
+    {"wake", "MACHINE", "it no longer hangs", play_wake},
+    {"some", "EVERY die|hang|wake", "every so-manieth machine of the large fleet", play_some},
+    {"reboot", "MACHINE SECONDS", "it comes back empty before it is missed", play_reboot},
+    {"sick", "MACHINE", "it fails all that it starts", play_sick},
+    {"deaf", "MACHINE", "its heartbeats arrive, but nothing reaches it", play_deaf},
+    {"hears", "MACHINE", "it is reached again", play_hears},
+    {"mute", "MACHINE", "its heartbeats do not arrive, but commands reach it", play_mute},
+    {"speaks", "MACHINE", "its heartbeats arrive again", play_speaks},
+    {"notice", "MACHINE SECONDS", "the cloud takes a spot machine back after that", play_notice},
+    {"copies", "MACHINE SECONDS", "a copy of each heartbeat arrives so much later, everywhere",
+     play_copies},
+    {"hold_orders", "SECONDS", "commands that are sent from now on arrive after that",
+     play_hold_orders},
+    {"lose_orders", "on|off", "commands are lost", play_lose_orders},
+    {"repeat_orders", "on|off", "commands arrive a second time, much later", play_repeat_orders},
+};
+
+}  // namespace
+
+std::span<const ScenarioCommand> service_fault_commands() {
+  return kServiceFaults;
+}
+
+std::span<const ScenarioCommand> machine_fault_commands() {
+  return kMachineFaults;
+}
+
+}  // namespace saddleslip::testing
--- /dev/null
+++ b/tests/simulation/simulated_users.cpp
@@ -0,0 +1,78 @@
+#include "simulation/simulated_users.h"
+
+namespace saddleslip::testing {
+
+using protocol::Json;
+
+namespace {
+
+constexpr double kPollPeriod = 0.5;  // seconds
+
+enum HttpStatus { kOk = 200, kCreated = 201, kBadRequest = 400, kNotFound = 404, kInvalid = 422 };
+
+}  // namespace
+
+void SimulatedUsers::submit(std::size_t controller, const SimulatedJob& job) {
+  SimulatedJob& added = jobs_.add(job);
+  added.submitted_at = added.last_answered_at = clock_.seconds();
+  if (added.spec.dependencies.empty()) added.ready_since = clock_.seconds();
+  send(controller, added);
+}
+
+void SimulatedUsers::cancel(const JobId& id) {
+  jobs_.at(id).is_cancel_asked = true;
+  next_poll_at_ = 0;
+}
+
+void SimulatedUsers::send(std::size_t controller, SimulatedJob& job) {
+  if (!controllers_.is_serving(controller)) return;
+  const auto reply =
+      controllers_.user_api(controller).submit(to_json(job.spec).dump(), clock_.now());
+  if (reply.status == kCreated || reply.status == kOk) job.is_accepted = true;
+  if ((reply.status == kBadRequest || reply.status == kInvalid) && job.is_accepted)
+    failures_.add("forgotten: " + job.spec.id.get());
+}
+
+bool SimulatedUsers::can_ask(std::size_t controller) const {
+  return controllers_.is_serving(controller) && !controllers_.is_frozen(controller) &&
+         !avoided_.contains(controller);
+}
+
+void SimulatedUsers::poll() {
+  next_poll_at_ = clock_.seconds() + kPollPeriod;
+  for (auto& [id, job] : jobs_.all()) {
+    if (!job.is_accepted) send(0, job);
+    if (!job.is_accepted) continue;
+    for (std::size_t n = 0; n < controllers_.count(); ++n) {
+      if (can_ask(n)) ask_about(n, job);
+    }
+    if (!job.ready_since && jobs_.dependencies_are_done(job)) job.ready_since = clock_.seconds();
+  }
+}
+
+void SimulatedUsers::ask_about(std::size_t controller, SimulatedJob& job) {
+  UserApi& api = controllers_.user_api(controller);
+  const JobId& id = job.spec.id;
+  if (job.is_cancel_asked && !job.cancelled_at && job.told_final.empty()) {
+    const auto reply = api.cancel(id, clock_.now());
+    // What is over already is answered "done", and stays so.
+    if (reply.status == kOk && Json::parse(reply.body)["status"] == "withdrawn")
+      job.cancelled_at = clock_.seconds();
+  }
+  const auto reply = api.status(id);
+  if (reply.status == kNotFound) failures_.add("forgotten: " + id.get());
+  if (reply.status != kOk) return;
+  job.last_answered_at = clock_.seconds();
+  rules_.check_answer(job, Json::parse(reply.body)["status"]);
+}
+
+void SimulatedUsers::ask_for_unknown_job() {
+  const JobId unknown("run-999999");
+  for (std::size_t n = 0; n < controllers_.count(); ++n) {
+    if (!controllers_.is_serving(n) || avoided_.contains(n)) continue;
+    if (controllers_.user_api(n).status(unknown).status == kOk)
+      failures_.add("invented: " + unknown.get());
+  }
+}
+
+}  // namespace saddleslip::testing
--- /dev/null
+++ b/tests/simulation/simulated_workers.h
@@ -0,0 +1,102 @@
+// The machines of a simulated cluster and their agents: tasks, heartbeats, commands, agent leases.
+#pragma once
+
+#include <cstddef>
+#include <map>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "base/ids.h"
+#include "coordination/controller.h"
+#include "protocol/messages.h"
+#include "simulation/cluster_config.h"
+#include "simulation/controller_endpoints.h"
+#include "simulation/failure_log.h"
+#include "simulation/protocol_observer.h"
+#include "simulation/scenario_trace.h"
+#include "simulation/simulated_clock.h"
+#include "simulation/simulated_jobs.h"
+#include "simulation/simulated_machine.h"
+#include "simulation/simulated_network.h"
+
+namespace saddleslip::testing {
+
+class SimulatedWorkers {
+ public:
+  // What the workers read of the cluster.
+  struct Surroundings {
+    const SimulatedClock& clock;
+    const ClusterConfig& config;
+    const SimulatedNetwork& network;
+  };
+  SimulatedWorkers(const Surroundings& surroundings, SimulatedJobs& jobs, ScenarioTrace& trace,
+                   FailureLog& failures)
+      : clock_(surroundings.clock),
+        config_(surroundings.config),
+        network_(surroundings.network),
+        jobs_(jobs),
+        trace_(trace),
+        failures_(failures) {}
+
+  void add(const std::string& id, const std::string& type, const std::string& zone, bool is_spot,
+           double up_at);
+  // Adds machines of a large fleet, numbered on: f1001, f1002, ...
+  void add_fleet(std::size_t count, const std::string& type, const std::string& zone);
+  std::vector<SimulatedMachine*> every_nth_of_fleet(std::size_t n);
+  void remove(const std::string& id) { machines_.erase(id); }
+  // It comes back up empty, with its next agent incarnation, before it was missed.
+  void reboot(const std::string& id, double seconds);
+  // Throws std::out_of_range if there is no such machine.
+  SimulatedMachine& at(const std::string& id) { return machines_.at(id); }
+  // Null: there is no such machine.
+  const SimulatedMachine* find(const std::string& id) const;
+  std::map<std::string, SimulatedMachine>& all() { return machines_; }
+  const std::map<std::string, SimulatedMachine>& all() const { return machines_; }
+
+  // How many of a job's tasks run on machines that do not hang?
+  std::size_t running_tasks(const JobId& job) const;
+
+  // Delivers late copies of heartbeats, runs the tasks and sends the heartbeats that are due.
+  void step(ControllerEndpoints& controllers, ProtocolObserver& observer);
+  // Gives a machine a batch of commands. Returns its status as the reply; none if nothing reaches it.
+  std::optional<protocol::Heartbeat> deliver(const coordination::CommandBatch& batch);
+
+ private:
+  struct LateHeartbeat {
+    double due_at;
+    protocol::Heartbeat heartbeat;
+  };
+
+  void deliver_late_heartbeats(ControllerEndpoints& controllers);
+  void step_machine(SimulatedMachine& machine, ControllerEndpoints& controllers,
+                    ProtocolObserver& observer);
+  // Returns whether the attempt's state changed.
+  bool step_attempt(const SimulatedMachine& machine, const TaskId& task, SimulatedAttempt& attempt,
+                    ProtocolObserver& observer);
+  void send_heartbeat(SimulatedMachine& machine, ControllerEndpoints& controllers,
+                      ProtocolObserver& observer);
+  void follow_redirect(SimulatedMachine& machine, const protocol::Json& reply,
+                       const ControllerEndpoints& controllers);
+  void take_reply(SimulatedMachine& machine, const protocol::Json& reply,
+                  ProtocolObserver& observer);
+  bool is_connected(const SimulatedMachine& machine) const;
+  void try_next_controller(SimulatedMachine& machine, const ControllerEndpoints& controllers);
+  protocol::Heartbeat heartbeat_of(SimulatedMachine& machine);
+  void execute(SimulatedMachine& machine, const std::vector<protocol::Command>& commands);
+  SimulatedAttempt start(const SimulatedMachine& machine, const protocol::Command& command) const;
+  double cores_in_use(const SimulatedMachine& machine) const;
+  void begin_agent_incarnation(SimulatedMachine& machine);
+
+  const SimulatedClock& clock_;
+  const ClusterConfig& config_;
+  const SimulatedNetwork& network_;
+  SimulatedJobs& jobs_;
+  ScenarioTrace& trace_;
+  FailureLog& failures_;
+  std::map<std::string, SimulatedMachine> machines_;
+  std::vector<LateHeartbeat> late_heartbeats_;
+  std::size_t fleet_size_ = 0;
+};
+
+}  // namespace saddleslip::testing
--- /dev/null
+++ b/tests/simulation/user_commands.cpp
@@ -0,0 +1,112 @@
+// Commands for what users do, and for the passing of time.
+#include <sstream>
+
+#include "simulation/scenario_commands.h"
+
+namespace saddleslip::testing {
+
+namespace {
+
+// The options of `submit`: key=value.
+class JobOptions {
+ public:
+  explicit JobOptions(CommandLine& line) : options_(line.options()) {}
+
+  bool has(const std::string& key) const { return options_.contains(key); }
+  std::string text(const std::string& key, const std::string& otherwise) const {
+    return has(key) ? options_.at(key) : otherwise;
+  }
+  double number(const std::string& key, double otherwise) const {
+    return has(key) ? std::stod(options_.at(key)) : otherwise;
+  }
+
+ private:
+  std::map<std::string, std::string> options_;
+};
+
+protocol::Kind kind_of(const std::string& name) {
+  if (name == "service") return protocol::Kind::kService;
+  return name == "gang" ? protocol::Kind::kGang : protocol::Kind::kArray;
+}
+
+protocol::Rank rank_of(const std::string& name) {
+  static const std::map<std::string, protocol::Rank> kRanks = {
+      {"critical", protocol::Rank::kCritical},
+      {"urgent", protocol::Rank::kUrgent},
+      {"standard", protocol::Rank::kStandard},
+      {"idle", protocol::Rank::kIdle}};
+  return kRanks.at(name);
+}
+
+protocol::JobSpec spec_of(const std::string& id, const std::string& kind,
+                          const JobOptions& options) {
+  protocol::JobSpec spec;
+  spec.id = JobId(id);
+  spec.kind = kind_of(kind);
+  spec.job_class = options.text("class", "c");
+  spec.team = options.text("team", "t");
+  spec.rank = rank_of(options.text("rank", "standard"));
+  spec.tasks = static_cast<TaskNo>(options.number("tasks", 1));
+  spec.request.v = {options.number("cores", 1), 0, options.number("memory", 1)};
+  spec.image = "img";
+  if (options.has("deadline")) spec.deadline = base::Seconds(options.number("deadline", 0));
+  spec.estimate = base::Seconds(options.number("estimate", 0));
+  spec.spot = options.has("spot");
+  spec.one_zone = options.has("one_zone");
+  spec.spread = options.has("spread");
+  if (options.has("zone")) spec.zone = options.text("zone", "");
+  if (options.has("type")) spec.types = {{options.text("type", "")}};
+  std::istringstream dependencies(options.text("follows", ""));
+  for (std::string dependency; std::getline(dependencies, dependency, ',');)
+    spec.dependencies.emplace_back(dependency);
+  return spec;
+}
+
+void play_submit(SimulatedCluster& cluster, CommandLine& line) {
+  const std::string id = line.text(), kind = line.text();
+  const JobOptions options(line);
+  SimulatedJob job;
+  job.spec = spec_of(id, kind, options);
+  job.run_s = options.number("run", 10);
+  if (options.has("fails")) job.fails_after = options.number("fails", 0);
+  cluster.users.submit(static_cast<std::size_t>(options.number("node", 0)), job);
+}
+
+void play_cancel(SimulatedCluster& cluster, CommandLine& line) {
+  cluster.users.cancel(JobId(line.text()));
+}
+
+void play_unasked(SimulatedCluster& cluster, CommandLine& line) {
+  cluster.users.avoid(line.controller());
+}
+
+void play_run(SimulatedCluster& cluster, CommandLine& line) {
+  cluster.run(line.number());
+}
+
+void play_expect(SimulatedCluster& cluster, CommandLine& line) {
+  const std::string name = line.text();
+  const ScenarioCommand* expectation = find_expectation(name);
+  if (!expectation)
+    return cluster.failures.add("unknown expectation: " + name + "\n" + scenario_help());
+  expectation->play(cluster, line);
+}
+
+constexpr ScenarioCommand kCommands[] = {
+    {"submit", "ID array|service|gang [KEY=VALUE ...]",
+     "keys: tasks cores memory run rank team class deadline estimate node type zone spot one_zone "
+     "spread fails (each task fails after so long) follows (ID,ID)",
+     play_submit},
+    {"cancel", "ID", "asks for a job's cancellation until it is confirmed", play_cancel},
+    {"unasked", "NODE", "no user reaches this controller any more", play_unasked},
+    {"run", "SECONDS", "lets the time pass", play_run},
+    {"expect", "EXPECTATION", "fails the scenario if it does not hold now", play_expect},
+};
+
+}  // namespace
+
+std::span<const ScenarioCommand> user_commands() {
+  return kCommands;
+}
+
+}  // namespace saddleslip::testing
