--- a/tests/simulated_cluster_test.cpp
+++ b/tests/simulated_cluster_test.cpp
@@ -22,7 +22,7 @@
 
 TEST(WholeDay, AJobUnansweredFor75SecondsIsForgotten) {
   const std::string day =
-      "nodes 2\nmachine m1 small a\nrun 8\nsubmit run-000001 service\nrun 8\n"
+      "controllers 2\nmachine m1 small a\nrun 8\nsubmit run-000001 service\nrun 8\n"
       "unasked n0\nunasked n1\n";
   EXPECT_EQ(failures_of(day + "run 70\n"), "");
   EXPECT_NE(failures_of(day + "run 80\n").find("forgotten: no question about run-000001"),
@@ -31,13 +31,14 @@
 
 // Time in which nobody could answer does not count.
 TEST(WholeDay, TroublesDoNotCountTowardsBeingForgotten) {
-  EXPECT_EQ(failures_of("nodes 2\nmachine m1 small a\nrun 8\nsubmit run-000001 service\nrun 8\n"
-                        "state down\nrun 100\nstate up\nrun 40\n"),
-            "");
+  EXPECT_EQ(
+      failures_of("controllers 2\nmachine m1 small a\nrun 8\nsubmit run-000001 service\nrun 8\n"
+                  "state down\nrun 100\nstate up\nrun 40\n"),
+      "");
 }
 
 TEST(WholeDay, LessThanHalfOfAClassFails) {
-  EXPECT_NE(failures_of("nodes 2\nmachine m1 small a\nrun 8\n"
+  EXPECT_NE(failures_of("controllers 2\nmachine m1 small a\nrun 8\n"
                         "submit run-000001 array class=x run=2\n"
                         "submit run-000002 array class=x type=big\n"
                         "submit run-000003 array class=x type=big\nrun 250\n")
@@ -46,7 +47,7 @@
 }
 
 TEST(WholeDay, LessThanHalfOfATeamFails) {
-  EXPECT_NE(failures_of("team u 0 0\nnodes 2\nmachine m1 small a\nrun 8\n"
+  EXPECT_NE(failures_of("team u 0 0\ncontrollers 2\nmachine m1 small a\nrun 8\n"
                         "submit run-000001 array class=x run=2\n"
                         "submit run-000002 array class=x run=2\n"
                         "submit run-000003 array class=x team=u type=big\nrun 250\n")
@@ -56,7 +57,7 @@
 
 TEST(WholeDay, AClassesLargestJobsMustBeginWithinFourMinutes) {
   const std::string day =
-      "nodes 2\nmachine m1 small a\nrun 8\n"
+      "controllers 2\nmachine m1 small a\nrun 8\n"
       "submit run-000001 array class=x run=2\n"
       "submit run-000002 array class=x run=2\n"
       "submit run-000003 array class=x tasks=9 type=big\n";
@@ -67,7 +68,7 @@
 
 // A job that began too late was not served in time, however well it ran afterwards.
 TEST(WholeDay, BeginningAfterFourMinutesIsTooLate) {
-  EXPECT_NE(failures_of("nodes 2\nmachine m1 small a\nrun 8\n"
+  EXPECT_NE(failures_of("controllers 2\nmachine m1 small a\nrun 8\n"
                         "submit run-000001 array class=x run=2\n"
                         "submit run-000002 array class=x run=2\n"
                         "submit run-000003 array class=x tasks=9 type=big run=2\nrun 245\n"
@@ -79,7 +80,7 @@
 // A final record that no controller wrote says that a job is done, and what needs it begins.
 TEST(WholeDay, AStartBeforeWhatIsNeededIsTooEarly) {
   const std::string day =
-      "nodes 2\nmachine m1 big a\nrun 8\n"
+      "controllers 2\nmachine m1 big a\nrun 8\n"
       "submit run-000001 array run=30\nsubmit run-000002 array follows=run-000001\nrun 5\n";
   EXPECT_EQ(failures_of(day), "");
   EXPECT_NE(failures_of(day + "unasked n0\nunasked n1\nput s/f/run-000001 {\"f\":\"d\"}\nrun 8\n")
@@ -90,7 +91,7 @@
 // A record that lost what its job needs, as a version that does not know of it would write it.
 TEST(WholeDay, AJobWhoseNeedIsCancelledMustNotBeCalledQueuedForLong) {
   const std::string day =
-      "nodes 2\nmachine m1 small a\nrun 8\n"
+      "controllers 2\nmachine m1 small a\nrun 8\n"
       "submit run-000001 array run=300\n"
       "submit run-000002 array type=big follows=run-000001\nrun 5\n";
   const std::string without_needs =
--- a/tests/simulation/cluster_commands.cpp
+++ b/tests/simulation/cluster_commands.cpp
@@ -38,7 +38,7 @@
   cluster.config.next_limits = read_limits(line);
 }
 
-void play_nodes(SimulatedCluster& cluster, CommandLine& line) {
+void play_controllers(SimulatedCluster& cluster, CommandLine& line) {
   cluster.controllers.start_all(line.count());
 }
 
@@ -64,16 +64,18 @@
 }
 
 constexpr ScenarioCommand kCommands[] = {
-    {"workers", "HEARTBEAT_S LEASE_S", "the agents' periods; before nodes", play_workers},
-    {"team", "NAME GUARANTEED_CORES MAX_CORES", "a team and its quota; before nodes", play_team},
-    {"operators", "SETTING: VALUE", "a line of the operators' settings; before nodes",
+    {"workers", "HEARTBEAT_S LEASE_S", "the agents' periods; before controllers", play_workers},
+    {"team", "NAME GUARANTEED_CORES MAX_CORES", "a team and its quota; before controllers",
+     play_team},
+    {"operators", "SETTING: VALUE", "a line of the operators' settings; before controllers",
      play_operators},
     {"state_limits", "VALUE_BYTES WRITES",
-     "the state service's limits of a value and of a transaction; before nodes", play_state_limits},
+     "the state service's limits of a value and of a transaction; before controllers",
+     play_state_limits},
     {"next_limits", "VALUE_BYTES WRITES",
-     "limits that hold later; before nodes, which then begin with the version before",
+     "limits that hold later; before controllers, which then begin with the version before",
      play_next_limits},
-    {"nodes", "COUNT", "starts so many controllers: n0, n1, ...", play_nodes},
+    {"controllers", "COUNT", "starts so many controllers: n0, n1, ...", play_controllers},
     {"capacity", "TYPE COUNT", "how many machines of a type can be rented", play_capacity},
     {"machine", "ID TYPE ZONE [spot]", "adds a machine; types: small, big", play_machine},
     {"machines", "COUNT TYPE ZONE", "adds machines of a large fleet: f1001, f1002, ...",
--- a/tests/simulation/expectations.cpp
+++ b/tests/simulation/expectations.cpp
@@ -79,7 +79,7 @@
   expect_at_most(cluster, line, "starts of " + id.get(), cluster.jobs.at(id).starts);
 }
 
-void expect_gone(SimulatedCluster& cluster, CommandLine& line) {
+void expect_released(SimulatedCluster& cluster, CommandLine& line) {
   const std::string id = line.text();
   if (cluster.workers.find(id)) cluster.failures.add("expected machine " + id + " to be returned");
 }
@@ -104,7 +104,7 @@
     {"began", "ID SECONDS", "its first task began so soon after its submission", expect_began},
     {"served", "", "half of each class, team, and class's largest jobs began", expect_served},
     {"submit", "STATUS BODY", "n0 answers this submission so", expect_submit},
-    {"gone", "MACHINE", "it was returned to the cloud", expect_gone},
+    {"released", "MACHINE", "it was returned to the cloud", expect_released},
     {"kept", "MACHINE", "it was not returned", expect_kept},
     {"machines", "COUNT", "there are so many machines", expect_machines},
     {"most_starts", "COUNT", "so many starts of tasks at most", expect_most_starts},
--- a/tests/simulation/fault_commands.cpp
+++ b/tests/simulation/fault_commands.cpp
@@ -105,27 +105,27 @@
   cluster.workers.reboot(id, line.number());
 }
 
-void play_sick(SimulatedCluster& cluster, CommandLine& line) {
+void play_faulty(SimulatedCluster& cluster, CommandLine& line) {
   machine(cluster, line).is_faulty = true;
 }
 
-void play_deaf(SimulatedCluster& cluster, CommandLine& line) {
+void play_half_open(SimulatedCluster& cluster, CommandLine& line) {
   machine(cluster, line).is_half_open = true;
 }
 
-void play_hears(SimulatedCluster& cluster, CommandLine& line) {
+void play_mend_half_open(SimulatedCluster& cluster, CommandLine& line) {
   machine(cluster, line).is_half_open = false;
 }
 
-void play_mute(SimulatedCluster& cluster, CommandLine& line) {
+void play_silent(SimulatedCluster& cluster, CommandLine& line) {
   machine(cluster, line).is_silent = true;
 }
 
-void play_speaks(SimulatedCluster& cluster, CommandLine& line) {
+void play_audible(SimulatedCluster& cluster, CommandLine& line) {
   machine(cluster, line).is_silent = false;
 }
 
-void play_notice(SimulatedCluster& cluster, CommandLine& line) {
+void play_spot_notice(SimulatedCluster& cluster, CommandLine& line) {
   SimulatedMachine& spot = machine(cluster, line);
   spot.spot_ends_at = cluster.clock.seconds() + line.number();
 }
@@ -135,28 +135,29 @@
   copied.copies_delay = line.number();
 }
 
-void play_hold_orders(SimulatedCluster& cluster, CommandLine& line) {
+void play_hold_commands(SimulatedCluster& cluster, CommandLine& line) {
   cluster.commands.hold(line.number());
 }
 
-void play_lose_orders(SimulatedCluster& cluster, CommandLine& line) {
+void play_lose_commands(SimulatedCluster& cluster, CommandLine& line) {
   cluster.commands.set_lost(line.is("on"));
 }
 
-void play_repeat_orders(SimulatedCluster& cluster, CommandLine& line) {
+void play_repeat_commands(SimulatedCluster& cluster, CommandLine& line) {
   cluster.commands.set_repeated(line.is("on"));
 }
 
 constexpr ScenarioCommand kServiceFaults[] = {
-    {"crash", "NODE [BACK_AFTER_S]", "ends a controller's process", play_crash},
-    {"upgrade", "NODE BACK_AFTER_S", "it ends, and comes back with this version", play_upgrade},
-    {"freeze", "NODE SECONDS", "it stands still while its clocks run on", play_freeze},
-    {"slow_load", "NODE SECONDS", "the time between reading the jobs and their tasks' records",
-     play_slow_load},
-    {"watch_lag", "NODE SECONDS", "it learns of changes so much later", play_watch_lag},
-    {"lose_commit", "NODE", "its next commit is carried out, unanswered", play_lose_commit},
-    {"late_commit", "NODE SECONDS", "its next commit is carried out so much later, unanswered",
-     play_late_commit},
+    {"crash", "CONTROLLER [BACK_AFTER_S]", "ends a controller's process", play_crash},
+    {"upgrade", "CONTROLLER BACK_AFTER_S", "it ends, and comes back with this version",
+     play_upgrade},
+    {"freeze", "CONTROLLER SECONDS", "it stands still while its clocks run on", play_freeze},
+    {"slow_load", "CONTROLLER SECONDS",
+     "the time between reading the jobs and their tasks' records", play_slow_load},
+    {"watch_lag", "CONTROLLER SECONDS", "it learns of changes so much later", play_watch_lag},
+    {"lose_commit", "CONTROLLER", "its next commit is carried out, unanswered", play_lose_commit},
+    {"late_commit", "CONTROLLER SECONDS",
+     "its next commit is carried out so much later, unanswered", play_late_commit},
     {"state", "up|down", "the state service", play_state},
     {"cloud", "up|down", "the cloud's interface", play_cloud},
     {"spot", "on|off", "does the cloud have spot machines?", play_spot},
@@ -174,18 +175,20 @@
     {"wake", "MACHINE", "it no longer hangs", play_wake},
     {"some", "EVERY die|hang|wake", "every so-manieth machine of the large fleet", play_some},
     {"reboot", "MACHINE SECONDS", "it comes back empty before it is missed", play_reboot},
-    {"sick", "MACHINE", "it fails all that it starts", play_sick},
-    {"deaf", "MACHINE", "its heartbeats arrive, but nothing reaches it", play_deaf},
-    {"hears", "MACHINE", "it is reached again", play_hears},
-    {"mute", "MACHINE", "its heartbeats do not arrive, but commands reach it", play_mute},
-    {"speaks", "MACHINE", "its heartbeats arrive again", play_speaks},
-    {"notice", "MACHINE SECONDS", "the cloud takes a spot machine back after that", play_notice},
+    {"faulty", "MACHINE", "it fails all that it starts", play_faulty},
+    {"half_open", "MACHINE", "its heartbeats arrive, but nothing reaches it", play_half_open},
+    {"mend_half_open", "MACHINE", "it is reached again", play_mend_half_open},
+    {"silent", "MACHINE", "its heartbeats do not arrive, but commands reach it", play_silent},
+    {"audible", "MACHINE", "its heartbeats arrive again", play_audible},
+    {"spot_notice", "MACHINE SECONDS", "the cloud takes a spot machine back after that",
+     play_spot_notice},
     {"copies", "MACHINE SECONDS", "a copy of each heartbeat arrives so much later, everywhere",
      play_copies},
-    {"hold_orders", "SECONDS", "commands that are sent from now on arrive after that",
-     play_hold_orders},
-    {"lose_orders", "on|off", "commands are lost", play_lose_orders},
-    {"repeat_orders", "on|off", "commands arrive a second time, much later", play_repeat_orders},
+    {"hold_commands", "SECONDS", "commands that are sent from now on arrive after that",
+     play_hold_commands},
+    {"lose_commands", "on|off", "commands are lost", play_lose_commands},
+    {"repeat_commands", "on|off", "commands arrive a second time, much later",
+     play_repeat_commands},
 };
 
 }  // namespace
--- a/tests/simulation/user_commands.cpp
+++ b/tests/simulation/user_commands.cpp
@@ -69,7 +69,7 @@
   job.spec = spec_of(id, kind, options);
   job.run_s = options.number("run", 10);
   if (options.has("fails")) job.fails_after = options.number("fails", 0);
-  cluster.users.submit(static_cast<std::size_t>(options.number("node", 0)), job);
+  cluster.users.submit(static_cast<std::size_t>(options.number("controller", 0)), job);
 }
 
 void play_cancel(SimulatedCluster& cluster, CommandLine& line) {
@@ -94,11 +94,11 @@
 
 constexpr ScenarioCommand kCommands[] = {
     {"submit", "ID array|service|gang [KEY=VALUE ...]",
-     "keys: tasks cores memory run rank team class deadline estimate node type zone spot one_zone "
-     "spread fails (each task fails after so long) follows (ID,ID)",
+     "keys: tasks cores memory run rank team class deadline estimate controller type zone spot "
+     "one_zone spread fails (each task fails after so long) follows (ID,ID)",
      play_submit},
     {"cancel", "ID", "asks for a job's cancellation until it is confirmed", play_cancel},
-    {"unasked", "NODE", "no user reaches this controller any more", play_unasked},
+    {"unasked", "CONTROLLER", "no user reaches this controller any more", play_unasked},
     {"run", "SECONDS", "lets the time pass", play_run},
     {"expect", "EXPECTATION", "fails the scenario if it does not hold now", play_expect},
 };
