--- a/tests/authority_test.cpp
+++ b/tests/authority_test.cpp
@@ -2,65 +2,75 @@
 #include <gtest/gtest.h>
 
 #include "coordination/controller.h"
+#include "makers.h"
 
 namespace saddleslip::coordination {
 
-class Authority : public ::testing::Test {
+using testing::at_seconds;
+
+// A controller that the current view names.
+class AuthorityTest : public ::testing::Test {
  protected:
-  Authority()
-      : settings_(base::parse_settings(
-            R"({"member":"n0","serve_on":"10.0.0.1:1","peer_listen":"10.0.0.1:2",
-                "endpoints":{"cloud":"10.0.0.1:3","state":"10.0.0.1:4"}})")),
-        controller_(settings_) {
+  AuthorityTest() : settings_(testing::make_settings()), controller_(settings_) {
     const ControllerIncarnation incarnation{MemberId("n0"), base::Incarnation(7)};
-    controller_.begin_incarnation(incarnation, start_);
+    const Time start = at_seconds(0);
+    controller_.begin_incarnation(incarnation, start);
     View view;
     view.epoch = Epoch(1);
     view.members.push_back(incarnation);
-    controller_.cache().apply({protocol::kViewKey, to_json(view), Version(3)}, start_);
+    controller_.cache().apply({protocol::kViewKey, to_json(view), Version(3)}, start);
     controller_.cache().advance_to(base::Revision(3));
-    controller_.install_view(start_);
+    controller_.install_view(start);
+  }
+  double ttl() const { return settings_.tuning.member_ttl.count(); }
+  bool has_authority_at(double s) const { return controller_.has_authority(at_seconds(s)); }
+  // A renewal that was sent at this time, and proved the cache current.
+  void renew(double sent) {
+    controller_.lease_acquired(at_seconds(0));
+    controller_.lease_renewed(at_seconds(sent), controller_.cache_generation());
   }
-  Time at(double s) const { return base::after(start_, Seconds(s)); }
 
   const base::Settings settings_;
   Controller controller_;
-  const Time start_{std::chrono::seconds(1000)};
 };
 
-TEST_F(Authority, EndsOneTtlAfterTheRenewalWasSent) {
-  const double ttl = settings_.tuning.member_ttl.count();
-  EXPECT_FALSE(controller_.has_authority(start_));
-  // A lease alone is not enough: the copy of the jobs may be older.
-  controller_.lease_acquired(start_);
-  EXPECT_FALSE(controller_.has_authority(start_));
-  controller_.lease_renewed(start_, controller_.cache_generation());
-  EXPECT_TRUE(controller_.has_authority(at(ttl * 0.99)));
-  EXPECT_FALSE(controller_.has_authority(at(ttl)));
-  // Answered late: it counts from when it was sent, whenever that is known.
-  controller_.lease_renewed(at(1), controller_.cache_generation());
-  EXPECT_TRUE(controller_.has_authority(at(ttl)));
-  EXPECT_FALSE(controller_.has_authority(at(ttl + 1)));
+// The state cache may be older than the lease.
+TEST_F(AuthorityTest, LeaseWithoutACurrentCache_GivesNoAuthority) {
+  EXPECT_FALSE(has_authority_at(0));
+  controller_.lease_acquired(at_seconds(0));
+  EXPECT_FALSE(has_authority_at(0));
+}
+
+TEST_F(AuthorityTest, LeaseRenewed_GivesAuthorityForOneTtl) {
+  renew(0);
+  EXPECT_TRUE(has_authority_at(ttl() * 0.99));
+  EXPECT_FALSE(has_authority_at(ttl()));
+}
+
+TEST_F(AuthorityTest, RenewalAnsweredLate_CountsFromItsSending) {
+  renew(0);
+  renew(1);
+  EXPECT_TRUE(has_authority_at(ttl()));
+  EXPECT_FALSE(has_authority_at(ttl() + 1));
 }
 
-TEST_F(Authority, NeedsAProofAfterTheCopyWasReadAnew) {
-  controller_.lease_renewed(start_, controller_.cache_generation());
-  EXPECT_TRUE(controller_.has_authority(at(1)));
+TEST_F(AuthorityTest, CacheReplaced_EndsAuthorityUntilTheNextRenewal) {
+  controller_.lease_renewed(at_seconds(0), controller_.cache_generation());
+  EXPECT_TRUE(has_authority_at(1));
   controller_.cache_replaced();
-  EXPECT_FALSE(controller_.has_authority(at(1)));
-  controller_.lease_renewed(at(1.5), controller_.cache_generation());
-  EXPECT_TRUE(controller_.has_authority(at(2)));
+  EXPECT_FALSE(has_authority_at(1));
+  controller_.lease_renewed(at_seconds(1.5), controller_.cache_generation());
+  EXPECT_TRUE(has_authority_at(2));
 }
 
-// The copy may be read anew between the look that proved it current and the word of it: what was proved
-// is gone then.
-TEST_F(Authority, IsNotGivenToACopyThatWasReadAnewDuringTheProof) {
-  const std::uint64_t copy = controller_.cache_generation();
+// The proof that the cache is current is of no use if the cache is replaced while it is under way.
+TEST_F(AuthorityTest, CacheReplacedDuringARenewal_RenewalGivesNoAuthority) {
+  const std::uint64_t generation = controller_.cache_generation();
   controller_.cache_replaced();
-  controller_.lease_renewed(start_, copy);
-  EXPECT_FALSE(controller_.has_authority(at(1)));
-  controller_.lease_renewed(start_, controller_.cache_generation());
-  EXPECT_TRUE(controller_.has_authority(at(1)));
+  controller_.lease_renewed(at_seconds(0), generation);
+  EXPECT_FALSE(has_authority_at(1));
+  controller_.lease_renewed(at_seconds(0), controller_.cache_generation());
+  EXPECT_TRUE(has_authority_at(1));
 }
 
 }  // namespace saddleslip::coordination
--- a/tests/failure_tracker_test.cpp
+++ b/tests/failure_tracker_test.cpp
@@ -3,18 +3,38 @@
 
 #include <gtest/gtest.h>
 
+#include "makers.h"
+
 namespace saddleslip::coordination {
 
 using base::JobId;
 using base::MachineId;
 using base::Seconds;
-using base::Time;
+using testing::at_seconds;
 
 class FailureTrackerTest : public ::testing::Test {
  protected:
-  Time at(double s) const { return base::after(Time(std::chrono::seconds(1000)), Seconds(s)); }
   void fail(const JobId& job, const MachineId& machine, double s, double ran = 0) {
-    tracker_.record_failure(job, machine, Seconds(ran), at(s));
+    tracker_.record_failure(job, machine, Seconds(ran), at_seconds(s));
+  }
+  void fail_on_all_machines(const JobId& job, int times) {
+    for (int i = 0; i < times; ++i) {
+      for (const MachineId& machine : {m1_, m2_, m3_}) fail(job, machine, i);
+    }
+  }
+  // The job fails on three machines; the third one was started together with the second one.
+  void fail_on_three_machines(const JobId& job) {
+    fail(job, m1_, 0);
+    fail(job, m2_, 0);
+    fail(job, m3_, 0.1);
+  }
+
+  // The sound job fails on the first machine alone, the broken one there and elsewhere.
+  void fail_sound_job_beside_broken_one() {
+    fail(broken_, m1_, 0);
+    fail(broken_, m2_, 0);
+    fail(sound_, m1_, 0);
+    fail(sound_, m1_, 0);
   }
 
   FailureTracker tracker_;
@@ -23,30 +43,33 @@
 };
 
 // A job that was submitted with a mistake must not get machines returned, however often it fails.
-TEST_F(FailureTrackerTest, NoMachineIsBlamedForAJobThatNeverSucceeds) {
-  for (int i = 0; i < 20; ++i) {
-    for (const MachineId& machine : {m1_, m2_, m3_}) fail(broken_, machine, i);
-  }
+TEST_F(FailureTrackerTest, JobFailsOnEveryMachine_NoMachineIsFaulty) {
+  fail_on_all_machines(broken_, 20);
   for (const MachineId& machine : {m1_, m2_, m3_}) EXPECT_FALSE(tracker_.is_faulty(machine));
+}
+
+TEST_F(FailureTrackerTest, JobFailsOnEveryMachine_IsCrashLooping) {
+  fail_on_all_machines(broken_, 20);
   EXPECT_TRUE(tracker_.is_crash_looping(broken_));
 }
 
 // A faulty machine is found by a job that succeeds elsewhere, also with a broken one beside it.
-TEST_F(FailureTrackerTest, AMachineThatFailsASoundJobIsFaulty) {
-  fail(broken_, m1_, 0);
-  fail(broken_, m2_, 0);
-  fail(sound_, m1_, 0);
-  fail(sound_, m1_, 0);
+TEST_F(FailureTrackerTest, SoundJobFailsOnOneMachine_MachineIsFaulty) {
+  fail_sound_job_beside_broken_one();
   EXPECT_FALSE(tracker_.is_faulty(m1_));  // nothing is known of the job yet
   tracker_.mark_sound(sound_);
   EXPECT_TRUE(tracker_.is_faulty(m1_));
   EXPECT_FALSE(tracker_.is_faulty(m2_));
-  // The evidence outlasts the job, which may be over by then.
+}
+
+TEST_F(FailureTrackerTest, SoundJobIsForgotten_EvidenceAgainstTheMachineStays) {
+  fail_sound_job_beside_broken_one();
+  tracker_.mark_sound(sound_);
   tracker_.forget_job(sound_);
   EXPECT_TRUE(tracker_.is_faulty(m1_));
 }
 
-TEST_F(FailureTrackerTest, ASuccessClearsTheMachine) {
+TEST_F(FailureTrackerTest, SuccessOnTheMachine_ClearsEarlierFailures) {
   fail(sound_, m1_, 0);
   tracker_.record_success(m1_);
   fail(sound_, m1_, 1);
@@ -60,49 +83,56 @@
 }
 
 // Where nothing succeeds elsewhere: several unrelated jobs that failed on this machine alone.
-TEST_F(FailureTrackerTest, SeveralJobsThatFailOnOneMachineAloneTellAgainstIt) {
-  fail(sound_, m1_, 0);
-  fail(other_, m1_, 0);
-  fail(broken_, m1_, 0);
+TEST_F(FailureTrackerTest, ThreeJobsFailOnOneMachineAlone_MachineIsFaulty) {
+  for (const JobId& job : {sound_, other_, broken_}) fail(job, m1_, 0);
   EXPECT_TRUE(tracker_.is_faulty(m1_));
-  // One of them fails elsewhere too: two are left.
+}
+
+TEST_F(FailureTrackerTest, OneOfThreeJobsFailsElsewhereToo_ItNoLongerCounts) {
+  for (const JobId& job : {sound_, other_, broken_}) fail(job, m1_, 0);
   fail(broken_, m2_, 1);
   EXPECT_FALSE(tracker_.is_faulty(m1_));
   fail(third_, m1_, 2);
   EXPECT_TRUE(tracker_.is_faulty(m1_));
 }
 
-// Retries of a job that fails everywhere must not take room and writes from others.
-TEST_F(FailureTrackerTest, RetriesBackOffUpToABound) {
+TEST_F(FailureTrackerTest, JobFailsOnOneMachine_MayBeRetriedAtOnce) {
   fail(broken_, m1_, 0);
-  EXPECT_TRUE(tracker_.may_retry(broken_, at(0)));  // one machine alone proves nothing
-  fail(broken_, m2_, 0);
-  fail(broken_, m3_, 0.1);  // started together with the one before: no further failure
-  EXPECT_FALSE(tracker_.may_retry(broken_, at(1.9)));
-  EXPECT_TRUE(tracker_.may_retry(broken_, at(2)));
+  EXPECT_TRUE(tracker_.may_retry(broken_, at_seconds(0)));
+}
+
+TEST_F(FailureTrackerTest, JobFailsOnSeveralMachines_RetryIsDelayed) {
+  fail_on_three_machines(broken_);
+  EXPECT_FALSE(tracker_.may_retry(broken_, at_seconds(1.9)));
+  EXPECT_TRUE(tracker_.may_retry(broken_, at_seconds(2)));
+}
+
+// Retries of a job that fails everywhere must not take capacity and writes from others.
+TEST_F(FailureTrackerTest, JobGoesOnFailing_DelayGrowsUpToABound) {
+  fail_on_three_machines(broken_);
   double t = 2;
   for (int i = 0; i < 10; ++i) {
     fail(broken_, m1_, t);
     t += 60;
-    EXPECT_TRUE(tracker_.may_retry(broken_, at(t)));
+    EXPECT_TRUE(tracker_.may_retry(broken_, at_seconds(t)));
   }
-  EXPECT_FALSE(tracker_.may_retry(broken_, at(t - 1)));
+  EXPECT_FALSE(tracker_.may_retry(broken_, at_seconds(t - 1)));
   tracker_.mark_sound(broken_);
-  EXPECT_TRUE(tracker_.may_retry(broken_, at(t - 60)));
+  EXPECT_TRUE(tracker_.may_retry(broken_, at_seconds(t - 60)));
 }
 
 // A task that fails only after a while runs for that while on a healthy machine as well.
-TEST_F(FailureTrackerTest, AJobIsSoundOnlyIfItRunsLongerThanWhatFailed) {
+TEST_F(FailureTrackerTest, JobFailsAfterAWhile_IsSoundOnlyIfItRunsLonger) {
   fail(broken_, m1_, 0, 20);
   EXPECT_GT(tracker_.long_run(broken_), Seconds(20));
   EXPECT_GT(tracker_.long_run(sound_), Seconds(1));
 }
 
-TEST_F(FailureTrackerTest, KeepsAwayFromTheMachineForAWhile) {
+TEST_F(FailureTrackerTest, JobFailedOnAMachine_AvoidsItForAWhile) {
   fail(sound_, m1_, 0);
-  EXPECT_TRUE(tracker_.avoids(sound_, m1_, at(10)));
-  EXPECT_FALSE(tracker_.avoids(sound_, m2_, at(10)));
-  EXPECT_FALSE(tracker_.avoids(sound_, m1_, at(40)));
+  EXPECT_TRUE(tracker_.avoids(sound_, m1_, at_seconds(10)));
+  EXPECT_FALSE(tracker_.avoids(sound_, m2_, at_seconds(10)));
+  EXPECT_FALSE(tracker_.avoids(sound_, m1_, at_seconds(40)));
 }
 
 }  // namespace saddleslip::coordination
--- /dev/null
+++ b/tests/makers.h
@@ -0,0 +1,65 @@
+// Small makers of what the unit tests are about.
+#pragma once
+
+#include <chrono>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "base/clock.h"
+#include "base/ids.h"
+#include "base/settings.h"
+#include "protocol/messages.h"
+#include "protocol/records.h"
+
+namespace saddleslip::testing {
+
+// So many seconds after an arbitrary start.
+inline base::Time at_seconds(double seconds) {
+  return base::after(base::Time(std::chrono::seconds(1000)), base::Seconds(seconds));
+}
+
+// The settings of the controller n0, with the peers that are named.
+inline base::Settings make_settings(const std::vector<std::string>& peers = {}) {
+  protocol::Json siblings = protocol::Json::array();
+  for (const std::string& peer : peers)
+    siblings.push_back({{"member", peer}, {"address", "10.0.0.2:2"}});
+  const protocol::Json json = {{"member", "n0"},
+                               {"serve_on", "10.0.0.1:1"},
+                               {"peer_listen", "10.0.0.1:2"},
+                               {"siblings", siblings},
+                               {"endpoints", {{"cloud", "10.0.0.1:3"}, {"state", "10.0.0.1:4"}}}};
+  return base::parse_settings(json.dump());
+}
+
+inline protocol::Resources make_resources(double cores, double memory_gb) {
+  protocol::Resources resources;
+  resources.v = {cores, 0, memory_gb};
+  return resources;
+}
+
+// A job of two tasks of the team "t", submitted at 1000 s.
+inline protocol::JobRecord make_job(const base::JobId& id, protocol::Rank rank,
+                                    std::vector<base::JobId> dependencies = {}) {
+  protocol::JobRecord record;
+  record.spec.id = id;
+  record.spec.job_class = "c";
+  record.spec.team = "t";
+  record.spec.rank = rank;
+  record.spec.tasks = 2;
+  record.spec.request = make_resources(4, 1);
+  record.spec.image = "img";
+  record.spec.estimate = base::Seconds(20);
+  record.spec.dependencies = std::move(dependencies);
+  record.submitted = 1000;
+  return record;
+}
+
+// A machine type that is rented in zone "a" and boots within 5 s.
+inline protocol::MachineType make_machine_type(const std::string& name,
+                                               const protocol::Resources& size, double price,
+                                               double spot_price) {
+  return {name, size, 0, 0, price, spot_price, base::Seconds(5), {"a"}};
+}
+
+}  // namespace saddleslip::testing
--- a/tests/packing_test.cpp
+++ b/tests/packing_test.cpp
@@ -1,3 +1,4 @@
+// Where tasks are placed.
 #include "coordination/scheduling/packing.h"
 
 #include <gtest/gtest.h>
@@ -5,73 +6,94 @@
 #include <memory>
 #include <optional>
 #include <random>
+#include <utility>
+#include <vector>
 
-#include "coordination/fleet/scaling_plan.h"
+#include "makers.h"
 
 namespace saddleslip::coordination {
 
-Resources r(double cores, double memory) {
-  Resources x;
-  x.v = {cores, 0, memory};
-  return x;
+namespace {
+
+using testing::make_resources;
+
+Group make_group(const Resources& request, std::size_t count, int tier) {
+  Group group;
+  group.request = request;
+  group.count = count;
+  group.tier = tier;
+  return group;
+}
+
+// A request of as many gigabytes of memory as cores.
+Resources make_even(double cores) {
+  return make_resources(cores, cores);
+}
+
+}  // namespace
+
+// s = (1/8, 1/4), r = (4/8, 8/32): the dot product over the squared length of r.
+TEST(Packing, ScoreOfARequest_IsItsScalarProjectionOnTheFreeCapacity) {
+  EXPECT_NEAR(score(make_resources(1, 8), make_resources(4, 8), make_resources(8, 32)),
+              (0.125 * 0.5 + 0.25 * 0.25) / (0.25 + 0.0625), 1e-12);
 }
 
-Group group(const Resources& need, std::size_t count, int tier) {
-  Group g;
-  g.request = need;
-  g.count = count;
-  g.tier = tier;
-  return g;
+TEST(Packing, ResourceThatNoMachineHas_IsNotScored) {
+  EXPECT_NEAR(score(make_resources(1, 8), make_resources(4, 8), make_resources(8, 0)),
+              0.125 * 0.5 / 0.25, 1e-12);
 }
 
-TEST(Packing, ScoresTheScalarProjectionOnFreeRoom) {
-  // s = (1/8, 1/4), r = (4/8, 8/32): the dot product over the squared length of r.
-  EXPECT_NEAR(score(r(1, 8), r(4, 8), r(8, 32)), (0.125 * 0.5 + 0.25 * 0.25) / (0.25 + 0.0625),
-              1e-12);
-  // A resource that no machine has is dropped.
-  EXPECT_NEAR(score(r(1, 8), r(4, 8), r(8, 0)), 0.125 * 0.5 / 0.25, 1e-12);
+TEST(Packing, SeveralPairsFit_TheBestIsPlacedFirst) {
+  std::vector<Group> groups = {make_group(make_even(1), 1, 0), make_group(make_even(4), 1, 0)};
+  std::vector<Bin> bins = {{make_even(8)}, {make_even(4)}};
+  const auto placements = pack(groups, bins, make_even(8));
+  ASSERT_EQ(placements.size(), 2u);
+  EXPECT_EQ(placements[0].group, 1u);
+  EXPECT_EQ(placements[0].bin, 1u);
+  EXPECT_EQ(placements[1].bin, 0u);
 }
 
-TEST(Packing, PutsTheBestPairFirst) {
-  std::vector<Group> groups = {group(r(1, 1), 1, 0), group(r(4, 4), 1, 0)};
-  std::vector<Bin> bins = {{r(8, 8)}, {r(4, 4)}};
-  const auto p = pack(groups, bins, r(8, 8));
-  ASSERT_EQ(p.size(), 2u);
-  EXPECT_EQ(p[0].group, 1u);
-  EXPECT_EQ(p[0].bin, 1u);
-  EXPECT_EQ(p[1].bin, 0u);
+TEST(Packing, GroupsOfSeveralTiers_ArePlacedByTierWithoutOverfilling) {
+  std::vector<Group> groups = {make_group(make_even(4), 3, 1), make_group(make_even(1), 2, 0)};
+  std::vector<Bin> bins = {{make_even(4)}, {make_even(5)}};
+  const auto placements = pack(groups, bins, make_even(5));
+  ASSERT_EQ(placements.size(), 3u);
+  EXPECT_EQ(placements[0].group, 1u);
+  EXPECT_EQ(placements[1].group, 1u);
+  for (const Bin& bin : bins) EXPECT_GE(bin.free.cores(), 0);
 }
 
-TEST(Packing, GoesByTiersAndNeverOverfills) {
-  std::vector<Group> groups = {group(r(4, 4), 3, 1), group(r(1, 1), 2, 0)};
-  std::vector<Bin> bins = {{r(4, 4)}, {r(5, 5)}};
-  const auto p = pack(groups, bins, r(5, 5));
-  ASSERT_EQ(p.size(), 3u);
-  EXPECT_EQ(p[0].group, 1u);
-  EXPECT_EQ(p[1].group, 1u);
-  for (const Bin& b : bins) EXPECT_GE(b.free.cores(), 0);
+namespace {
+
+// A place in the order of tiers and, within a tier, of passes.
+struct Precedence {
+  int tier = 0, pass = 0;
+  auto operator<=>(const Precedence&) const = default;
+};
+
+// None: the group may not be placed there.
+std::optional<Precedence> precedence_of(const Group& group, const Bin& bin, std::size_t index) {
+  const int pass = group.pass ? group.pass(index) : 0;
+  if (group.count == 0 || !bin.free.fits(group.request) || pass < 0) return std::nullopt;
+  if (group.allowed && !group.allowed(index)) return std::nullopt;
+  return Precedence{group.tier, pass};
 }
 
-// The definition, as the design puts it: of all pairs that fit, again and again the best one.
-std::vector<Placement> plain(std::vector<Group> groups, std::vector<Bin> bins,
-                             const Resources& scale) {
+// The definition, without any optimization: of all pairs that fit, again and again the best one.
+std::vector<Placement> pack_by_definition(std::vector<Group> groups, std::vector<Bin> bins,
+                                          const Resources& scale) {
   std::vector<Placement> out;
   for (;;) {
     std::optional<Placement> best;
-    std::pair<int, int> first;
+    Precedence first;
     for (std::size_t b = 0; b < bins.size(); ++b) {
       for (std::size_t g = 0; g < groups.size(); ++g) {
-        const int pass = groups[g].pass ? groups[g].pass(b) : 0;
-        if (groups[g].count == 0 || !bins[b].free.fits(groups[g].request) || pass < 0 ||
-            (groups[g].allowed && !groups[g].allowed(b))) {
-          continue;
-        }
-        const std::pair at(groups[g].tier, pass);
+        const auto precedence = precedence_of(groups[g], bins[b], b);
+        if (!precedence) continue;
         const double s = score(groups[g].request, bins[b].free, scale);
-        if (!best || at < first || (at == first && s > best->score)) {
-          best = Placement{g, b, s};
-          first = at;
-        }
+        if (best && (*precedence > first || (*precedence == first && s <= best->score))) continue;
+        best = Placement{g, b, s};
+        first = *precedence;
       }
     }
     if (!best) return out;
@@ -82,36 +104,21 @@
   }
 }
 
-TEST(Packing, IsTheDefinitionOnSeededInstancesTiesIncluded) {
-  std::mt19937 random(7);
-  const auto pick = [&](int n) { return static_cast<int>(random() % static_cast<unsigned>(n)); };
-  for (int instance = 0; instance < 300; ++instance) {
+// Random instances with the rules that quotas and zones bring in. The same seed gives the same ones.
+class RandomInstances {
+ public:
+  std::vector<Bin> make_bins() {
     std::vector<Bin> bins;
-    for (int b = 0, n = 1 + pick(9); b < n; ++b) bins.push_back({r(2 + 2 * pick(4), 4 * pick(6))});
-    // What limits and places do: groups share a budget, and a group may keep to one half.
-    struct Rules {
-      int budget = 0;
-      int half = -1;
-    };
+    for (int b = 0, n = 1 + pick(9); b < n; ++b)
+      bins.push_back({make_resources(2 + 2 * pick(4), 4 * pick(6))});
+    return bins;
+  }
+  std::vector<Group> make_groups() {
     std::vector<Group> groups;
-    const auto rules = [&](std::vector<Group> of, const std::shared_ptr<Rules>& shared) {
-      for (Group& g : of) {
-        g.allowed = [shared](std::size_t b) {
-          return shared->budget > 0 &&
-                 (shared->half < 0 || shared->half == static_cast<int>(b % 2));
-        };
-        g.placed = [shared](std::size_t b) {
-          --shared->budget;
-          if (shared->budget % 3 == 0) shared->half = static_cast<int>(b % 2);
-        };
-      }
-      return of;
-    };
     for (int g = 0, n = 1 + pick(8); g < n; ++g) {
-      Group group;
-      group.request = r(1 + pick(3), 2 * pick(3));
-      group.count = static_cast<std::size_t>(pick(6));
-      group.tier = pick(3);
+      const Resources request = make_resources(1 + pick(3), 2 * pick(3));
+      const auto count = static_cast<std::size_t>(pick(6));
+      Group group = make_group(request, count, pick(3));
       const int salt = pick(5);
       if (salt > 0) {
         group.pass = [salt](std::size_t b) {
@@ -120,48 +127,55 @@
       }
       groups.push_back(std::move(group));
     }
-    const int budget = 4 + pick(30);
-    auto quick = rules(groups, std::make_shared<Rules>(Rules{budget, -1}));
-    auto left = bins;
-    const auto got = pack(quick, left, r(8, 20));
-    const auto want =
-        plain(rules(groups, std::make_shared<Rules>(Rules{budget, -1})), bins, r(8, 20));
-    ASSERT_EQ(got.size(), want.size()) << "instance " << instance;
-    for (std::size_t i = 0; i < got.size(); ++i) {
-      ASSERT_EQ(got[i].group, want[i].group) << "instance " << instance << ", placement " << i;
-      ASSERT_EQ(got[i].bin, want[i].bin) << "instance " << instance << ", placement " << i;
-    }
+    return groups;
   }
+  int make_budget() { return 4 + pick(30); }
+
+ private:
+  int pick(int n) { return static_cast<int>(random_() % static_cast<unsigned>(n)); }
+
+  std::mt19937 random_{7};
+};
+
+// The groups share a budget, as of a quota, and may have to keep to one half of the bins, as to a zone.
+std::vector<Group> with_rules(std::vector<Group> groups, int budget) {
+  struct Rules {
+    int budget = 0;
+    int half = -1;
+  };
+  const auto rules = std::make_shared<Rules>(Rules{budget, -1});
+  for (Group& group : groups) {
+    group.allowed = [rules](std::size_t b) {
+      return rules->budget > 0 && (rules->half < 0 || rules->half == static_cast<int>(b % 2));
+    };
+    group.placed = [rules](std::size_t b) {
+      --rules->budget;
+      if (rules->budget % 3 == 0) rules->half = static_cast<int>(b % 2);
+    };
+  }
+  return groups;
 }
 
-TEST(Fleet, RentsTheCheapestForWhatWaitsAndNotMore) {
-  std::vector<MachineType> types(2);
-  types[0] = {"small", r(4, 16), 0, 0, 0.4, 0.16, Seconds(5), {"a"}};
-  types[1] = {"big", r(8, 32), 0, 0, 0.7, 0.3, Seconds(5), {"a"}};
-  protocol::JobSpec steady, stray;
-  steady.request = stray.request = r(1, 1);
-  stray.spot = true;
-  ScalingInput in;
-  in.catalogue = &types;
-  in.now = Time(std::chrono::seconds(100));
-  in.demand = {{r(1, 1), 8, 0, &steady}};
-  auto plan = plan_scaling(in);
-  ASSERT_EQ(plan.scale_out.size(), 1u);
-  EXPECT_EQ(plan.scale_out[0].kind, (MachineKind{"big", "a", false}));
-  EXPECT_EQ(plan.scale_out[0].count, 1);
-  // What boots already is counted.
-  in.booting = {{MachineId("i-1"), "big", "a", false, 0}};
-  EXPECT_TRUE(plan_scaling(in).scale_out.empty());
-  // Refused lately: the next best kind. Spot only for jobs that allow it.
-  in.booting.clear();
-  in.refused[{"big", "a", false}] = base::after(in.now, Seconds(5));
-  plan = plan_scaling(in);
-  ASSERT_EQ(plan.scale_out.size(), 1u);
-  EXPECT_EQ(plan.scale_out[0].kind.type, "small");
-  in.demand = {{r(1, 1), 4, 0, &stray}};
-  plan = plan_scaling(in);
-  ASSERT_EQ(plan.scale_out.size(), 1u);
-  EXPECT_TRUE(plan.scale_out[0].kind.spot);
+}  // namespace
+
+TEST(Packing, RandomInstances_ArePackedAsTheDefinitionSaysTiesIncluded) {
+  RandomInstances random;
+  for (int instance = 0; instance < 300; ++instance) {
+    auto bins = random.make_bins();
+    const auto groups = random.make_groups();
+    const int budget = random.make_budget();
+    const Resources scale = make_resources(8, 20);
+    const auto expected = pack_by_definition(with_rules(groups, budget), bins, scale);
+    auto with_budget = with_rules(groups, budget);
+    const auto placements = pack(with_budget, bins, scale);
+    ASSERT_EQ(placements.size(), expected.size()) << "instance " << instance;
+    for (std::size_t i = 0; i < placements.size(); ++i) {
+      ASSERT_EQ(placements[i].group, expected[i].group)
+          << "instance " << instance << ", placement " << i;
+      ASSERT_EQ(placements[i].bin, expected[i].bin)
+          << "instance " << instance << ", placement " << i;
+    }
+  }
 }
 
 }  // namespace saddleslip::coordination
--- /dev/null
+++ b/tests/scaling_plan_test.cpp
@@ -0,0 +1,71 @@
+// Which machines are rented for the work that waits.
+#include "coordination/fleet/scaling_plan.h"
+
+#include <gtest/gtest.h>
+
+#include "makers.h"
+
+namespace saddleslip::coordination {
+
+using testing::make_machine_type;
+using testing::make_resources;
+
+class ScalingPlanTest : public ::testing::Test {
+ protected:
+  ScalingPlanTest() {
+    input_.catalogue = &types_;
+    input_.now = testing::at_seconds(0);
+  }
+
+  // So many tasks of one core and 1 GB wait.
+  void set_demand(const protocol::JobSpec& spec, std::size_t tasks) {
+    input_.demand = {{make_resources(1, 1), tasks, 0, &spec}};
+  }
+  // The cloud had no ordinary machine of the big type lately.
+  void refuse_big() { input_.refused[{"big", "a", false}] = base::after(input_.now, Seconds(5)); }
+
+  static protocol::JobSpec make_spec(bool spot) {
+    protocol::JobSpec spec;
+    spec.request = make_resources(1, 1);
+    spec.spot = spot;
+    return spec;
+  }
+
+  const std::vector<MachineType> types_ = {
+      make_machine_type("small", make_resources(4, 16), 0.4, 0.16),
+      make_machine_type("big", make_resources(8, 32), 0.7, 0.3)};
+  const protocol::JobSpec steady_ = make_spec(false), spot_ = make_spec(true);
+  ScalingInput input_;
+};
+
+TEST_F(ScalingPlanTest, DemandOfOneMachine_RentsOneOfTheCheapestKind) {
+  set_demand(steady_, 8);
+  const auto plan = plan_scaling(input_);
+  ASSERT_EQ(plan.scale_out.size(), 1u);
+  EXPECT_EQ(plan.scale_out[0].kind, (MachineKind{"big", "a", false}));
+  EXPECT_EQ(plan.scale_out[0].count, 1);
+}
+
+TEST_F(ScalingPlanTest, MachineForTheDemandIsBooting_RentsNothing) {
+  set_demand(steady_, 8);
+  input_.booting = {{MachineId("i-1"), "big", "a", false, 0}};
+  EXPECT_TRUE(plan_scaling(input_).scale_out.empty());
+}
+
+TEST_F(ScalingPlanTest, CheapestKindWasRefused_RentsTheNextBest) {
+  set_demand(steady_, 8);
+  refuse_big();
+  const auto plan = plan_scaling(input_);
+  ASSERT_EQ(plan.scale_out.size(), 1u);
+  EXPECT_EQ(plan.scale_out[0].kind.type, "small");
+}
+
+TEST_F(ScalingPlanTest, JobAllowsSpot_RentsASpotMachine) {
+  set_demand(spot_, 4);
+  refuse_big();
+  const auto plan = plan_scaling(input_);
+  ASSERT_EQ(plan.scale_out.size(), 1u);
+  EXPECT_TRUE(plan.scale_out[0].kind.spot);
+}
+
+}  // namespace saddleslip::coordination
