--- a/tests/simulated_cluster_test.cpp
+++ b/tests/simulated_cluster_test.cpp
@@ -18,83 +18,78 @@
   return text;
 }
 
+bool fails_with(const std::string& scenario, const std::string& failure) {
+  return failures_of(scenario).find(failure) != std::string::npos;
+}
+
+// Two controllers and one machine, ready for work.
+const std::string kCluster = "controllers 2\nmachine m1 small a\nrun 8\n";
+
 }  // namespace
 
-TEST(WholeDay, AJobUnansweredFor75SecondsIsForgotten) {
-  const std::string day =
-      "controllers 2\nmachine m1 small a\nrun 8\nsubmit run-000001 service\nrun 8\n"
-      "unasked n0\nunasked n1\n";
+TEST(WholeDayChecks, JobUnansweredFor75Seconds_IsForgotten) {
+  const std::string day = kCluster + "submit run-000001 service\nrun 8\nunasked n0\nunasked n1\n";
   EXPECT_EQ(failures_of(day + "run 70\n"), "");
-  EXPECT_NE(failures_of(day + "run 80\n").find("forgotten: no question about run-000001"),
-            std::string::npos);
+  EXPECT_TRUE(fails_with(day + "run 80\n", "forgotten: no question about run-000001"));
 }
 
 // Time in which nobody could answer does not count.
-TEST(WholeDay, TroublesDoNotCountTowardsBeingForgotten) {
-  EXPECT_EQ(
-      failures_of("controllers 2\nmachine m1 small a\nrun 8\nsubmit run-000001 service\nrun 8\n"
-                  "state down\nrun 100\nstate up\nrun 40\n"),
-      "");
+TEST(WholeDayChecks, JobUnansweredDuringAnOutage_IsNotForgotten) {
+  EXPECT_EQ(failures_of(kCluster + "submit run-000001 service\nrun 8\n"
+                                   "state down\nrun 100\nstate up\nrun 40\n"),
+            "");
 }
 
-TEST(WholeDay, LessThanHalfOfAClassFails) {
-  EXPECT_NE(failures_of("controllers 2\nmachine m1 small a\nrun 8\n"
-                        "submit run-000001 array class=x run=2\n"
-                        "submit run-000002 array class=x type=big\n"
-                        "submit run-000003 array class=x type=big\nrun 250\n")
-                .find("served of class x: 1 of 3"),
-            std::string::npos);
+TEST(WholeDayChecks, LessThanHalfOfAClassBegan_Fails) {
+  EXPECT_TRUE(fails_with(kCluster + "submit run-000001 array class=x run=2\n"
+                                    "submit run-000002 array class=x type=big\n"
+                                    "submit run-000003 array class=x type=big\nrun 250\n",
+                         "served of class x: 1 of 3"));
 }
 
-TEST(WholeDay, LessThanHalfOfATeamFails) {
-  EXPECT_NE(failures_of("team u 0 0\ncontrollers 2\nmachine m1 small a\nrun 8\n"
-                        "submit run-000001 array class=x run=2\n"
-                        "submit run-000002 array class=x run=2\n"
-                        "submit run-000003 array class=x team=u type=big\nrun 250\n")
-                .find("served of team u: 0 of 1"),
-            std::string::npos);
+TEST(WholeDayChecks, LessThanHalfOfATeamBegan_Fails) {
+  EXPECT_TRUE(fails_with("team u 0 0\n" + kCluster +
+                             "submit run-000001 array class=x run=2\n"
+                             "submit run-000002 array class=x run=2\n"
+                             "submit run-000003 array class=x team=u type=big\nrun 250\n",
+                         "served of team u: 0 of 1"));
 }
 
-TEST(WholeDay, AClassesLargestJobsMustBeginWithinFourMinutes) {
-  const std::string day =
-      "controllers 2\nmachine m1 small a\nrun 8\n"
-      "submit run-000001 array class=x run=2\n"
-      "submit run-000002 array class=x run=2\n"
-      "submit run-000003 array class=x tasks=9 type=big\n";
+TEST(WholeDayChecks, LargestJobOfAClassDidNotBeginWithinFourMinutes_Fails) {
+  const std::string day = kCluster +
+                          "submit run-000001 array class=x run=2\n"
+                          "submit run-000002 array class=x run=2\n"
+                          "submit run-000003 array class=x tasks=9 type=big\n";
   EXPECT_EQ(failures_of(day + "run 230\n"), "");  // not due yet
-  EXPECT_NE(failures_of(day + "run 250\n").find("served of the largest of class x: 0 of 1"),
-            std::string::npos);
+  EXPECT_TRUE(fails_with(day + "run 250\n", "served of the largest of class x: 0 of 1"));
 }
 
 // A job that began too late was not served in time, however well it ran afterwards.
-TEST(WholeDay, BeginningAfterFourMinutesIsTooLate) {
-  EXPECT_NE(failures_of("controllers 2\nmachine m1 small a\nrun 8\n"
-                        "submit run-000001 array class=x run=2\n"
-                        "submit run-000002 array class=x run=2\n"
-                        "submit run-000003 array class=x tasks=9 type=big run=2\nrun 245\n"
-                        "machine m2 big a\nrun 60\n")
-                .find("served of the largest of class x: 0 of 1"),
-            std::string::npos);
+TEST(WholeDayChecks, LargestJobOfAClassBeganAfterFourMinutes_Fails) {
+  EXPECT_TRUE(fails_with(kCluster +
+                             "submit run-000001 array class=x run=2\n"
+                             "submit run-000002 array class=x run=2\n"
+                             "submit run-000003 array class=x tasks=9 type=big run=2\nrun 245\n"
+                             "machine m2 big a\nrun 60\n",
+                         "served of the largest of class x: 0 of 1"));
 }
 
-// A final record that no controller wrote says that a job is done, and what needs it begins.
-TEST(WholeDay, AStartBeforeWhatIsNeededIsTooEarly) {
+// A final record that no controller wrote says that a job is done, and what depends on it begins.
+TEST(WholeDayChecks, JobStartsBeforeItsDependencyIsDone_IsTooEarly) {
   const std::string day =
       "controllers 2\nmachine m1 big a\nrun 8\n"
       "submit run-000001 array run=30\nsubmit run-000002 array follows=run-000001\nrun 5\n";
   EXPECT_EQ(failures_of(day), "");
-  EXPECT_NE(failures_of(day + "unasked n0\nunasked n1\nput s/f/run-000001 {\"f\":\"d\"}\nrun 8\n")
-                .find("too_early: run-000002/0"),
-            std::string::npos);
+  EXPECT_TRUE(fails_with(day + "unasked n0\nunasked n1\nput s/f/run-000001 {\"f\":\"d\"}\nrun 8\n",
+                         "too_early: run-000002/0"));
 }
 
-// A record that lost what its job needs, as a version that does not know of it would write it.
-TEST(WholeDay, AJobWhoseNeedIsCancelledMustNotBeCalledQueuedForLong) {
-  const std::string day =
-      "controllers 2\nmachine m1 small a\nrun 8\n"
-      "submit run-000001 array run=300\n"
-      "submit run-000002 array type=big follows=run-000001\nrun 5\n";
-  const std::string without_needs =
+// A record that lost its job's dependencies, as a version that does not know of them would write it.
+TEST(WholeDayChecks, JobIsCalledQueuedAfterItsDependencyWasCancelled_IsOrphaned) {
+  const std::string day = kCluster +
+                          "submit run-000001 array run=300\n"
+                          "submit run-000002 array type=big follows=run-000001\nrun 5\n";
+  const std::string without_dependencies =
       R"(put s/j/run-000002 {"at":1000,"s":{"name_id":"run-000002","herd":"c","drover":"t",)"
       R"("gait":"array","rank":"standard","strides":1,"cores":1,"gpus":0,"memory_gb":1,)"
       R"("breeds":["big"],"same_place":false,"apart":false,"strays":false,"brand":"img",)"
@@ -102,9 +97,18 @@
       "\ncrash n0 1\ncrash n1 1\nrun 10\n";
   const std::string cancelled = "cancel run-000001\nrun 40\n";
   EXPECT_EQ(failures_of(day + cancelled), "");
-  EXPECT_NE(
-      failures_of(day + without_needs + cancelled).find("orphaned: run-000002 is called queued"),
-      std::string::npos);
+  EXPECT_TRUE(
+      fails_with(day + without_dependencies + cancelled, "orphaned: run-000002 is called queued"));
+}
+
+TEST(ScenarioPlayer, UnknownCommand_FailsWithTheHelp) {
+  EXPECT_TRUE(fails_with("controllers 1\nunheard of\n", "unknown command: unheard of"));
+  EXPECT_TRUE(fails_with("unheard of\n", "machine ID TYPE ZONE [spot]: adds a machine"));
+  EXPECT_TRUE(fails_with("expect unheard\n", "unknown expectation: unheard"));
+}
+
+TEST(ScenarioPlayer, NothingRan_Fails) {
+  EXPECT_TRUE(fails_with(kCluster, "nothing_ran"));
 }
 
 }  // namespace saddleslip::testing
