--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -22,10 +22,8 @@
 constexpr Seconds kBarrierGap{0.04};  // between two looks at the store's changes for polls
 constexpr Seconds kStateCall{1.5};
 constexpr Seconds kShortPause{0.2};
-constexpr Seconds kOrderCall{1.0};
 constexpr Seconds kLeastGap{0.05};  // between two rounds: what comes in a burst shares one
 constexpr double kRoundShare = 6;   // a round waits so many times as long as its decisions take
-constexpr std::size_t kMostOrders = 512;
 constexpr std::size_t kMaxUnsentCancellations = 1024;  // cancellations that a sibling has not taken
 // An answer of changes that were missed takes several times its size once it is parsed.
 constexpr std::size_t kChangesShare = 32;
@@ -51,12 +49,13 @@
 
 Daemon::Daemon(base::Settings settings)
     : settings_(std::move(settings)),
+      controller_(settings_),
       state_(settings_.state, settings_.memory_bytes / kChangesShare),
       users_store_(settings_.state),
       cloud_(settings_.cloud),
       workers_(static_cast<std::size_t>(std::max(4, settings_.sockets / 8))),
-      controller_(settings_),
-      users_(settings_, mutex_, controller_,
+      commands_(context_, workers_),
+      users_(settings_, controller_.mutex(), controller_.controller(),
              {[this] { return read_barrier_.wait(); },
               [this](const std::string& key) { return users_store_.get(key, kUserCall); },
               [this](const Transaction& txn) { return users_store_.commit(txn, kStateCall); },
@@ -89,7 +88,8 @@
   threads_.emplace_back([this] { renew_lease_loop(); });
   threads_.emplace_back([this] { round_loop(); });
   threads_.emplace_back([this] { scale_loop(); });
-  for (int i = 0; i < kSenders; ++i) threads_.emplace_back([this] { send_orders_loop(); });
+  for (int i = 0; i < kSenders; ++i)
+    threads_.emplace_back([this] { commands_.run(stop_.get_token()); });
   for (auto& s : peers_) threads_.emplace_back([this, &s] { sync_peer_loop(*s); });
   spdlog::info("{} serves on {}, siblings on {}", settings_.member.get(), settings_.listen.str(),
                settings_.peer_listen.str());
@@ -271,10 +271,10 @@
         wakeups_.lease_renewal.wait_for(kShortPause * 2.0, {});
         continue;
       }
-      const std::lock_guard lock(mutex_);
+      const std::lock_guard lock(controller_.mutex());
       lease_ = lease;
-      controller_.cache().apply(txn, done.revision, now());
-      controller_.lease_acquired(sent);
+      controller_.controller().cache().apply(txn, done.revision, now());
+      controller_.controller().lease_acquired(sent);
       spdlog::info("member {} begins life {}", incarnation.member.get(),
                    incarnation.incarnation.get());
       for (auto& s : peers_) s->wakeup.notify();
@@ -283,10 +283,10 @@
     const Time sent = now();
     const auto renewed = state_.renew_lease(*lease, timeout);
     if (renewed == StateClient::Renewed::kGone) {
-      const std::lock_guard lock(mutex_);
+      const std::lock_guard lock(controller_.mutex());
       spdlog::warn("the member's lease is gone: nothing is done until a view names a new life");
       lease_.reset();
-      controller_.end_incarnation();
+      controller_.controller().end_incarnation();
       continue;
     }
     if (renewed == StateClient::Renewed::kYes) {
@@ -497,7 +497,7 @@
     const bool went = !plan.empty() && commit_plan(plan, orders);
     auto stops = locked([](auto& c) { return c.stops(now()); });
     std::move(stops.begin(), stops.end(), std::back_inserter(orders));
-    enqueue(std::move(orders));
+    commands_.enqueue(std::move(orders));
     // Once more only for what one record could not hold, or what another node overtook: what comes
     // meanwhile rings for the next round.
     if (plan.empty() || (went && !plan.more)) break;
@@ -569,37 +569,4 @@
   }
 }
 
-void Daemon::enqueue(std::vector<coordination::CommandBatch> orders) {
-  if (orders.empty()) return;
-  {
-    const std::lock_guard lock(orders_mutex_);
-    for (auto& o : orders) {
-      // What is dropped here is in the next report's answer all the same.
-      if (orders_.size() < kMostOrders) orders_.push_back(std::move(o));
-    }
-  }
-  orders_ready_.notify_all();
-}
-
-void Daemon::send_orders_loop() {
-  for (;;) {
-    coordination::CommandBatch o;
-    {
-      std::unique_lock lock(orders_mutex_);
-      orders_ready_.wait(lock, [this] { return !orders_.empty(); });
-      o = std::move(orders_.front());
-      orders_.pop_front();
-    }
-    if (!locked([&](auto& c) { return c.drop_stale_commands(o, now()); })) continue;
-    const auto a =
-        workers_.order(o.address, o.fencing_token, o.agent_incarnation, o.commands, kOrderCall);
-    if (a.sent != transport::Sent::kYes) {
-      spdlog::info("order to {} was not answered", o.machine.get());
-      locked([&](auto& c) { c.commands_lost(o.machine); });
-      continue;
-    }
-    locked([&](auto& c) { c.handle_command_reply(o.machine, a.heartbeat, now()); });
-  }
-}
-
 }  // namespace saddleslip
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -14,7 +14,9 @@
 #include "api/user_api.h"
 #include "base/settings.h"
 #include "coordination/controller.h"
+#include "daemon/command_sender.h"
 #include "daemon/read_barrier.h"
+#include "daemon/shared_controller.h"
 #include "daemon/wakeup_event.h"
 #include "daemon/write_rate_limiter.h"
 #include "protocol/clients.h"
@@ -73,8 +75,6 @@
   bool commit(const protocol::Transaction& txn, Seconds timeout);
   void refresh(const std::vector<std::string>& keys);
   void read_unresolved_dependencies();
-  void send_orders_loop();
-  void enqueue(std::vector<coordination::CommandBatch> orders);
   void scale_loop();
   // A request for machines, under a name of its own.
   struct Rental {
@@ -94,18 +94,19 @@
 
   template <class F>
   auto locked(F f) {
-    const std::lock_guard lock(mutex_);
-    return f(controller_);
+    return controller_.locked(f);
   }
 
   base::Settings settings_;
+  SharedController controller_;
+  LoopWakeups wakeups_;
+  const DaemonContext context_{settings_, controller_, wakeups_};
   protocol::StateClient state_;
   protocol::StateClient users_store_;  // of its own: what users ask must not hold up rounds
   protocol::CloudClient cloud_;
   protocol::WorkerClient workers_;
+  CommandSender commands_;
 
-  std::mutex mutex_;  // guards controller_ and lease_
-  coordination::Controller controller_;
   UserApi users_;
   std::optional<base::LeaseId> lease_;
   std::atomic<bool> loaded_{false};
@@ -115,13 +116,9 @@
   // False: it came too late for a copy that was begun anew meanwhile.
   bool take_in(const protocol::StateClient::Watched& w);
 
-  LoopWakeups wakeups_;
   ReadBarrier read_barrier_;
   std::vector<std::unique_ptr<Peer>> peers_;
-
-  std::mutex orders_mutex_;
-  std::condition_variable orders_ready_;
-  std::deque<coordination::CommandBatch> orders_;
+  std::stop_source stop_;
 
   std::uint64_t jobs_unblocked_ = 0;  // as counted by the ledger after the last round
   Seconds deciding_{0};               // how long a round's decisions take, on average
