--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -54,6 +54,7 @@
       users_store_(settings_.state),
       cloud_(settings_.cloud),
       workers_(static_cast<std::size_t>(std::max(4, settings_.sockets / 8))),
+      replicator_(context_, state_),
       commands_(context_, workers_),
       users_(settings_, controller_.mutex(), controller_.controller(),
              {[this] { return read_barrier_.wait(); },
@@ -61,7 +62,7 @@
               [this](const Transaction& txn) { return users_store_.commit(txn, kStateCall); },
               [] { return base::wall_seconds(); }, [this] { wakeups_.scheduling.notify(); },
               [this](const JobId& id) { broadcast_cancellation(id); }}),
-      read_barrier_({kBarrierGap, kUserCall}, [this] { return catch_up(kUserCall); }) {
+      read_barrier_({kBarrierGap, kUserCall}, [this] { return replicator_.catch_up(kUserCall); }) {
   for (const base::Peer& s : settings_.peers) {
     peers_.push_back(std::make_unique<Peer>(s));
   }
@@ -84,7 +85,7 @@
       settings_.peer_listen,
       transport::ServerLimits{std::max(16, settings_.sockets / 20), 16, kMaxPeerBody, "", 0},
       [this](const Request& r) { return serve_peer(r); });
-  threads_.emplace_back([this] { watch_loop(); });
+  threads_.emplace_back([this] { replicator_.run(stop_.get_token()); });
   threads_.emplace_back([this] { renew_lease_loop(); });
   threads_.emplace_back([this] { round_loop(); });
   threads_.emplace_back([this] { scale_loop(); });
@@ -137,7 +138,7 @@
 
 Daemon::Reply Daemon::ready() {
   const Time t = now();
-  const bool ok = loaded_ && locked([&](coordination::Controller& c) {
+  const bool ok = replicator_.is_loaded() && locked([&](coordination::Controller& c) {
                     if (c.cache().catalogue().empty()) return false;
                     // In an outage of the state service all are alike, and being passed over would
                     // only outlast it. A node that alone is refused should be passed over.
@@ -247,7 +248,7 @@
   const Seconds period = ttl / 4.0, timeout = std::min(Seconds(1.0), ttl / 4.0);
   for (;;) {
     std::optional<base::LeaseId> lease = locked([this](auto&) { return lease_; });
-    if (!loaded_) {
+    if (!replicator_.is_loaded()) {
       wakeups_.lease_renewal.wait_for(kShortPause, {});
       continue;
     }
@@ -296,7 +297,7 @@
       // a job that was cancelled elsewhere meanwhile would be started again.
       const auto cache_generation =
           locked([](coordination::Controller& c) { return c.cache_generation(); });
-      if (catch_up(timeout))
+      if (replicator_.catch_up(timeout))
         locked([&](coordination::Controller& c) { c.lease_renewed(sent, cache_generation); });
     }
     const auto txn = locked([&](auto& c) { return c.propose_membership_change(now(), *lease); });
@@ -311,135 +312,17 @@
         wakeups_.fleet.notify();
         continue;
       }
-      if (done.outcome == Outcome::kConflict) refresh(done.failed);
+      if (done.outcome == Outcome::kConflict) replicator_.refresh(done.failed);
     }
     if (const auto propose_ownership_claims =
             locked([](auto& c) { return c.propose_ownership_claims(now()); })) {
-      commit(*propose_ownership_claims, kStateCall);
+      replicator_.commit(*propose_ownership_claims);
     }
     wakeups_.scheduling.notify();
     wakeups_.lease_renewal.wait_for(period, {});
   }
 }
 
-bool Daemon::load() {
-  std::vector<protocol::Item> items;
-  base::Revision from;
-  bool first = true;
-  for (const std::string& prefix : {protocol::kMembers, protocol::kClaims, protocol::kDependencies,
-                                    protocol::kJobs, protocol::kChunks, protocol::kTeams}) {
-    std::string after;
-    for (;;) {
-      auto page = state_.list(prefix, after, Seconds(5.0));
-      if (!page.answered) return false;
-      if (first) from = page.revision;
-      first = false;
-      if (!page.items.empty()) after = page.items.back().key;
-      const bool more = page.more && !page.items.empty();
-      std::move(page.items.begin(), page.items.end(), std::back_inserter(items));
-      if (!more) break;
-    }
-  }
-  for (const std::string& key : {protocol::kViewKey, protocol::kLeadKey, protocol::kFormatKey,
-                                 protocol::kCatalogueKey, protocol::kFleetKey}) {
-    auto got = state_.get(key, Seconds(2.0));
-    if (!got.answered) return false;
-    if (got.item.version.get() != 0) items.push_back(std::move(got.item));
-  }
-  locked([&](coordination::Controller& c) {
-    c.cache().clear();
-    for (const auto& item : items) c.cache().apply(item, now());
-    c.cache().advance_to(from);
-    c.cache_replaced();
-  });
-  return true;
-}
-
-void Daemon::watch_loop() {
-  bool ready = false;
-  for (;;) {
-    if (!ready) {
-      if (!load()) {
-        pause(kShortPause * 2.0);
-        continue;
-      }
-      ready = true;
-    }
-    const auto after = locked([](auto& c) { return c.cache().revision(); });
-    // The first look after a load must not wait: it brings the copy up to the load's end.
-    const auto w = state_.watch(protocol::kAll, after, loaded_ ? Seconds(10.0) : Seconds(0));
-    using What = StateClient::Watched::What;
-    if (w.what == What::kTooOld) {
-      spdlog::warn("the watch fell too far behind: reading everything again");
-      ready = false;
-      continue;
-    }
-    if (w.what == What::kNothing) {
-      pause(kShortPause);
-      continue;
-    }
-    take_in(w);
-  }
-}
-
-bool Daemon::catch_up(Seconds timeout) {
-  if (!loaded_) return false;
-  const auto after = locked([](auto& c) { return c.cache().revision(); });
-  const auto w = state_.changes(protocol::kAll, after, timeout);
-  return w.what == StateClient::Watched::What::kEvents && take_in(w);
-}
-
-bool Daemon::take_in(const StateClient::Watched& w) {
-  bool members = false, changed = false, current = false;
-  locked([&](coordination::Controller& c) {
-    // A copy that was begun anew meanwhile is not brought up to date by what came after the old, nor
-    // does that prove it current.
-    if (w.after > c.cache().revision()) return;
-    current = true;
-    for (const auto& e : w.events) {
-      if (!c.cache().apply(e, now())) continue;
-      changed = true;
-      members = members || e.key == protocol::kViewKey || e.key == protocol::kLeadKey ||
-                e.key.starts_with(protocol::kMembers) || e.key.starts_with(protocol::kClaims);
-    }
-    c.cache().advance_to(w.revision);
-    c.install_view(now());
-  });
-  if (!current) return false;
-  if (!loaded_) {
-    loaded_ = true;
-    members = true;
-  }
-  if (members) wakeups_.lease_renewal.notify();
-  if (changed) wakeups_.scheduling.notify();
-  return true;
-}
-
-void Daemon::refresh(const std::vector<std::string>& keys) {
-  for (const std::string& key : keys) {
-    if (key == protocol::kViewKey) wakeups_.lease_renewal.notify();
-    // Only what stands for itself may be read ahead of the watch. The view and the rows of starts
-    // stand for all that was committed before them: known without it, a team's use would miss
-    // other nodes' starts.
-    const bool alone = key.starts_with(protocol::kJobs) || key.starts_with(protocol::kChunks);
-    if (!alone) continue;
-    auto got = state_.get(key, kUserCall);
-    if (!got.answered) return;
-    if (got.item.version.get() == 0) continue;
-    locked([&](coordination::Controller& c) { c.cache().apply(got.item, now()); });
-  }
-}
-
-bool Daemon::commit(const Transaction& txn, Seconds timeout) {
-  const auto done = state_.commit(txn, timeout);
-  if (done.outcome == Outcome::kDone) {
-    locked([&](coordination::Controller& c) { c.cache().apply(txn, done.revision, now()); });
-    return true;
-  }
-  if (done.outcome == Outcome::kConflict) refresh(done.failed);
-  return false;
-}
-
 // --- rounds
 
 double Daemon::write_rate() {
@@ -463,7 +346,7 @@
     // What comes in a burst shares a round. The longer its decisions take, the fewer are made, and
     // the more each of them takes in.
     pause(std::clamp(deciding_ * kRoundShare, kLeastGap, settings_.tuning.round_period * 0.7));
-    if (!loaded_) continue;
+    if (!replicator_.is_loaded()) continue;
     one_round();
   }
 }
@@ -510,7 +393,7 @@
     });
     if (!txn) break;
     write_limiter_.charge(txn->writes.size());
-    if (!commit(*txn, kStateCall)) break;
+    if (!replicator_.commit(*txn)) break;
   }
   // Records of jobs that are over: when there are writes to spare, or too many of them.
   const bool plenty = await_write_budget() == coordination::WriteBudget::kSurplus;
@@ -520,7 +403,7 @@
   });
   if (orphans) {
     write_limiter_.charge(orphans->writes.size());
-    commit(*orphans, kStateCall);
+    replicator_.commit(*orphans);
   }
   read_unresolved_dependencies();
   // What this node's own records made ready waits for no other event.
@@ -553,14 +436,14 @@
       });
       return true;
     case Outcome::kConflict:
-      refresh(done.failed);
+      replicator_.refresh(done.failed);
       return false;
     case Outcome::kUnknown: {
       // It may have been carried out, or may be later. The guards decide: what comes next on
       // these keys is committed against the versions read now, and only one of the two can hold.
       std::vector<std::string> keys;
       for (const auto& w : plan.txn.writes) keys.push_back(w.key);
-      refresh(keys);
+      replicator_.refresh(keys);
       return false;
     }
     default:
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -17,6 +17,7 @@
 #include "daemon/command_sender.h"
 #include "daemon/read_barrier.h"
 #include "daemon/shared_controller.h"
+#include "daemon/state_replicator.h"
 #include "daemon/wakeup_event.h"
 #include "daemon/write_rate_limiter.h"
 #include "protocol/clients.h"
@@ -66,14 +67,10 @@
 
   // Loops
   void renew_lease_loop();
-  void watch_loop();
-  bool load();
   void round_loop();
   void one_round();
   bool commit_plan(const coordination::RoundPlan& plan,
                    std::vector<coordination::CommandBatch>& orders);
-  bool commit(const protocol::Transaction& txn, Seconds timeout);
-  void refresh(const std::vector<std::string>& keys);
   void read_unresolved_dependencies();
   void scale_loop();
   // A request for machines, under a name of its own.
@@ -105,17 +102,13 @@
   protocol::StateClient users_store_;  // of its own: what users ask must not hold up rounds
   protocol::CloudClient cloud_;
   protocol::WorkerClient workers_;
+  StateReplicator replicator_;
   CommandSender commands_;
 
   UserApi users_;
   std::optional<base::LeaseId> lease_;
-  std::atomic<bool> loaded_{false};
   std::atomic<bool> was_ready_{false};
 
-  bool catch_up(Seconds timeout);
-  // False: it came too late for a copy that was begun anew meanwhile.
-  bool take_in(const protocol::StateClient::Watched& w);
-
   ReadBarrier read_barrier_;
   std::vector<std::unique_ptr<Peer>> peers_;
   std::stop_source stop_;
--- a/src/daemon/fleet_loop.cpp
+++ b/src/daemon/fleet_loop.cpp
@@ -19,7 +19,6 @@
 constexpr double kListGaps = 6.0;  // at least so many calls apart
 constexpr std::size_t kMostReleased = 100;
 constexpr int kMostRentCalls = 3;  // releases are proofs that tasks wait for: they come first
-constexpr Seconds kCommitCall{1.5};
 
 base::Time now() {
   return base::SteadyClock::now();
@@ -66,7 +65,7 @@
     x.writes.push_back({protocol::kCatalogueKey, value, {}});
     return x;
   });
-  cloud_read_.catalogue = !txn || commit(*txn, kCommitCall) ? began : Time{};
+  cloud_read_.catalogue = !txn || replicator_.commit(*txn) ? began : Time{};
 }
 
 void Daemon::read_list() {
@@ -122,7 +121,7 @@
   }
   if (!rented) return;
   if (const auto txn = locked([](Controller& c) { return c.fleet_record(); })) {
-    commit(*txn, kCommitCall);
+    replicator_.commit(*txn);
   }
 }
 
