--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -4,7 +4,6 @@
 
 #include "base/log.h"
 #include "protocol/paths.h"
-#include "protocol/peer_messages.h"
 
 namespace saddleslip {
 
@@ -24,7 +23,6 @@
 constexpr Seconds kShortPause{0.2};
 constexpr Seconds kLeastGap{0.05};  // between two rounds: what comes in a burst shares one
 constexpr double kRoundShare = 6;   // a round waits so many times as long as its decisions take
-constexpr std::size_t kMaxUnsentCancellations = 1024;  // cancellations that a sibling has not taken
 // An answer of changes that were missed takes several times its size once it is parsed.
 constexpr std::size_t kChangesShare = 32;
 constexpr std::size_t kMostOrphans = 4000;   // records kept for later removal
@@ -56,15 +54,18 @@
       workers_(static_cast<std::size_t>(std::max(4, settings_.sockets / 8))),
       replicator_(context_, state_),
       commands_(context_, workers_),
+      peer_requests_(context_),
       users_(settings_, controller_.mutex(), controller_.controller(),
              {[this] { return read_barrier_.wait(); },
               [this](const std::string& key) { return users_store_.get(key, kUserCall); },
               [this](const Transaction& txn) { return users_store_.commit(txn, kStateCall); },
               [] { return base::wall_seconds(); }, [this] { wakeups_.scheduling.notify(); },
-              [this](const JobId& id) { broadcast_cancellation(id); }}),
+              [this](const JobId& id) {
+                for (const auto& peer : peers_) peer->send_cancellation(id);
+              }}),
       read_barrier_({kBarrierGap, kUserCall}, [this] { return replicator_.catch_up(kUserCall); }) {
   for (const base::Peer& s : settings_.peers) {
-    peers_.push_back(std::make_unique<Peer>(s));
+    peers_.push_back(std::make_unique<PeerSync>(context_, s));
   }
 }
 
@@ -84,14 +85,14 @@
   peer_server_ = std::make_unique<transport::HttpServer>(
       settings_.peer_listen,
       transport::ServerLimits{std::max(16, settings_.sockets / 20), 16, kMaxPeerBody, "", 0},
-      [this](const Request& r) { return serve_peer(r); });
+      [this](const Request& r) { return peer_requests_.serve(r); });
   threads_.emplace_back([this] { replicator_.run(stop_.get_token()); });
   threads_.emplace_back([this] { renew_lease_loop(); });
   threads_.emplace_back([this] { round_loop(); });
   threads_.emplace_back([this] { scale_loop(); });
   for (int i = 0; i < kSenders; ++i)
     threads_.emplace_back([this] { commands_.run(stop_.get_token()); });
-  for (auto& s : peers_) threads_.emplace_back([this, &s] { sync_peer_loop(*s); });
+  for (auto& s : peers_) threads_.emplace_back([this, &s] { s->run(stop_.get_token()); });
   spdlog::info("{} serves on {}, siblings on {}", settings_.member.get(), settings_.listen.str(),
                settings_.peer_listen.str());
 }
@@ -167,80 +168,6 @@
   return {reply.status, reply.body, 0};
 }
 
-// --- siblings
-
-Daemon::Reply Daemon::serve_peer(const Request& req) {
-  if (req.path != protocol::kPeerStatusPath || req.method != "POST") {
-    return error(404, "no such path");
-  }
-  const auto message = protocol::parse_peer_message(req.body, now());
-  if (!message) return error(400, "malformed");
-  const auto said = locked([&](coordination::Controller& c) {
-    for (const auto& o : message->offers) c.add_offers(o, now());
-    for (const JobId& id : message->cancelled) c.notify_cancelled(id);
-    return c.handle_peer_status(message->status, now());
-  });
-  if (!message->offers.empty() || !message->cancelled.empty()) wakeups_.scheduling.notify();
-  // Its machines lose their tasks if nobody answers them within their lease.
-  if (message->status.contact == protocol::WorkerContact::kLost) wakeups_.lease_renewal.notify();
-  return {200, protocol::encode_peer_reply({said.released, said.cordon, said.drain, said.again}),
-          0};
-}
-
-// Best effort: that a cancelled task is gone in time rests on the end of authority and of leases.
-void Daemon::broadcast_cancellation(const JobId& id) {
-  for (auto& s : peers_) {
-    {
-      const std::lock_guard lock(s->mutex);
-      s->cancelled.push_back(id);
-      if (s->cancelled.size() > kMaxUnsentCancellations) s->cancelled.pop_front();
-    }
-    s->wakeup.notify();
-  }
-}
-
-void Daemon::sync_peer_loop(Peer& peer) {
-  const Seconds period = settings_.tuning.round_period * 0.7;
-  for (;;) {
-    peer.wakeup.wait_for(period, {});
-    protocol::PeerMessage message;
-    {
-      const std::lock_guard lock(peer.mutex);
-      message.offers.swap(peer.offers);
-      message.cancelled.assign(peer.cancelled.begin(), peer.cancelled.end());
-    }
-    message.status = locked([&](auto& c) { return c.status(peer.id, now()); });
-    const auto answer = peer.http.post(protocol::kPeerStatusPath,
-                                       protocol::encode_peer_message(message, now()), Seconds(1.0));
-    if (!answer.ok()) {
-      if (!message.offers.empty()) {
-        locked([&](auto& c) { c.offers_lost(peer.id, message.offers); });
-        wakeups_.scheduling.notify();
-      }
-      pause(kShortPause);
-      continue;
-    }
-    {
-      // Those that came meanwhile stand behind them, unless the bound took some.
-      const std::lock_guard lock(peer.mutex);
-      for (const JobId& id : message.cancelled) {
-        if (peer.cancelled.empty()) break;
-        if (peer.cancelled.front() == id) peer.cancelled.pop_front();
-      }
-    }
-    const protocol::PeerReply reply = protocol::parse_peer_reply(answer.body);
-    if (reply.needs_full_status) peer.wakeup.notify();
-    locked([&](coordination::Controller& c) {
-      c.peer_reached(peer.id, now());
-      c.status_acknowledged(peer.id, reply.needs_full_status ? 0 : message.status.upto);
-      c.mark_released(reply.released, now());
-      c.cordon_idle(reply.cordon);
-      c.drain(reply.drain);
-    });
-    if (!reply.released.empty()) wakeups_.scheduling.notify();
-  }
-}
-
 // --- the state service
 
 void Daemon::renew_lease_loop() {
@@ -278,7 +205,7 @@
       controller_.controller().lease_acquired(sent);
       spdlog::info("member {} begins life {}", incarnation.member.get(),
                    incarnation.incarnation.get());
-      for (auto& s : peers_) s->wakeup.notify();
+      for (auto& s : peers_) s->notify();
     }
     locked([](auto& c) { c.tell_time(now(), base::wall_seconds()); });
     const Time sent = now();
@@ -366,13 +293,8 @@
       return out;
     });
     for (auto& s : peers_) {
-      const auto at = routed.find(s->id);
-      if (at == routed.end()) continue;
-      {
-        const std::lock_guard lock(s->mutex);
-        if (s->offers.size() < 64) s->offers.push_back(std::move(at->second));
-      }
-      s->wakeup.notify();
+      const auto at = routed.find(s->member());
+      if (at != routed.end()) s->send_offers(std::move(at->second));
     }
     const auto plan = locked([&](auto& c) { return c.plan(now(), write_budget); });
     deciding_ = deciding_ * 0.7 + base::between(began, now()) * 0.3;
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -15,6 +15,8 @@
 #include "base/settings.h"
 #include "coordination/controller.h"
 #include "daemon/command_sender.h"
+#include "daemon/peer_request_handler.h"
+#include "daemon/peer_sync.h"
 #include "daemon/read_barrier.h"
 #include "daemon/shared_controller.h"
 #include "daemon/state_replicator.h"
@@ -43,28 +45,12 @@
   using Reply = transport::Reply;
   using Request = transport::Request;
 
-  // What one sibling is told: offers and cancellations at once, status regularly.
-  struct Peer {
-    explicit Peer(const base::Peer& s) : id(s.member), http(s.address, 2) {}
-    base::MemberId id;
-    transport::HttpClient http;
-    std::mutex mutex;
-    std::vector<protocol::Offers> offers;
-    std::deque<base::JobId> cancelled;  // not yet told; bounded
-    WakeupEvent wakeup;
-  };
-
   // Users
   Reply serve(const Request& req);
   Reply serve_user(const Request& req);
   Reply ready();
   Reply handle_heartbeat(const std::string& body);
 
-  // Siblings
-  Reply serve_peer(const Request& req);
-  void sync_peer_loop(Peer& peer);
-  void broadcast_cancellation(const base::JobId& id);
-
   // Loops
   void renew_lease_loop();
   void round_loop();
@@ -104,13 +90,14 @@
   protocol::WorkerClient workers_;
   StateReplicator replicator_;
   CommandSender commands_;
+  PeerSyncs peers_;
+  PeerRequestHandler peer_requests_;
 
   UserApi users_;
   std::optional<base::LeaseId> lease_;
   std::atomic<bool> was_ready_{false};
 
   ReadBarrier read_barrier_;
-  std::vector<std::unique_ptr<Peer>> peers_;
   std::stop_source stop_;
 
   std::uint64_t jobs_unblocked_ = 0;  // as counted by the ledger after the last round
--- /dev/null
+++ b/src/daemon/peer_request_handler.cpp
@@ -0,0 +1,36 @@
+#include "daemon/peer_request_handler.h"
+
+#include "daemon/error_reply.h"
+#include "protocol/paths.h"
+#include "protocol/peer_messages.h"
+
+namespace saddleslip {
+
+using base::SteadyClock;
+using coordination::Controller;
+
+transport::Reply PeerRequestHandler::serve(const transport::Request& request) {
+  if (request.path != protocol::kPeerStatusPath || request.method != "POST") {
+    return error_reply(404, "no such path");
+  }
+  const auto message = protocol::parse_peer_message(request.body, SteadyClock::now());
+  if (!message) return error_reply(400, "malformed");
+  const auto instructions = context_.controller.locked([&](Controller& c) {
+    for (const auto& offers : message->offers) c.add_offers(offers, SteadyClock::now());
+    for (const base::JobId& job : message->cancelled) c.notify_cancelled(job);
+    return c.handle_peer_status(message->status, SteadyClock::now());
+  });
+  if (!message->offers.empty() || !message->cancelled.empty()) {
+    context_.wakeups.scheduling.notify();
+  }
+  // The peer's machines lose their tasks unless another controller answers them within their lease.
+  if (message->status.contact == protocol::WorkerContact::kLost) {
+    context_.wakeups.lease_renewal.notify();
+  }
+  return {200,
+          protocol::encode_peer_reply(
+              {instructions.released, instructions.cordon, instructions.drain, instructions.again}),
+          0};
+}
+
+}  // namespace saddleslip
