--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -55,6 +55,7 @@
       replicator_(context_, state_),
       commands_(context_, workers_),
       peer_requests_(context_),
+      lease_renewer_(context_, state_, replicator_, peers_),
       users_(settings_, controller_.mutex(), controller_.controller(),
              {[this] { return read_barrier_.wait(); },
               [this](const std::string& key) { return users_store_.get(key, kUserCall); },
@@ -87,7 +88,7 @@
       transport::ServerLimits{std::max(16, settings_.sockets / 20), 16, kMaxPeerBody, "", 0},
       [this](const Request& r) { return peer_requests_.serve(r); });
   threads_.emplace_back([this] { replicator_.run(stop_.get_token()); });
-  threads_.emplace_back([this] { renew_lease_loop(); });
+  threads_.emplace_back([this] { lease_renewer_.run(stop_.get_token()); });
   threads_.emplace_back([this] { round_loop(); });
   threads_.emplace_back([this] { scale_loop(); });
   for (int i = 0; i < kSenders; ++i)
@@ -168,88 +169,6 @@
   return {reply.status, reply.body, 0};
 }
 
-// --- the state service
-
-void Daemon::renew_lease_loop() {
-  const Seconds ttl = settings_.tuning.member_ttl;
-  const Seconds period = ttl / 4.0, timeout = std::min(Seconds(1.0), ttl / 4.0);
-  for (;;) {
-    std::optional<base::LeaseId> lease = locked([this](auto&) { return lease_; });
-    if (!replicator_.is_loaded()) {
-      wakeups_.lease_renewal.wait_for(kShortPause, {});
-      continue;
-    }
-    if (!lease) {
-      const Time sent = now();
-      lease = state_.create_lease(ttl, timeout);
-      if (!lease) {
-        wakeups_.lease_renewal.wait_for(kShortPause * 2.0, {});
-        continue;
-      }
-      const protocol::ControllerIncarnation incarnation{settings_.member,
-                                                        base::Incarnation(lease->get())};
-      const Transaction txn = locked([&](coordination::Controller& c) {
-        c.begin_incarnation(incarnation, now());
-        return c.member_record(*lease, false);
-      });
-      const auto done = state_.commit(txn, kStateCall);
-      if (done.outcome != Outcome::kDone) {
-        locked([](auto& c) { c.end_incarnation(); });
-        state_.delete_lease(*lease, timeout);
-        wakeups_.lease_renewal.wait_for(kShortPause * 2.0, {});
-        continue;
-      }
-      const std::lock_guard lock(controller_.mutex());
-      lease_ = lease;
-      controller_.controller().cache().apply(txn, done.revision, now());
-      controller_.controller().lease_acquired(sent);
-      spdlog::info("member {} begins life {}", incarnation.member.get(),
-                   incarnation.incarnation.get());
-      for (auto& s : peers_) s->notify();
-    }
-    locked([](auto& c) { c.tell_time(now(), base::wall_seconds()); });
-    const Time sent = now();
-    const auto renewed = state_.renew_lease(*lease, timeout);
-    if (renewed == StateClient::Renewed::kGone) {
-      const std::lock_guard lock(controller_.mutex());
-      spdlog::warn("the member's lease is gone: nothing is done until a view names a new life");
-      lease_.reset();
-      controller_.controller().end_incarnation();
-      continue;
-    }
-    if (renewed == StateClient::Renewed::kYes) {
-      locked([&](coordination::Controller& c) { c.lease_acquired(sent); });
-      // Authority to command needs more than the present view: a copy of the jobs that is as new as
-      // the renewal. After an outage the renewal is answered before the watch has said anything, and
-      // a job that was cancelled elsewhere meanwhile would be started again.
-      const auto cache_generation =
-          locked([](coordination::Controller& c) { return c.cache_generation(); });
-      if (replicator_.catch_up(timeout))
-        locked([&](coordination::Controller& c) { c.lease_renewed(sent, cache_generation); });
-    }
-    const auto txn = locked([&](auto& c) { return c.propose_membership_change(now(), *lease); });
-    if (txn) {
-      const auto done = state_.commit(*txn, kStateCall);
-      if (done.outcome == Outcome::kDone) {
-        locked([&](coordination::Controller& c) {
-          c.cache().apply(*txn, done.revision, now());
-          c.install_view(now());
-        });
-        wakeups_.scheduling.notify();
-        wakeups_.fleet.notify();
-        continue;
-      }
-      if (done.outcome == Outcome::kConflict) replicator_.refresh(done.failed);
-    }
-    if (const auto propose_ownership_claims =
-            locked([](auto& c) { return c.propose_ownership_claims(now()); })) {
-      replicator_.commit(*propose_ownership_claims);
-    }
-    wakeups_.scheduling.notify();
-    wakeups_.lease_renewal.wait_for(period, {});
-  }
-}
-
 // --- rounds
 
 double Daemon::write_rate() {
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -15,6 +15,7 @@
 #include "base/settings.h"
 #include "coordination/controller.h"
 #include "daemon/command_sender.h"
+#include "daemon/lease_renewer.h"
 #include "daemon/peer_request_handler.h"
 #include "daemon/peer_sync.h"
 #include "daemon/read_barrier.h"
@@ -52,7 +53,6 @@
   Reply handle_heartbeat(const std::string& body);
 
   // Loops
-  void renew_lease_loop();
   void round_loop();
   void one_round();
   bool commit_plan(const coordination::RoundPlan& plan,
@@ -92,9 +92,9 @@
   CommandSender commands_;
   PeerSyncs peers_;
   PeerRequestHandler peer_requests_;
+  LeaseRenewer lease_renewer_;
 
   UserApi users_;
-  std::optional<base::LeaseId> lease_;
   std::atomic<bool> was_ready_{false};
 
   ReadBarrier read_barrier_;
