--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -8,10 +8,7 @@
 namespace saddleslip {
 
 using base::JobId;
-using base::Version;
-using protocol::StateClient;
 using protocol::Transaction;
-using Outcome = StateClient::Outcome;
 
 namespace {
 
@@ -20,25 +17,16 @@
 constexpr Seconds kUserCall{1.2};     // users wait 2 s for a status
 constexpr Seconds kBarrierGap{0.04};  // between two looks at the store's changes for polls
 constexpr Seconds kStateCall{1.5};
-constexpr Seconds kShortPause{0.2};
-constexpr Seconds kLeastGap{0.05};  // between two rounds: what comes in a burst shares one
-constexpr double kRoundShare = 6;   // a round waits so many times as long as its decisions take
 // An answer of changes that were missed takes several times its size once it is parsed.
 constexpr std::size_t kChangesShare = 32;
-constexpr std::size_t kMostOrphans = 4000;   // records kept for later removal
-constexpr std::size_t kMostFinalsRead = 16;  // in one round
-constexpr int kMostThreads = 192;            // that serve requests; a process may have 2,000 in all
-constexpr int kSenders = 8;                  // of direct orders
+constexpr int kMostThreads = 192;  // that serve requests; a process may have 2,000 in all
+constexpr int kSenders = 8;        // of direct orders
 constexpr std::size_t kMaxPeerBody = 2u << 20;  // a status lists all machines of a part
 
 base::Time now() {
   return base::SteadyClock::now();
 }
 
-void pause(Seconds s) {
-  std::this_thread::sleep_for(s);
-}
-
 transport::Reply error(int status, const std::string& reason, int retry_after_s = 0) {
   return {status, protocol::error_body(reason), retry_after_s};
 }
@@ -56,6 +44,7 @@
       commands_(context_, workers_),
       peer_requests_(context_),
       lease_renewer_(context_, state_, replicator_, peers_),
+      scheduling_(context_, state_, replicator_, commands_, peers_),
       users_(settings_, controller_.mutex(), controller_.controller(),
              {[this] { return read_barrier_.wait(); },
               [this](const std::string& key) { return users_store_.get(key, kUserCall); },
@@ -89,7 +78,7 @@
       [this](const Request& r) { return peer_requests_.serve(r); });
   threads_.emplace_back([this] { replicator_.run(stop_.get_token()); });
   threads_.emplace_back([this] { lease_renewer_.run(stop_.get_token()); });
-  threads_.emplace_back([this] { round_loop(); });
+  threads_.emplace_back([this] { scheduling_.run(stop_.get_token()); });
   threads_.emplace_back([this] { scale_loop(); });
   for (int i = 0; i < kSenders; ++i)
     threads_.emplace_back([this] { commands_.run(stop_.get_token()); });
@@ -169,128 +158,4 @@
   return {reply.status, reply.body, 0};
 }
 
-// --- rounds
-
-double Daemon::write_rate() {
-  const auto members = locked([](coordination::Controller& c) {
-    return c.cache().view() ? c.cache().view()->members.size() : std::size_t{0};
-  });
-  return settings_.state_write_rps * 0.85 / static_cast<double>(std::max<std::size_t>(1, members));
-}
-
-coordination::WriteBudget Daemon::await_write_budget() {
-  for (;;) {
-    const Seconds wait = write_limiter_.refill(now(), write_rate());
-    if (wait.count() <= 0) return write_limiter_.budget();
-    pause(wait);
-  }
-}
-
-void Daemon::round_loop() {
-  for (;;) {
-    wakeups_.scheduling.wait_for(settings_.tuning.round_period, {});
-    // What comes in a burst shares a round. The longer its decisions take, the fewer are made, and
-    // the more each of them takes in.
-    pause(std::clamp(deciding_ * kRoundShare, kLeastGap, settings_.tuning.round_period * 0.7));
-    if (!replicator_.is_loaded()) continue;
-    one_round();
-  }
-}
-
-void Daemon::one_round() {
-  for (int i = 0; i < 6; ++i) {
-    const auto write_budget = await_write_budget();
-    const Time began = now();
-    auto routed = locked([](coordination::Controller& c) {
-      c.install_view(now());
-      auto out = c.route(now());
-      const auto mine = out.find(c.self().member);
-      if (mine != out.end()) {
-        c.add_offers(mine->second, now());
-        out.erase(mine);
-      }
-      return out;
-    });
-    for (auto& s : peers_) {
-      const auto at = routed.find(s->member());
-      if (at != routed.end()) s->send_offers(std::move(at->second));
-    }
-    const auto plan = locked([&](auto& c) { return c.plan(now(), write_budget); });
-    deciding_ = deciding_ * 0.7 + base::between(began, now()) * 0.3;
-    std::vector<coordination::CommandBatch> orders;
-    const bool went = !plan.empty() && commit_plan(plan, orders);
-    auto stops = locked([](auto& c) { return c.stops(now()); });
-    std::move(stops.begin(), stops.end(), std::back_inserter(orders));
-    commands_.enqueue(std::move(orders));
-    // Once more only for what one record could not hold, or what another node overtook: what comes
-    // meanwhile rings for the next round.
-    if (plan.empty() || (went && !plan.more)) break;
-    if (!went) pause(kLeastGap);
-  }
-  for (int i = 0; i < 8; ++i) {
-    const auto txn = locked([](auto& c) {
-      auto finish = c.finalize_one_job(now());
-      return finish ? finish : c.split_one_record(now());
-    });
-    if (!txn) break;
-    write_limiter_.charge(txn->writes.size());
-    if (!replicator_.commit(*txn)) break;
-  }
-  // Records of jobs that are over: when there are writes to spare, or too many of them.
-  const bool plenty = await_write_budget() == coordination::WriteBudget::kSurplus;
-  const auto orphans = locked([&](coordination::Controller& c) {
-    const bool due = plenty || c.cache().orphans().size() > kMostOrphans;
-    return due ? c.collect_garbage() : std::nullopt;
-  });
-  if (orphans) {
-    write_limiter_.charge(orphans->writes.size());
-    replicator_.commit(*orphans);
-  }
-  read_unresolved_dependencies();
-  // What this node's own records made ready waits for no other event.
-  const std::uint64_t ready = locked([](auto& c) { return c.cache().jobs_unblocked(); });
-  if (ready != jobs_unblocked_) wakeups_.scheduling.notify();
-  jobs_unblocked_ = ready;
-}
-
-// Jobs may wait for others that were over before this copy was read: their final states are not among
-// what is read and watched from then on.
-void Daemon::read_unresolved_dependencies() {
-  auto ids = locked([](auto& c) { return c.cache().unresolved_dependencies(); });
-  if (ids.size() > kMostFinalsRead) ids.resize(kMostFinalsRead);
-  for (const JobId& id : ids) {
-    const auto got = state_.get(protocol::final_key(id), kUserCall);
-    if (!got.answered) return;
-    const auto state = protocol::parse_final(got.item.value);
-    if (state) locked([&](auto& c) { c.cache().remember_final(id, *state); });
-  }
-}
-
-bool Daemon::commit_plan(const coordination::RoundPlan& plan,
-                         std::vector<coordination::CommandBatch>& orders) {
-  const auto done = state_.commit(plan.txn, kStateCall);
-  write_limiter_.charge(plan.txn.writes.size());
-  switch (done.outcome) {
-    case Outcome::kDone:
-      orders = locked([&](coordination::Controller& c) {
-        return c.committed(plan, Version(done.revision.get()), now());
-      });
-      return true;
-    case Outcome::kConflict:
-      replicator_.refresh(done.failed);
-      return false;
-    case Outcome::kUnknown: {
-      // It may have been carried out, or may be later. The guards decide: what comes next on
-      // these keys is committed against the versions read now, and only one of the two can hold.
-      std::vector<std::string> keys;
-      for (const auto& w : plan.txn.writes) keys.push_back(w.key);
-      replicator_.refresh(keys);
-      return false;
-    }
-    default:
-      pause(kShortPause);
-      return false;
-  }
-}
-
 }  // namespace saddleslip
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -19,10 +19,10 @@
 #include "daemon/peer_request_handler.h"
 #include "daemon/peer_sync.h"
 #include "daemon/read_barrier.h"
+#include "daemon/scheduling_loop.h"
 #include "daemon/shared_controller.h"
 #include "daemon/state_replicator.h"
 #include "daemon/wakeup_event.h"
-#include "daemon/write_rate_limiter.h"
 #include "protocol/clients.h"
 #include "transport/http_server.h"
 
@@ -53,11 +53,6 @@
   Reply handle_heartbeat(const std::string& body);
 
   // Loops
-  void round_loop();
-  void one_round();
-  bool commit_plan(const coordination::RoundPlan& plan,
-                   std::vector<coordination::CommandBatch>& orders);
-  void read_unresolved_dependencies();
   void scale_loop();
   // A request for machines, under a name of its own.
   struct Rental {
@@ -72,8 +67,6 @@
   std::deque<Rental> rentals(const coordination::ScalingPlan& plan);
   void rent(const coordination::ScalingPlan& plan, Seconds gap);
   RentOutcome rent_once(const Rental& r);
-  double write_rate();
-  coordination::WriteBudget await_write_budget();
 
   template <class F>
   auto locked(F f) {
@@ -93,6 +86,7 @@
   PeerSyncs peers_;
   PeerRequestHandler peer_requests_;
   LeaseRenewer lease_renewer_;
+  SchedulingLoop scheduling_;
 
   UserApi users_;
   std::atomic<bool> was_ready_{false};
@@ -100,9 +94,6 @@
   ReadBarrier read_barrier_;
   std::stop_source stop_;
 
-  std::uint64_t jobs_unblocked_ = 0;  // as counted by the ledger after the last round
-  Seconds deciding_{0};               // how long a round's decisions take, on average
-  WriteRateLimiter write_limiter_;
   std::uint64_t rental_count_ = 0;
   std::optional<Rental> open_rental_;  // sent, and not answered for certain
   struct CloudRead {
