--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -45,6 +45,7 @@
       peer_requests_(context_),
       lease_renewer_(context_, state_, replicator_, peers_),
       scheduling_(context_, state_, replicator_, commands_, peers_),
+      fleet_(context_, cloud_, replicator_),
       users_(settings_, controller_.mutex(), controller_.controller(),
              {[this] { return read_barrier_.wait(); },
               [this](const std::string& key) { return users_store_.get(key, kUserCall); },
@@ -79,7 +80,7 @@
   threads_.emplace_back([this] { replicator_.run(stop_.get_token()); });
   threads_.emplace_back([this] { lease_renewer_.run(stop_.get_token()); });
   threads_.emplace_back([this] { scheduling_.run(stop_.get_token()); });
-  threads_.emplace_back([this] { scale_loop(); });
+  threads_.emplace_back([this] { fleet_.run(stop_.get_token()); });
   for (int i = 0; i < kSenders; ++i)
     threads_.emplace_back([this] { commands_.run(stop_.get_token()); });
   for (auto& s : peers_) threads_.emplace_back([this, &s] { s->run(stop_.get_token()); });
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -15,6 +15,7 @@
 #include "base/settings.h"
 #include "coordination/controller.h"
 #include "daemon/command_sender.h"
+#include "daemon/fleet_loop.h"
 #include "daemon/lease_renewer.h"
 #include "daemon/peer_request_handler.h"
 #include "daemon/peer_sync.h"
@@ -52,22 +53,6 @@
   Reply ready();
   Reply handle_heartbeat(const std::string& body);
 
-  // Loops
-  void scale_loop();
-  // A request for machines, under a name of its own.
-  struct Rental {
-    std::string name;
-    coordination::MachineKind kind;
-    int count = 0;
-  };
-  enum class RentOutcome { kRented, kRefused, kStop };
-  void read_catalogue();
-  void read_list();
-  void release(std::vector<base::MachineId> machines);
-  std::deque<Rental> rentals(const coordination::ScalingPlan& plan);
-  void rent(const coordination::ScalingPlan& plan, Seconds gap);
-  RentOutcome rent_once(const Rental& r);
-
   template <class F>
   auto locked(F f) {
     return controller_.locked(f);
@@ -87,6 +72,7 @@
   PeerRequestHandler peer_requests_;
   LeaseRenewer lease_renewer_;
   SchedulingLoop scheduling_;
+  FleetLoop fleet_;
 
   UserApi users_;
   std::atomic<bool> was_ready_{false};
@@ -94,12 +80,6 @@
   ReadBarrier read_barrier_;
   std::stop_source stop_;
 
-  std::uint64_t rental_count_ = 0;
-  std::optional<Rental> open_rental_;  // sent, and not answered for certain
-  struct CloudRead {
-    Time catalogue{}, list{};
-  } cloud_read_;  // when each was last read
-
   // Users' requests under way, most of which wait for the state service. While it is slow or silent
   // they must not take all the threads that answer workers and probes.
   std::atomic<int> asking_{0};
--- a/src/daemon/fleet_loop.cpp
+++ b/src/daemon/fleet_loop.cpp
@@ -1,154 +1,180 @@
-// The loop that carries out the leader's plans at the cloud's interface.
+#include "daemon/fleet_loop.h"
+
+#include <algorithm>
+
 #include "base/log.h"
-#include "daemon/daemon.h"
 
 namespace saddleslip {
 
+using base::MachineId;
+using base::Seconds;
+using base::SteadyClock;
+using base::Time;
 using coordination::Controller;
 using protocol::Json;
 using protocol::Transaction;
 
 namespace {
 
-using base::Seconds;
-
-constexpr double kCallGap = 1.25;  // of the time between two calls that the cloud's rate allows
-constexpr Seconds kLeastTurn{0.7};
-constexpr Seconds kCatalogueEvery{60.0};  // prices of spot machines move
-constexpr Seconds kListEvery{3.0};
-constexpr double kListGaps = 6.0;  // at least so many calls apart
-constexpr std::size_t kMostReleased = 100;
-constexpr int kMostRentCalls = 3;  // releases are proofs that tasks wait for: they come first
+constexpr double kCallGapFactor = 1.25;  // of the time between two calls that the cloud allows
+constexpr Seconds kMinPeriod{0.7};
+constexpr Seconds kCatalogueInterval{60.0};  // prices of spot machines change
+constexpr Seconds kListInterval{3.0};
+constexpr double kListIntervalGaps = 6.0;  // the list is read at most every so many call gaps
+constexpr std::size_t kMaxReleasedPerCall = 100;
+// In one turn. Releases prove that attempts are over, which tasks wait for: they must come soon.
+constexpr int kMaxRentalCalls = 3;
 
-base::Time now() {
-  return base::SteadyClock::now();
+std::string join(const std::vector<MachineId>& machines) {
+  std::string names;
+  for (const MachineId& id : machines) names += (names.empty() ? "" : ",") + id.get();
+  return names;
 }
 
 }  // namespace
 
-void Daemon::scale_loop() {
-  const Seconds gap(kCallGap / settings_.cloud_rps);
-  for (;;) {
-    wakeups_.fleet.wait_for(std::max(gap, kLeastTurn), {});
-    if (!locked([](Controller& c) { return c.is_leader(now()); })) {
-      open_rental_.reset();
-      continue;
-    }
-    if (cloud_read_.catalogue == Time{} ||
-        base::between(cloud_read_.catalogue, now()) > kCatalogueEvery) {
-      read_catalogue();
-      std::this_thread::sleep_for(gap);
-    }
-    if (base::between(cloud_read_.list, now()) > std::max(kListEvery, gap * kListGaps)) {
-      read_list();
-      std::this_thread::sleep_for(gap);
-    }
-    auto actions =
-        locked([](Controller& c) { return c.plan_scaling(now(), base::wall_seconds()); });
-    if (!actions.release.empty()) {
-      release(std::move(actions.release));
-      std::this_thread::sleep_for(gap);
+FleetLoop::FleetLoop(const DaemonContext& context, protocol::CloudClient& cloud,
+                     StateReplicator& replicator)
+    : context_(context),
+      cloud_(cloud),
+      replicator_(replicator),
+      call_gap_(kCallGapFactor / context.settings.cloud_rps) {}
+
+void FleetLoop::run(const std::stop_token& stop) {
+  while (!stop.stop_requested()) {
+    context_.wakeups.fleet.wait_for(std::max(call_gap_, kMinPeriod), stop);
+    if (stop.stop_requested()) return;
+    if (is_leader()) {
+      run_turn(stop);
+    } else {
+      open_request_.reset();
     }
-    rent(actions.plan, gap);
   }
 }
 
-void Daemon::read_catalogue() {
-  const Time began = now();
+bool FleetLoop::is_leader() {
+  return context_.controller.locked([](Controller& c) { return c.is_leader(SteadyClock::now()); });
+}
+
+void FleetLoop::run_turn(const std::stop_token& stop) {
+  if (catalogue_read_at_ == Time{} ||
+      base::between(catalogue_read_at_, SteadyClock::now()) > kCatalogueInterval) {
+    read_catalogue();
+    sleep_for(call_gap_, stop);
+  }
+  const Seconds list_interval = std::max(kListInterval, call_gap_ * kListIntervalGaps);
+  if (base::between(machine_list_read_at_, SteadyClock::now()) > list_interval) {
+    read_machine_list();
+    sleep_for(call_gap_, stop);
+  }
+  auto actions = context_.controller.locked(
+      [](Controller& c) { return c.plan_scaling(SteadyClock::now(), base::wall_seconds()); });
+  if (!actions.release.empty()) {
+    release(std::move(actions.release));
+    sleep_for(call_gap_, stop);
+  }
+  rent(actions.plan, stop);
+}
+
+void FleetLoop::read_catalogue() {
+  const Time began = SteadyClock::now();
   const auto types = cloud_.catalogue();
   if (!types || types->empty()) return;
   const Json value = to_json(*types);
-  const auto txn = locked([&](Controller& c) -> std::optional<Transaction> {
+  const auto txn = context_.controller.locked([&](Controller& c) -> std::optional<Transaction> {
     if (to_json(c.cache().catalogue()) == value) return {};
-    Transaction x;
-    x.preconditions[protocol::kLeadKey] = c.cache().version(protocol::kLeadKey);
-    x.writes.push_back({protocol::kCatalogueKey, value, {}});
-    return x;
+    Transaction t;
+    t.preconditions[protocol::kLeadKey] = c.cache().version(protocol::kLeadKey);
+    t.writes.push_back({protocol::kCatalogueKey, value, {}});
+    return t;
   });
-  cloud_read_.catalogue = !txn || replicator_.commit(*txn) ? began : Time{};
+  const bool is_on_record = !txn || replicator_.commit(*txn);
+  catalogue_read_at_ = is_on_record ? began : Time{};
 }
 
-void Daemon::read_list() {
-  cloud_read_.list = now();
-  if (const auto list = cloud_.list()) {
-    locked([&](Controller& c) { c.listed(*list, now(), base::wall_seconds()); });
-  }
+void FleetLoop::read_machine_list() {
+  machine_list_read_at_ = SteadyClock::now();
+  const auto machines = cloud_.list();
+  if (!machines) return;
+  context_.controller.locked(
+      [&](Controller& c) { c.listed(*machines, SteadyClock::now(), base::wall_seconds()); });
 }
 
-void Daemon::release(std::vector<base::MachineId> machines) {
-  if (machines.size() > kMostReleased) machines.resize(kMostReleased);
-  std::string names;
-  for (const auto& id : machines) names += " " + id.get();
+void FleetLoop::release(std::vector<MachineId> machines) {
+  if (machines.size() > kMaxReleasedPerCall) machines.resize(kMaxReleasedPerCall);
   if (!cloud_.release(machines)) {
-    spdlog::warn("the cloud did not release:{}", names);
+    spdlog::warn("release failed machines={}", join(machines));
     return;
   }
-  spdlog::info("released:{}", names);
-  locked([&](Controller& c) { c.released(machines, now()); });
-  wakeups_.scheduling.notify();
+  spdlog::info("machines released machines={}", join(machines));
+  context_.controller.locked([&](Controller& c) { c.released(machines, SteadyClock::now()); });
+  context_.wakeups.scheduling.notify();
 }
 
-std::deque<Daemon::Rental> Daemon::rentals(const coordination::ScalingPlan& plan) {
-  const protocol::ControllerIncarnation incarnation =
-      locked([](Controller& c) { return c.self(); });
-  std::deque<Rental> out;
-  if (open_rental_) out.push_back(*open_rental_);
-  for (const auto& r : plan.scale_out) {
-    for (int left = r.count; left > 0; left -= protocol::kMaxRentedPerCall) {
-      // Never a name that any node or life has used: lives are numbered by the store.
-      out.push_back({"r-" + incarnation.member.get() + "-" +
-                         std::to_string(incarnation.incarnation.get()) + "-" +
-                         std::to_string(++rental_count_),
-                     r.kind, std::min(left, protocol::kMaxRentedPerCall)});
-    }
+void FleetLoop::rent(const coordination::ScalingPlan& plan, const std::stop_token& stop) {
+  const bool had_open_request = open_request_.has_value();
+  bool has_rented = false;
+  int calls = 0;
+  for (const RentalRequest& request : rental_requests(plan)) {
+    if (++calls > kMaxRentalCalls || stop.stop_requested() || !is_leader()) break;
+    const RentalOutcome outcome = send_rental(request);
+    has_rented = has_rented || outcome == RentalOutcome::kRented;
+    if (outcome == RentalOutcome::kRetryLater) break;
+    sleep_for(call_gap_, stop);
+    // The plan does not count what was requested before it was made: plan again before renting more.
+    if (had_open_request) break;
   }
-  return out;
+  if (!has_rented) return;
+  const auto txn = context_.controller.locked([](Controller& c) { return c.fleet_record(); });
+  if (txn) replicator_.commit(*txn);
 }
 
-void Daemon::rent(const coordination::ScalingPlan& plan, Seconds gap) {
-  const bool was_open = open_rental_.has_value();
-  bool rented = false;
-  int calls = 0;
-  for (const Rental& r : rentals(plan)) {
-    if (++calls > kMostRentCalls) break;
-    if (!locked([](Controller& c) { return c.is_leader(now()); })) break;
-    const RentOutcome outcome = rent_once(r);
-    rented = rented || outcome == RentOutcome::kRented;
-    if (outcome == RentOutcome::kStop) break;
-    std::this_thread::sleep_for(gap);
-    // What was asked for before is not in this plan: plan anew before renting more.
-    if (was_open) break;
-  }
-  if (!rented) return;
-  if (const auto txn = locked([](Controller& c) { return c.fleet_record(); })) {
-    replicator_.commit(*txn);
+std::deque<FleetLoop::RentalRequest> FleetLoop::rental_requests(
+    const coordination::ScalingPlan& plan) {
+  const protocol::ControllerIncarnation self =
+      context_.controller.locked([](Controller& c) { return c.self(); });
+  // No other controller or incarnation ever uses these names: incarnations are numbered by the store.
+  const std::string name_prefix =
+      "r-" + self.member.get() + "-" + std::to_string(self.incarnation.get()) + "-";
+  std::deque<RentalRequest> requests;
+  if (open_request_) requests.push_back(*open_request_);
+  for (const auto& scale_out : plan.scale_out) {
+    for (int left = scale_out.count; left > 0; left -= protocol::kMaxRentedPerCall) {
+      requests.push_back({name_prefix + std::to_string(++rental_count_), scale_out.kind,
+                          std::min(left, protocol::kMaxRentedPerCall)});
+    }
   }
+  return requests;
 }
 
-Daemon::RentOutcome Daemon::rent_once(const Rental& r) {
+FleetLoop::RentalOutcome FleetLoop::send_rental(const RentalRequest& request) {
   using What = protocol::CloudClient::Rented::What;
-  const char* spot = r.kind.spot ? " (spot)" : "";
-  const auto answer = cloud_.rent(r.name, r.kind.type, r.kind.zone, r.kind.spot, r.count);
-  open_rental_.reset();
+  const coordination::MachineKind& kind = request.kind;
+  const auto answer = cloud_.rent(request.name, kind.type, kind.zone, kind.spot, request.count);
+  open_request_.reset();
   switch (answer.what) {
     case What::kMachines:
-      spdlog::info("rented {} of {} {} in {}{}", answer.machines.size(), r.count, r.kind.type,
-                   r.kind.zone, spot);
-      locked([&](Controller& c) {
-        c.rented(r.kind, answer.machines, base::wall_seconds());
-        if (static_cast<int>(answer.machines.size()) < r.count) c.refused(r.kind, now());
+      spdlog::info("machines rented requested={} count={} type={} zone={} spot={}", request.count,
+                   answer.machines.size(), kind.type, kind.zone, kind.spot);
+      context_.controller.locked([&](Controller& c) {
+        c.rented(kind, answer.machines, base::wall_seconds());
+        if (static_cast<int>(answer.machines.size()) < request.count) {
+          c.refused(kind, SteadyClock::now());
+        }
       });
-      return RentOutcome::kRented;
+      return RentalOutcome::kRented;
     case What::kNoCapacity:
-      spdlog::info("no capacity for {} {} in {}{}", r.count, r.kind.type, r.kind.zone, spot);
-      locked([&](Controller& c) { c.refused(r.kind, now()); });
-      return RentOutcome::kRefused;
+      spdlog::info("no capacity requested={} type={} zone={} spot={}", request.count, kind.type,
+                   kind.zone, kind.spot);
+      context_.controller.locked([&](Controller& c) { c.refused(kind, SteadyClock::now()); });
+      return RentalOutcome::kNoCapacity;
     case What::kUnknown:
-      open_rental_ = r;  // asked again under the same name: it rents nothing twice
-      return RentOutcome::kStop;
-    default:
-      return RentOutcome::kStop;  // out of service or over the rate: planned anew next time
+      open_request_ = request;
+      return RentalOutcome::kRetryLater;
+    case What::kRefused:
+      return RentalOutcome::kRetryLater;  // out of service or over the rate: planned again
   }
+  return RentalOutcome::kRetryLater;
 }
 
 }  // namespace saddleslip
