--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -3,32 +3,60 @@
 #include <algorithm>
 
 #include "base/log.h"
+#include "daemon/timeouts.h"
 #include "protocol/paths.h"
 
 namespace saddleslip {
 
-using base::JobId;
-using protocol::Transaction;
+using base::Seconds;
+using transport::Request;
+using transport::ServerLimits;
 
 namespace {
 
-using base::Seconds;
+// Between two reads of the store's changes on behalf of users.
+constexpr Seconds kMinBarrierInterval{0.04};
+// Changes take several times their size once they are parsed: an answer may have this share of the
+// process's memory.
+constexpr std::size_t kMemoryPerChanges = 32;
+constexpr int kMinServerThreads = 16;
+constexpr int kMaxServerThreads = 192;  // the process may have 2,000 threads in all
+constexpr int kMinUserRequests = 8;     // served at once
+constexpr int kCommandSenders = 8;
+constexpr std::size_t kMaxBody = 64u << 10;
+constexpr std::size_t kMaxPeerBody = 2u << 20;  // a status lists all machines of a controller
+constexpr int kPeerServerThreads = 16;
+constexpr int kMinPeerConnections = 16;
+
+std::size_t max_worker_connections(const base::Settings& settings) {
+  return static_cast<std::size_t>(std::max(4, settings.sockets / 8));
+}
+
+// Of the server for users, workers and probes.
+ServerLimits server_limits(const base::Settings& settings) {
+  const int configured = settings.tuning.max_connections;
+  const int connections = configured > 0 ? configured : settings.sockets * 3 / 4;
+  const int threads = std::clamp(connections / 8, kMinServerThreads, kMaxServerThreads);
+  // An eighth is kept for users and the load balancer's probes when all workers come to this one.
+  const int heartbeat_connections = std::max(1, connections - connections / 8);
+  return {connections, threads, kMaxBody, protocol::kHeartbeatPath, heartbeat_connections};
+}
+
+ServerLimits peer_server_limits(const base::Settings& settings) {
+  const int connections = std::max(kMinPeerConnections, settings.sockets / 20);
+  return {connections, kPeerServerThreads, kMaxPeerBody, "", 0};
+}
 
-constexpr Seconds kUserCall{1.2};     // users wait 2 s for a status
-constexpr Seconds kBarrierGap{0.04};  // between two looks at the store's changes for polls
-constexpr Seconds kStateCall{1.5};
-// An answer of changes that were missed takes several times its size once it is parsed.
-constexpr std::size_t kChangesShare = 32;
-constexpr int kMostThreads = 192;  // that serve requests; a process may have 2,000 in all
-constexpr int kSenders = 8;        // of direct orders
-constexpr std::size_t kMaxPeerBody = 2u << 20;  // a status lists all machines of a part
-
-base::Time now() {
-  return base::SteadyClock::now();
+int max_user_requests(const base::Settings& settings) {
+  return std::max(kMinUserRequests, server_limits(settings).threads * 3 / 4);
 }
 
-transport::Reply error(int status, const std::string& reason, int retry_after_s = 0) {
-  return {status, protocol::error_body(reason), retry_after_s};
+PeerSyncs make_peers(const DaemonContext& context) {
+  PeerSyncs peers;
+  for (const base::Peer& peer : context.settings.peers) {
+    peers.push_back(std::make_unique<PeerSync>(context, peer));
+  }
+  return peers;
 }
 
 }  // namespace
@@ -36,127 +64,76 @@
 Daemon::Daemon(base::Settings settings)
     : settings_(std::move(settings)),
       controller_(settings_),
-      state_(settings_.state, settings_.memory_bytes / kChangesShare),
-      users_store_(settings_.state),
+      state_(settings_.state, settings_.memory_bytes / kMemoryPerChanges),
+      users_state_(settings_.state),
       cloud_(settings_.cloud),
-      workers_(static_cast<std::size_t>(std::max(4, settings_.sockets / 8))),
+      workers_(max_worker_connections(settings_)),
       replicator_(context_, state_),
-      commands_(context_, workers_),
-      peer_requests_(context_),
+      read_barrier_({kMinBarrierInterval, kUserReadTimeout},
+                    [this] { return replicator_.catch_up(kUserReadTimeout); }),
+      peers_(make_peers(context_)),
       lease_renewer_(context_, state_, replicator_, peers_),
+      commands_(context_, workers_),
       scheduling_(context_, state_, replicator_, commands_, peers_),
       fleet_(context_, cloud_, replicator_),
-      users_(settings_, controller_.mutex(), controller_.controller(),
-             {[this] { return read_barrier_.wait(); },
-              [this](const std::string& key) { return users_store_.get(key, kUserCall); },
-              [this](const Transaction& txn) { return users_store_.commit(txn, kStateCall); },
-              [] { return base::wall_seconds(); }, [this] { wakeups_.scheduling.notify(); },
-              [this](const JobId& id) {
-                for (const auto& peer : peers_) peer->send_cancellation(id);
-              }}),
-      read_barrier_({kBarrierGap, kUserCall}, [this] { return replicator_.catch_up(kUserCall); }) {
-  for (const base::Peer& s : settings_.peers) {
-    peers_.push_back(std::make_unique<PeerSync>(context_, s));
-  }
+      users_(settings_, controller_.mutex(), controller_.controller(), users_store()),
+      routes_(context_, replicator_, users_, max_user_requests(settings_)),
+      peer_requests_(context_) {}
+
+Daemon::~Daemon() {
+  request_stop();
+  wait();
 }
 
-Daemon::~Daemon() = default;
+UserApi::Store Daemon::users_store() {
+  UserApi::Store store;
+  store.read_barrier = [this] { return read_barrier_.wait(); };
+  store.get = [this](const std::string& key) { return users_state_.get(key, kUserReadTimeout); };
+  store.commit = [this](const protocol::Transaction& txn) {
+    return users_state_.commit(txn, kCommitTimeout);
+  };
+  store.wall = [] { return base::wall_seconds(); };
+  store.changed = [this] { wakeups_.scheduling.notify(); };
+  store.cancelled = [this](const base::JobId& job) {
+    for (const auto& peer : peers_) peer->send_cancellation(job);
+  };
+  return store;
+}
 
 void Daemon::start() {
-  const int most = settings_.tuning.max_connections > 0 ? settings_.tuning.max_connections
-                                                        : settings_.sockets * 3 / 4;
-  // An eighth is kept for users and the load balancer's probes when all workers come to one node.
-  const int threads = std::clamp(most / 8, 16, kMostThreads);
-  most_asking_ = std::max(8, threads * 3 / 4);
+  start_servers();
+  start_loops();
+  spdlog::info("controller started member={} address={} peer_address={}", settings_.member.get(),
+               settings_.listen.str(), settings_.peer_listen.str());
+}
+
+void Daemon::start_servers() {
   server_ = std::make_unique<transport::HttpServer>(
-      settings_.listen,
-      transport::ServerLimits{most, threads, 64u << 10, protocol::kHeartbeatPath,
-                              std::max(1, most - most / 8)},
-      [this](const Request& r) { return serve(r); });
+      settings_.listen, server_limits(settings_),
+      [this](const Request& request) { return routes_.serve(request); });
   peer_server_ = std::make_unique<transport::HttpServer>(
-      settings_.peer_listen,
-      transport::ServerLimits{std::max(16, settings_.sockets / 20), 16, kMaxPeerBody, "", 0},
-      [this](const Request& r) { return peer_requests_.serve(r); });
-  threads_.emplace_back([this] { replicator_.run(stop_.get_token()); });
-  threads_.emplace_back([this] { lease_renewer_.run(stop_.get_token()); });
-  threads_.emplace_back([this] { scheduling_.run(stop_.get_token()); });
-  threads_.emplace_back([this] { fleet_.run(stop_.get_token()); });
-  for (int i = 0; i < kSenders; ++i)
-    threads_.emplace_back([this] { commands_.run(stop_.get_token()); });
-  for (auto& s : peers_) threads_.emplace_back([this, &s] { s->run(stop_.get_token()); });
-  spdlog::info("{} serves on {}, siblings on {}", settings_.member.get(), settings_.listen.str(),
-               settings_.peer_listen.str());
+      settings_.peer_listen, peer_server_limits(settings_),
+      [this](const Request& request) { return peer_requests_.serve(request); });
 }
 
-void Daemon::wait() {
-  for (auto& t : threads_) t.join();
+void Daemon::start_loops() {
+  start_loop(replicator_);
+  start_loop(lease_renewer_);
+  start_loop(scheduling_);
+  start_loop(fleet_);
+  for (int i = 0; i < kCommandSenders; ++i) start_loop(commands_);
+  for (const auto& peer : peers_) start_loop(*peer);
 }
 
-// --- users and workers
-
-Daemon::Reply Daemon::serve(const Request& req) {
-  if (req.path == protocol::kHeartbeatPath) {
-    return req.method == "POST" ? handle_heartbeat(req.body) : error(405, "wrong method");
-  }
-  if (req.path == protocol::kReadinessPath)
-    return req.method == "GET" ? ready() : error(405, "wrong method");
-  const bool admitted = asking_.fetch_add(1) < most_asking_;
-  Reply reply = admitted ? serve_user(req) : error(503, "too many requests are waiting", 1);
-  --asking_;
-  return reply;
+template <class Loop>
+void Daemon::start_loop(Loop& loop) {
+  threads_.emplace_back([&loop, stop = stop_.get_token()] { loop.run(stop); });
 }
 
-Daemon::Reply Daemon::serve_user(const Request& req) {
-  const auto wrong_method = [] { return error(405, "wrong method"); };
-  const std::string& submissions = protocol::kSubmissionsPath;
-  const std::string& cancel = protocol::kCancelSuffix;
-  if (req.path == submissions) {
-    return req.method == "POST" ? users_.submit(req.body, now()) : wrong_method();
-  }
-  if (req.path.compare(0, submissions.size() + 1, submissions + "/") == 0) {
-    std::string id = req.path.substr(submissions.size() + 1);
-    const bool is_cancellation =
-        id.size() > cancel.size() &&
-        id.compare(id.size() - cancel.size(), std::string::npos, cancel) == 0;
-    if (is_cancellation) id.resize(id.size() - cancel.size());
-    if (!protocol::valid_job_id(id)) return error(404, "no such job");
-    if (is_cancellation) {
-      return req.method == "POST" ? users_.cancel(JobId(id), now()) : wrong_method();
-    }
-    return req.method == "GET" ? users_.status(JobId(id)) : wrong_method();
+void Daemon::wait() {
+  for (std::jthread& thread : threads_) {
+    if (thread.joinable()) thread.join();
   }
-  return error(404, "no such path");
-}
-
-Daemon::Reply Daemon::ready() {
-  const Time t = now();
-  const bool ok = replicator_.is_loaded() && locked([&](coordination::Controller& c) {
-                    if (c.cache().catalogue().empty()) return false;
-                    // In an outage of the state service all are alike, and being passed over would
-                    // only outlast it. A node that alone is refused should be passed over.
-                    return c.has_lease(t) || (was_ready_ && !c.peers_have_state(t));
-                  });
-  if (ok) was_ready_ = true;
-  return ok ? Reply{200, protocol::kReadyBody, 0} : error(503, "not ready", 1);
-}
-
-Daemon::Reply Daemon::handle_heartbeat(const std::string& body) {
-  const auto heartbeat = protocol::parse_heartbeat(body);
-  if (!heartbeat) return error(400, "not a report");
-  bool news = false;
-  const auto reply = locked([&](coordination::Controller& c) {
-    auto r = c.handle_heartbeat(*heartbeat, now());
-    if (r.status == 200) {
-      news = std::any_of(heartbeat->tasks.begin(), heartbeat->tasks.end(), [](const auto& t) {
-        return std::any_of(t.second.begin(), t.second.end(),
-                           [](const auto& a) { return a.state == protocol::TaskState::kEnded; });
-      });
-      news = news || heartbeat->tasks.empty();
-    }
-    return r;
-  });
-  if (news) wakeups_.scheduling.notify();
-  return {reply.status, reply.body, 0};
 }
 
 }  // namespace saddleslip
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -1,21 +1,16 @@
-// Wiring: the threads of one controller process around its decisions.
+// One controller process: connects the loops, the routes and the decisions, and owns their threads.
 #pragma once
 
-#include <atomic>
-#include <condition_variable>
-#include <deque>
-#include <map>
 #include <memory>
-#include <mutex>
-#include <string>
+#include <stop_token>
 #include <thread>
 #include <vector>
 
 #include "api/user_api.h"
 #include "base/settings.h"
-#include "coordination/controller.h"
 #include "daemon/command_sender.h"
 #include "daemon/fleet_loop.h"
+#include "daemon/http_routes.h"
 #include "daemon/lease_renewer.h"
 #include "daemon/peer_request_handler.h"
 #include "daemon/peer_sync.h"
@@ -32,60 +27,52 @@
 class Daemon {
  public:
   explicit Daemon(base::Settings settings);
+  // Requests a stop and waits until all threads have ended.
   ~Daemon();
   Daemon(const Daemon&) = delete;
   Daemon& operator=(const Daemon&) = delete;
 
-  // Starts all threads; throws std::runtime_error when an address can't be had.
+  // Starts all threads. Throws std::runtime_error if an address cannot be listened on.
   void start();
-  // Blocks for ever.
+  // Asks all loops to end after the calls that they have under way. May be called from any thread.
+  void request_stop() { stop_.request_stop(); }
+  // Blocks until all loops have ended, which is after a stop was requested.
   void wait();
 
  private:
-  using Time = base::Time;
-  using Seconds = base::Seconds;
-  using Reply = transport::Reply;
-  using Request = transport::Request;
+  UserApi::Store users_store();
+  void start_servers();
+  void start_loops();
+  // Starts a thread that calls loop.run().
+  template <class Loop>
+  void start_loop(Loop& loop);
 
-  // Users
-  Reply serve(const Request& req);
-  Reply serve_user(const Request& req);
-  Reply ready();
-  Reply handle_heartbeat(const std::string& body);
-
-  template <class F>
-  auto locked(F f) {
-    return controller_.locked(f);
-  }
-
-  base::Settings settings_;
+  const base::Settings settings_;
   SharedController controller_;
   LoopWakeups wakeups_;
   const DaemonContext context_{settings_, controller_, wakeups_};
+
   protocol::StateClient state_;
-  protocol::StateClient users_store_;  // of its own: what users ask must not hold up rounds
+  protocol::StateClient users_state_;  // of its own, so that users do not hold up the rounds
   protocol::CloudClient cloud_;
   protocol::WorkerClient workers_;
+
   StateReplicator replicator_;
-  CommandSender commands_;
+  ReadBarrier read_barrier_;
   PeerSyncs peers_;
-  PeerRequestHandler peer_requests_;
   LeaseRenewer lease_renewer_;
+  CommandSender commands_;
   SchedulingLoop scheduling_;
   FleetLoop fleet_;
 
   UserApi users_;
-  std::atomic<bool> was_ready_{false};
-
-  ReadBarrier read_barrier_;
+  HttpRoutes routes_;
+  PeerRequestHandler peer_requests_;
+  // Destroyed before what they call.
+  std::unique_ptr<transport::HttpServer> server_;
+  std::unique_ptr<transport::HttpServer> peer_server_;
   std::stop_source stop_;
-
-  // Users' requests under way, most of which wait for the state service. While it is slow or silent
-  // they must not take all the threads that answer workers and probes.
-  std::atomic<int> asking_{0};
-  int most_asking_ = 8;
-  std::unique_ptr<transport::HttpServer> server_, peer_server_;
-  std::vector<std::thread> threads_;
+  std::vector<std::jthread> threads_;
 };
 
 }  // namespace saddleslip
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,3 +1,4 @@
+// The program's entry: command line, settings, and one daemon.
 #include <malloc.h>
 #include <pthread.h>
 
@@ -13,30 +14,43 @@
 
 namespace {
 
-// The process is small, and has a thread for each connection: the usual stacks and one arena of
-// memory for each thread would not fit.
-void stay_small() {
+namespace base = saddleslip::base;
+
+constexpr int kExitFailure = 1;
+constexpr int kExitUsage = 2;
+
+constexpr std::size_t kThreadStackBytes = 192u << 10;
+constexpr int kTrimThresholdBytes = 256 * 1024;  // free memory beyond this goes back to the system
+
+struct Options {
+  std::string settings_path;
+  std::optional<std::string> operators_path;
+  bool only_checks = false;  // reads the settings and ends
+};
+
+// The process has little memory and hundreds of threads: stacks of the usual size, and one arena of
+// the allocator for each thread, would not fit. Must be called before the first thread is started.
+void limit_memory() {
   mallopt(M_ARENA_MAX, 1);
-  mallopt(M_TRIM_THRESHOLD, 256 * 1024);
-  pthread_attr_t attr;
-  pthread_attr_init(&attr);
-  pthread_attr_setstacksize(&attr, 192u << 10);
-  pthread_setattr_default_np(&attr);
-  pthread_attr_destroy(&attr);
+  mallopt(M_TRIM_THRESHOLD, kTrimThresholdBytes);
+  pthread_attr_t attributes;
+  pthread_attr_init(&attributes);
+  pthread_attr_setstacksize(&attributes, kThreadStackBytes);
+  pthread_setattr_default_np(&attributes);
+  pthread_attr_destroy(&attributes);
 }
 
-}  // namespace
-
-int main(int argc, char** argv) {
+// Fills the options. Returns the exit status if the program is to end here: after a usage error, or
+// after help or the version was printed.
+std::optional<int> parse_command_line(int argc, char** argv, Options& options) {
   CLI::App app{"saddleslip, a cluster scheduler: runs one controller"};
   app.set_version_flag("--version", std::string("saddleslip ") + SADDLESLIP_VERSION);
-  std::string config;
-  std::optional<std::string> operators;
-  bool check = false;
-  app.add_option("--config", config, "the platform's settings file (JSON)")->required();
-  app.add_option("--operators", operators, "the operators' own settings (YAML)")
+  app.add_option("--config", options.settings_path, "the platform's settings file (JSON)")
+      ->required();
+  app.add_option("--operators", options.operators_path, "the operators' own settings (YAML)")
       ->envname("SADDLESLIP_OPERATORS");
-  app.add_flag("--check-config", check, "read the settings, say whether they are good, and end");
+  app.add_flag("--check-config", options.only_checks,
+               "read the settings, say whether they are good, and end");
   app.footer("LOG_LEVEL sets how much is logged to standard error: error, warn, info, debug.");
   try {
     app.parse(argc, argv);
@@ -44,26 +58,42 @@
     return app.exit(e);
   } catch (const CLI::ParseError& e) {
     std::fprintf(stderr, "saddleslip: %s\n", e.what());
-    return 2;
+    return kExitUsage;
   }
-  stay_small();
+  return {};
+}
+
+// Runs the controller, or only checks its settings. Throws if the settings are bad or an address
+// cannot be listened on.
+void run(const Options& options) {
+  auto settings = base::load_settings(options.settings_path, options.operators_path);
+  const auto caution = base::caution(settings);
+  if (caution && options.only_checks) throw base::BadSettings(*caution);
+  if (caution) spdlog::warn(*caution);
+  if (options.only_checks) {
+    std::printf("the settings of %s are good\n", settings.member.get().c_str());
+    return;
+  }
+  saddleslip::Daemon daemon(std::move(settings));
+  daemon.start();
+  // SIGTERM keeps its default action, which ends the process at once: all state that must outlast
+  // it is in the store, and the peers take over when its lease has expired.
+  daemon.wait();
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+  Options options;
+  if (const auto exit_status = parse_command_line(argc, argv, options)) return *exit_status;
+  limit_memory();
   std::signal(SIGPIPE, SIG_IGN);
-  saddleslip::base::init_log();
+  base::init_log();
   try {
-    auto settings = saddleslip::base::load_settings(config, operators);
-    const auto caution = saddleslip::base::caution(settings);
-    if (caution && check) throw saddleslip::base::BadSettings(*caution);
-    if (caution) spdlog::warn(*caution);
-    if (check) {
-      std::printf("the settings of %s are good\n", settings.member.get().c_str());
-      return 0;
-    }
-    saddleslip::Daemon node(std::move(settings));
-    node.start();
-    node.wait();
+    run(options);
   } catch (const std::exception& e) {
     std::fprintf(stderr, "saddleslip: %s\n", e.what());
-    return 1;
+    return kExitFailure;
   }
   return 0;
 }
--- a/tests/daemon_test.cpp
+++ b/tests/daemon_test.cpp
@@ -1,4 +1,6 @@
 // The daemon's building blocks: wake-up events, the write rate limiter and the read barrier.
+#include "daemon/daemon.h"
+
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -7,6 +9,7 @@
 #include <thread>
 #include <vector>
 
+#include "base/log.h"
 #include "daemon/read_barrier.h"
 #include "daemon/wakeup_event.h"
 #include "daemon/write_rate_limiter.h"
@@ -120,6 +123,20 @@
   EXPECT_EQ(counted.catch_ups(), 2);
 }
 
+// With a state service and a peer that refuse connections: port 1 is not listened on.
+TEST(Daemon, StopRequestedAllThreadsEnd) {
+  spdlog::set_level(spdlog::level::off);
+  base::Settings settings;
+  settings.member = base::MemberId("m-0");
+  settings.listen = settings.peer_listen = {"127.0.0.1", 0};
+  settings.state = settings.cloud = {"127.0.0.1", 1};
+  settings.peers.push_back({base::MemberId("m-1"), "z", {"127.0.0.1", 1}});
+  Daemon daemon(settings);
+  daemon.start();
+  daemon.request_stop();
+  daemon.wait();
+}
+
 }  // namespace
 
 }  // namespace saddleslip
