--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -84,7 +84,7 @@
 }  // namespace
 
 // To rent for tasks that may have capacity on machines not yet heard of would pay for it twice.
-TEST_F(AutoscalerTest, PlanRentsOnlyOnceAllPartitionsAreKnown) {
+TEST_F(AutoscalerTest, SomePartitionUnknown_NothingIsRented) {
   add_service();
   EXPECT_TRUE(plan().plan.scale_out.empty());
   advance(60);
@@ -96,7 +96,7 @@
   EXPECT_EQ(actions.plan.scale_out[0].kind.type, "small");
 }
 
-TEST_F(AutoscalerTest, PlanCountsOnRentedMachinesUntilTheyReport) {
+TEST_F(AutoscalerTest, MachineIsBooting_IsCountedOn) {
   add_service();
   advance(60);
   autoscaler_.record_rented({"small", "a", false}, {kMine}, fleet_.wall_now);
@@ -104,7 +104,7 @@
   EXPECT_EQ(autoscaler_.booting_record().writes.at(0).key, protocol::kFleetKey);
 }
 
-TEST_F(AutoscalerTest, PlanRentsNothingOfAKindThatIsOutOfCapacity) {
+TEST_F(AutoscalerTest, KindOutOfCapacity_IsNotRentedUntilTheBackoffEnds) {
   add_service();
   advance(60);
   autoscaler_.record_out_of_capacity({"small", "a", false}, fleet_.now);
@@ -114,7 +114,7 @@
 }
 
 // Each owner cordons its own machines: this member at once, the other with its next status.
-TEST_F(AutoscalerTest, PlanAsksTheOwnersToCordonIdleMachines) {
+TEST_F(AutoscalerTest, IdleMachines_TheirOwnersAreAskedToCordonThem) {
   advance(60);
   const MachineStatus mine = idle(kMine), theirs = idle(kTheirs);
   fleet_.partitions = {{kSelf, {&mine}}, {kOther, {&theirs}}};
@@ -122,11 +122,11 @@
   EXPECT_EQ(autoscaler_.take_requests(kOther).cordon, std::vector{kTheirs});
 }
 
-TEST_F(AutoscalerTest, PlanReleasesWhatOwnersAskForAlsoBeforeItRents) {
+TEST_F(AutoscalerTest, OwnerAsksForARelease_IsDoneAlsoBeforeRenting) {
   EXPECT_EQ(plan({{kTheirs}, {}}).release, std::vector{kTheirs});
 }
 
-TEST_F(AutoscalerTest, PlanReleasesAFailedMachineOfTheListUntilItIsReleased) {
+TEST_F(AutoscalerTest, FailedMachineIsListed_IsToBeReleasedUntilItIs) {
   const CloudMachine failed{kMine, "small", "a", false, protocol::CloudState::kFailed, Seconds(5)};
   autoscaler_.review_list({failed}, fleet_);
   EXPECT_EQ(plan().release, std::vector{kMine});
@@ -134,7 +134,7 @@
   EXPECT_TRUE(plan().release.empty());
 }
 
-TEST_F(AutoscalerTest, ListReviewCountsOnMachinesThatBoot) {
+TEST_F(AutoscalerTest, BootingMachineIsListed_IsCountedOn) {
   add_service();
   advance(60);
   autoscaler_.review_list(
--- a/tests/fleet_demand_test.cpp
+++ b/tests/fleet_demand_test.cpp
@@ -60,7 +60,7 @@
 
 }  // namespace
 
-TEST_F(FleetDemand, WaitingTasksOfACrashLoopingJobNeedNoCapacity) {
+TEST_F(FleetDemand, CrashLoopingJob_NeedsNoCapacity) {
   add(job("run-000001", Kind::kService, 3), now_);
   ASSERT_EQ(waiting().size(), 1u);
   EXPECT_EQ(waiting()[0].count, 3u);
@@ -68,7 +68,7 @@
 }
 
 // The quota of the team is shared by its jobs, in the order of their ids.
-TEST_F(FleetDemand, WaitingTasksCountWithinTheQuotaOfTheirTeam) {
+TEST_F(FleetDemand, TeamWithAQuota_WaitingTasksCountWithinIt) {
   JobRecord first = job("run-000001", Kind::kService, 2);
   JobRecord second = job("run-000002", Kind::kService, 2);
   JobRecord third = job("run-000003", Kind::kService, 2);
@@ -83,7 +83,7 @@
 }
 
 // What may run one after the other until the deadline needs no machines side by side.
-TEST_F(FleetDemand, WaitingTasksOfAnArrayCountAsFarAsItsDeadlineNeeds) {
+TEST_F(FleetDemand, ArrayWithADeadline_NeedsCapacityAsFarAsItIsDue) {
   JobRecord array = job("run-000001", Kind::kArray, 30);
   array.spec.deadline = Seconds(1000);
   add(array, now_);
@@ -94,11 +94,11 @@
   EXPECT_EQ(waiting()[0].count, 30u);
 }
 
-TEST_F(FleetDemand, ShortestBootTimeIsThatOfTheFastestType) {
+TEST_F(FleetDemand, ShortestBootTime_IsThatOfTheFastestType) {
   EXPECT_EQ(DemandEstimator(settings_, cache_, priorities_).shortest_boot_time(), Seconds(10));
 }
 
-TEST_F(FleetDemand, ExpectedServicesFollowTheirRecentArrivals) {
+TEST_F(FleetDemand, ServicesArriveSteadily_ExpectedOnesFollowTheRecentRate) {
   ServiceArrivals arrivals;
   const ServiceArrivals::Forecast forecast{now_, Seconds(10), 0.5};
   add(job("run-000001", Kind::kService, 50), now_);
--- a/tests/fleet_machines_test.cpp
+++ b/tests/fleet_machines_test.cpp
@@ -47,7 +47,7 @@
 
 }  // namespace
 
-TEST(CapacityBackoff, DoublesWithEachRefusalInARowUpToABound) {
+TEST(CapacityBackoff, RefusalsInARow_DoubleTheWaitUpToABound) {
   CapacityBackoff backoff;
   const Time now = base::after(Time{}, Seconds(500));
   for (const double wait : {8.0, 16.0, 32.0, 64.0, 64.0}) {
@@ -59,7 +59,7 @@
   EXPECT_EQ(backoff.retry_at().at(kKind), base::after(now, Seconds(8)));
 }
 
-TEST(MemberRequests, AreTakenOnceByTheMemberThatTheyAreFor) {
+TEST(MemberRequests, TakenByTheirMember_AreGivenOnce) {
   MemberRequests requests;
   requests.add_cordon(kOther, kFirst);
   requests.add_drain(kOther, kSecond);
@@ -71,7 +71,7 @@
   EXPECT_TRUE(requests.take(kOther).drain.empty());
 }
 
-TEST_F(FleetMachines, BootingEndsWithTheFirstReportOrTheRelease) {
+TEST_F(FleetMachines, BootingMachineReportsOrIsReleased_IsForgotten) {
   booting_.add(kFirst, kKind, fleet_.wall_now);
   booting_.add(kSecond, kKind, fleet_.wall_now);
   EXPECT_EQ(likely(), 2u);
@@ -83,7 +83,7 @@
   EXPECT_TRUE(booting_.all().empty());
 }
 
-TEST_F(FleetMachines, BootingForTooLongIsFirstNotCountedOnThenReleased) {
+TEST_F(FleetMachines, BootingForTooLong_IsNotCountedOnThenReleased) {
   booting_.add(kFirst, kKind, fleet_.wall_now);
   advance(70);
   EXPECT_EQ(likely(), 0u);
@@ -93,7 +93,7 @@
   EXPECT_TRUE(booting_.all().empty());
 }
 
-TEST_F(FleetMachines, BootingRentalsOfOthersAreAdoptedWhileTheyMayComeUp) {
+TEST_F(FleetMachines, RentalOfAnotherIncarnation_IsAdoptedWhileItMayComeUp) {
   CloudMachine machine{kFirst, "small", "a", true, protocol::CloudState::kStarting, Seconds(20)};
   EXPECT_TRUE(booting_.adopt(machine, fleet_.wall_now));
   ASSERT_EQ(booting_.all().size(), 1u);
@@ -104,7 +104,7 @@
   EXPECT_FALSE(booting_.adopt(machine, fleet_.wall_now));
 }
 
-TEST_F(FleetMachines, ReleaseOfAMachineThatReportsElsewhereIsNotDue) {
+TEST_F(FleetMachines, MachineReportsElsewhere_IsReleasedOnlyIfItsConnectionIsHalfOpen) {
   const ReleaseRequests requests{{kFirst, kSecond}, {kFirst}};
   EXPECT_EQ(releases_.due(requests, fleet_), std::vector{kSecond});
   // Its owner hears it and is not heard: the connection is half-open.
@@ -114,7 +114,7 @@
   EXPECT_EQ(releases_.due(requests, fleet_), std::vector{kFirst});
 }
 
-TEST_F(FleetMachines, ReleaseOfAnUnheardMachineIsDueAfterTheLimitUnderOneView) {
+TEST_F(FleetMachines, MachineUnheardUnderOneViewForTheLimit_IsReleased) {
   const auto is_due = [&] { return !releases_.due({}, fleet_).empty(); };
   releases_.record_unheard(kFirst, fleet_, Seconds(50));
   advance(40);
@@ -129,7 +129,7 @@
   EXPECT_FALSE(is_due());
 }
 
-TEST_F(FleetMachines, ReleaseStartsAnewForAMachineThatReportedOrLeftTheList) {
+TEST_F(FleetMachines, MachineReportedOrLeftTheList_LimitStartsAnew) {
   releases_.record_unheard(kFirst, fleet_, Seconds(50));
   releases_.record_unheard(kSecond, fleet_, Seconds(50));
   releases_.record_reporting(kFirst);
--- a/tests/record_upkeep_test.cpp
+++ b/tests/record_upkeep_test.cpp
@@ -70,7 +70,7 @@
 
 }  // namespace
 
-TEST_F(RecordUpkeep, FinalizationOfADoneJobReplacesItsRecordByItsFinalState) {
+TEST_F(RecordUpkeep, DoneJob_IsReplacedByItsFinalState) {
   add_job(job_, 2);
   add_tasks(job_, {true, true});
   const auto txn = finalize();
@@ -83,14 +83,14 @@
   EXPECT_EQ(cache_.final_state(job_)->at, 1000);
 }
 
-TEST_F(RecordUpkeep, FinalizationWaitsWhileATaskIsNotOver) {
+TEST_F(RecordUpkeep, JobWithATaskLeft_IsNotFinalized) {
   add_job(job_, 2);
   add_tasks(job_, {true, false});
   EXPECT_FALSE(finalize());
 }
 
 // Tasks on a machine count for the team's quota, also those of a cancelled job.
-TEST_F(RecordUpkeep, FinalizationOfACancelledJobWaitsForItsAssignments) {
+TEST_F(RecordUpkeep, CancelledJobOnAMachine_IsFinalizedOnceItsAssignmentsEnd) {
   add_job(job_, 2, true);
   add_tasks(job_, {false, false}, {{0, assignment_}});
   EXPECT_FALSE(finalize());
@@ -101,13 +101,13 @@
   EXPECT_EQ(cache_.final_state(job_)->status, JobStatus::kCancelled);
 }
 
-TEST_F(RecordUpkeep, OfAJobWithAnotherHomeNothingIsDone) {
+TEST_F(RecordUpkeep, JobWithAnotherHome_IsNotFinalized) {
   add_job(job_, 1);
   add_tasks(job_, {true});
   EXPECT_FALSE(finalize_one_job(cache_, other_, settings_, 1000));
 }
 
-TEST_F(RecordUpkeep, SplittingNamesThePiecesThatFitIntoAValue) {
+TEST_F(RecordUpkeep, RecordsLargerThanAValue_AreSplitIntoPiecesThatFit) {
   settings_.value_bytes = 4096;
   add_job(job_, 200);
   EXPECT_FALSE(split());  // some controller may not read pieces
@@ -122,7 +122,7 @@
   EXPECT_FALSE(split());
 }
 
-TEST_F(RecordUpkeep, SplittingLeavesRecordsThatFitAndCancelledJobs) {
+TEST_F(RecordUpkeep, RecordsThatFitOrAreOfCancelledJobs_AreNotSplit) {
   settings_.value_bytes = 4096;
   announce_format(protocol::kFormatWithPieces);
   add_job(job_, 4);
@@ -130,7 +130,7 @@
   EXPECT_FALSE(split());
 }
 
-TEST_F(RecordUpkeep, GarbageCollectionRemovesRecordsOfNoJobAsManyAsATransactionHolds) {
+TEST_F(RecordUpkeep, OrphanedRecords_AreRemovedAsManyAsATransactionHolds) {
   settings_.txn_ops = 2;
   for (const char* id : {"run-000001", "run-000002", "run-000003"}) add_tasks(JobId(id), {true});
   EXPECT_FALSE(collect_garbage(cache_, other_, settings_));
