--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -9,13 +9,7 @@
 
 namespace {
 
-constexpr Seconds kPauseDetected{2.5};   // without a report, a round or a status
-constexpr Seconds kReleasedKept{600.0};  // late reports and old lists may still name the machine
-
-constexpr double kFencingTokenRenewal =
-    0.5;  // of a lease: workers report a new token this often at most
-// A machine that hears no answer goes from node to node, and comes by within this.
-constexpr Seconds kHalfOpenRound{20.0};
+constexpr Seconds kPauseDetected{2.5};             // without a report, a round or a status
 constexpr std::size_t kMaxCrashLoopingJobs = 256;  // named in one status
 constexpr std::size_t kMostOwners = 20000;         // remembered; more are worked out anew
 
@@ -114,25 +108,9 @@
   installed_view_ = version;
   base_fencing_token_ = base;
   view_installed_at_ = now;
-  std::erase_if(machines_, [&](const auto& m) {
-    if (owns(m.first)) return false;
-    status_revisions_.machine_left(m.first);
-    return true;
-  });
+  machines_.install_view({base, now, in_a_row}, [this](const MachineId& id) { return owns(id); });
   std::erase_if(owned_since_, [&](const auto& m) { return !in_a_row || !owns(m.first); });
-  // What was never started here may have been started by another owner meanwhile: one that did not
-  // know that the task was to be stopped. Kept, it let a task start while it ran on its machine.
-  absent_.clear();
-  for (auto& [id, m] : machines_) {
-    m.fencing_token = base;
-    m.fence_floor = base;
-    // It has heard this process before: only what is lost from now on counts against it.
-    m.confirmation_token = m.is_confirmed() && in_a_row ? FencingToken(0) : base;
-    m.last_sent_token = FencingToken(0);
-    if (!in_a_row)
-      m.last_answered_at =
-          std::max(m.last_answered_at, base::after(now, settings_.tuning.member_ttl));
-  }
+  attempts_.forget_never_started();
   std::map<MachineId, std::pair<MemberId, Time>> overridden;
   for (const auto& [id, member] : cache_.view()->overrides) {
     const auto before = override_since_.find(id);
@@ -308,182 +286,21 @@
   }
   if (!has_authority(now)) return {503, protocol::error_body("not entitled to act now")};
   if (released_.contains(heartbeat.machine)) return {503, protocol::error_body("released")};
-  record_heartbeat(heartbeat, now, true);
-  const auto at = machines_.find(heartbeat.machine);
-  // A late copy: what came after it has been answered already, and the worker drops this answer.
-  if (at == machines_.end() || at->second.last_heartbeat.sequence != heartbeat.sequence ||
-      at->second.last_heartbeat.agent_incarnation != heartbeat.agent_incarnation) {
-    return {503, protocol::error_body("an old report")};
-  }
-  Machine& m = at->second;
-  m.last_answered_at = now;
-  // A token that never changes would not tell whether answers arrive.
-  if (base::between(m.fencing_token_since, now) > settings_.worker_lease * kFencingTokenRenewal) {
-    m.fencing_token = FencingToken(m.fencing_token.get() + 1);
-    m.fencing_token_since = now;
-  }
-  m.last_sent_token = m.fencing_token;
-  return {200, protocol::heartbeat_response(m.fencing_token, reconcile(m))};
+  record_heartbeat(heartbeat, HeartbeatSource::kAgent, now);
+  auto response = machines_.respond(heartbeat, now);
+  if (!response) return {503, protocol::error_body("an old report")};
+  return {200, std::move(*response)};
 }
 
 void Controller::handle_command_reply(const MachineId& machine,
                                       const std::optional<Heartbeat>& heartbeat, Time now) {
   if (!heartbeat || heartbeat->machine != machine || !owns(machine)) return;
-  record_heartbeat(*heartbeat, now, false);
+  record_heartbeat(*heartbeat, HeartbeatSource::kCommandReply, now);
 }
 
-void Controller::record_heartbeat(const Heartbeat& heartbeat, Time now, bool renews_lease) {
-  if (released_.contains(heartbeat.machine)) return;
-  const auto ended = ended_incarnations_.find(heartbeat.machine);
-  if (ended != ended_incarnations_.end() && heartbeat.agent_incarnation <= ended->second) return;
-  zones_[heartbeat.machine] = heartbeat.zone;
-  auto [at, is_new] = machines_.try_emplace(heartbeat.machine);
-  Machine& m = at->second;
-  if (is_new) {
-    status_revisions_.machine_joined(heartbeat.machine);
-    m.idle_since = now;
-    m.fencing_token = base_fencing_token_;
-    m.fence_floor = base_fencing_token_;
-    m.confirmation_token = base_fencing_token_;
-    m.last_answered_at = base::after(view_installed_at_, settings_.tuning.member_ttl);
-    spdlog::info("machine {} ({}, {}{}) reports, session {}, {} tasks", heartbeat.machine.get(),
-                 heartbeat.type, heartbeat.zone, heartbeat.spot ? ", spot" : "",
-                 heartbeat.agent_incarnation.get(), heartbeat.tasks.size());
-  } else if (std::pair(heartbeat.agent_incarnation, heartbeat.sequence) <=
-             std::pair(m.last_heartbeat.agent_incarnation, m.last_heartbeat.sequence)) {
-    return;
-  } else if (heartbeat.agent_incarnation != m.last_heartbeat.agent_incarnation) {
-    spdlog::info("machine {} begins session {}: what it ran before is over",
-                 heartbeat.machine.get(), heartbeat.agent_incarnation.get());
-    m.evict.clear();
-    m.ran.clear();
-    // A machine that heard nothing for a lease looks like an empty one that is well.
-    m.fencing_token = FencingToken(m.fencing_token.get() + 1);
-    m.fencing_token_since = now;
-    m.confirmation_token = m.fencing_token;
-  }
-  if (renews_lease && m.last_sent_token.get() != 0) {
-    if (heartbeat.fencing_token < m.last_sent_token) {
-      ++m.unacknowledged_replies;
-      if (!m.half_open_since) m.half_open_since = now;
-      if (m.unacknowledged_replies == 2) {
-        spdlog::info("machine {} reports, and answers do not reach it", heartbeat.machine.get());
-      }
-    } else {
-      m.unacknowledged_replies = 0;
-      m.half_open_since.reset();
-    }
-  }
-  m.last_heartbeat = heartbeat;
-  // An order that is answered does not renew the machine's lease: one that opens no connections to any
-  // controller is about to lose all that is on it, however well it answers.
-  if (renews_lease || is_new) m.last_heartbeat_at = now;
-  m.commands_lost = false;
-  if (heartbeat.notice && !m.taken_at) {
-    m.taken_at = base::after(now, *heartbeat.notice);
-    m.cordoned = true;
-    spdlog::info("machine {} will be taken in {:.1f} s", heartbeat.machine.get(),
-                 heartbeat.notice->count());
-  }
-  std::map<TaskId, Time> ran;
-  const auto* type = cache_.type(heartbeat.type);
-  m.pulling.clear();
-  bool busy = !cache_.assignments_on(heartbeat.machine).empty();
-  for (const auto& [task, attempts] : heartbeat.tasks) {
-    for (const auto& t : attempts) {
-      if (t.state != protocol::TaskState::kEnded) busy = true;
-      if (const Job* job = cache_.job(task.job); job && type) {
-        const auto& spec = job->record.spec;
-        if (t.state == protocol::TaskState::kPulling) {
-          m.pulling.insert(spec.image);
-        } else if (t.state == protocol::TaskState::kRunning || t.cause == protocol::Cause::kDone) {
-          m.used_image(spec.image, spec.image_gb, type->cache_gb);
-        }
-      }
-      if (t.state == protocol::TaskState::kRunning) {
-        const auto before = m.ran.find(task);
-        ran[task] = before == m.ran.end() ? now : before->second;
-        if (before == m.ran.end()) {
-          spdlog::debug("{}/{} runs on {}", task.job.get(), task.no, heartbeat.machine.get());
-        }
-      }
-    }
-  }
-  for (const auto& [task, since] : m.ran) {
-    if (!ran.contains(task)) m.ran_before[task] = base::between(since, now);
-  }
-  std::erase_if(m.ran_before, [&](const auto& r) { return !heartbeat.tasks.contains(r.first); });
-  m.ran = std::move(ran);
-  if (busy) m.idle_since = now;
-  std::erase_if(m.evict, [&](const TaskId& t) {
-    return !cache_.assignments_on(heartbeat.machine).contains(t);
-  });
-  // A start that the worker hasn't heard of can't reach it any more: every answer that carried it
-  // was taken or dropped before this report was sent, and direct orders are fenced by the token.
-  if (renews_lease && m.is_fenced()) {
-    for (const auto& [task, assignment] : cache_.assignments_on(heartbeat.machine)) {
-      const Job* job = cache_.job(task.job);
-      // Nor is it started any more: not wanted, or stopped before it began. Without this the latter
-      // would be held for ever by a machine that has never heard of it.
-      const bool unwanted = job && (job->cancelled() || m.evict.contains(task));
-      if (unwanted && assignment.agent_incarnation == heartbeat.agent_incarnation &&
-          !heartbeat.tasks.contains(task)) {
-        absent_[task] = assignment.attempt;
-      }
-    }
-  }
-}
-
-std::vector<Command> Controller::stops_for(const Machine& m) const {
-  std::vector<Command> out;
-  const auto& assignment = cache_.assignments_on(m.last_heartbeat.machine);
-  for (const auto& [task, attempts] : m.last_heartbeat.tasks) {
-    const auto h = assignment.find(task);
-    const Job* job = cache_.job(task.job);
-    for (const auto& t : attempts) {
-      if (t.state == protocol::TaskState::kEnded) continue;
-      const bool ours = h != assignment.end() && h->second.attempt == t.attempt;
-      const bool wanted = ours && job && !job->cancelled() && !m.evict.contains(task);
-      if (wanted) continue;
-      const bool save = ours && job && !job->cancelled() && job->record.spec.checkpoint.count() > 0;
-      if (t.state == protocol::TaskState::kSaving && save) continue;
-      out.push_back({Command::Op::kKill, task, t.attempt,
-                     save ? job->record.spec.save + Seconds(1.0) : Seconds(0)});
-    }
-  }
-  return out;
-}
-
-std::vector<Command> Controller::reconcile(const Machine& m) const {
-  std::vector<Command> out;
-  if (capacity(m).stops) out = stops_for(m);
-  const auto& assignment = cache_.assignments_on(m.last_heartbeat.machine);
-  if (m.is_fenced()) {
-    for (const auto& [task, attempts] : m.last_heartbeat.tasks) {
-      const auto h = assignment.find(task);
-      for (const auto& t : attempts) {
-        // Forgotten only once its end is on record and no copy of its start can arrive any more:
-        // the worker would run it again.
-        const bool ours = h != assignment.end() && h->second.attempt == t.attempt;
-        if (t.state == protocol::TaskState::kEnded && !ours) {
-          out.push_back({Command::Op::kForget, task, t.attempt, {}});
-        }
-      }
-    }
-  }
-  for (const auto& [task, h] : assignment) {
-    if (h.agent_incarnation != m.last_heartbeat.agent_incarnation || m.evict.contains(task))
-      continue;
-    const Job* job = cache_.job(task.job);
-    if (!job || job->cancelled()) continue;
-    const base::Attempt attempt = h.attempt;
-    const auto reported_attempt = m.last_heartbeat.tasks.find(task);
-    const bool known = reported_attempt != m.last_heartbeat.tasks.end() &&
-                       std::any_of(reported_attempt->second.begin(), reported_attempt->second.end(),
-                                   [&](const auto& t) { return t.attempt == attempt; });
-    if (!known) out.push_back({Command::Op::kRun, task, attempt, {}});
-  }
-  return out;
+void Controller::record_heartbeat(const Heartbeat& heartbeat, HeartbeatSource source, Time now) {
+  const Machine* machine = machines_.record_heartbeat(heartbeat, source, now);
+  if (machine && source == HeartbeatSource::kAgent) attempts_.note_heartbeat(*machine);
 }
 
 bool Controller::drop_stale_commands(CommandBatch& order, Time now) const {
@@ -495,171 +312,26 @@
   return !order.commands.empty();
 }
 
-void Controller::commands_lost(const MachineId& machine) {
-  if (const auto at = machines_.find(machine); at != machines_.end())
-    at->second.commands_lost = true;
-}
-
 void Controller::mark_released(const std::vector<MachineId>& machines, Time now) {
   for (const MachineId& id : machines) {
-    if (!released_.emplace(id, now).second) continue;
-    if (machines_.erase(id) > 0) status_revisions_.machine_left(id);
+    if (!machines_.mark_released(id, now)) continue;
     unheard_owned_at_ = Time{};  // its tasks are over: at once
     silent_machines_.erase(id);
-    zones_.erase(id);
     failures_.forget_machine(id);
-    spdlog::info("machine {} is gone (the cloud's word)", id.get());
   }
-  std::erase_if(released_, [&](const auto& g) {
-    return base::between(g.second, now) > kReleasedKept && !cache_.assigned().contains(g.first);
-  });
+  machines_.expire_released(now);
 }
 
 void Controller::cordon_idle(const std::vector<MachineId>& machines) {
-  for (const MachineId& id : machines) {
-    const auto at = machines_.find(id);
-    if (at == machines_.end() || at->second.cordoned || !cache_.assignments_on(id).empty())
-      continue;
-    at->second.cordoned = true;
-    spdlog::info("machine {} is idle: closed", id.get());
-  }
+  for (const MachineId& id : machines) machines_.cordon_if_idle(id);
 }
 
 void Controller::drain(const std::vector<MachineId>& machines) {
-  for (const MachineId& id : machines) {
-    const auto at = machines_.find(id);
-    if (at == machines_.end() || at->second.cordoned) continue;
-    at->second.cordoned = true;
-    at->second.draining = true;
-    spdlog::info("machine {} is half empty: its services move elsewhere", id.get());
-  }
+  for (const MachineId& id : machines) machines_.drain(id);
 }
 
 // --- siblings
 
-bool Controller::is_schedulable(const Machine& m, Time now) const {
-  return m.is_confirmed() && !m.is_half_open() && has_recent_heartbeat(m, now);
-}
-
-bool Controller::has_recent_heartbeat(const Machine& m, Time now) const {
-  return base::between(m.last_heartbeat_at, now) < settings_.heartbeat_interval * 2.5;
-}
-
-const storage::MachineCapacity& Controller::capacity(const Machine& m) const {
-  storage::MachineCapacity& o = m.capacity;
-  const bool same = o.known && o.agent_incarnation == m.last_heartbeat.agent_incarnation &&
-                    o.sequence == m.last_heartbeat.sequence && o.evicted == m.evict.size();
-  if (same && o.checked == cache_.last_stamp()) return o;
-  const std::uint64_t stamp = cache_.stamp(m.last_heartbeat.machine);
-  if (same && o.stamp == stamp) {
-    o.checked = cache_.last_stamp();
-    return o;
-  }
-  o = {};
-  o.checked = cache_.last_stamp();
-  const auto* type = cache_.type(m.last_heartbeat.type);
-  o.known = type != nullptr;
-  o.stamp = stamp;
-  o.agent_incarnation = m.last_heartbeat.agent_incarnation;
-  o.sequence = m.last_heartbeat.sequence;
-  o.evicted = m.evict.size();
-  if (type) o.free = type->size;
-  const auto& assignment = cache_.assignments_on(m.last_heartbeat.machine);
-  o.assigned = static_cast<std::uint32_t>(assignment.size());
-  for (const auto& [task, h] : assignment) {
-    const Job* job = cache_.job(task.job);
-    if (!job) continue;
-    const auto& spec = job->record.spec;
-    if (h.agent_incarnation < m.last_heartbeat.agent_incarnation) {
-      o.ended_attempts.push_back({task, "worker began a new session", false});
-    } else if (const auto* t = reported_attempt(m, task, h);
-               t && t->state == protocol::TaskState::kEnded) {
-      o.ended_attempts.push_back(
-          {task, protocol::to_string(t->cause),
-           t->cause == protocol::Cause::kDone && spec.kind != protocol::Kind::kService});
-    } else {
-      const auto absent = absent_.find(task);
-      if (!t && absent != absent_.end() && absent->second == h.attempt) {
-        o.ended_attempts.push_back({task, "never started", false});
-      }
-      o.free -= spec.request;
-      if (priorities_.rank(*job) >= protocol::Rank::kStandard && !m.evict.contains(task))
-        o.preemptible += spec.request;
-    }
-  }
-  bool strange = false;
-  for (const auto& [task, attempts] : m.last_heartbeat.tasks) {
-    const auto h = assignment.find(task);
-    for (const auto& t : attempts) {
-      if (t.state == protocol::TaskState::kEnded) continue;
-      o.active = true;
-      if (h != assignment.end() && h->second.attempt == t.attempt) continue;
-      const Job* job = cache_.job(task.job);
-      strange = strange || !job;
-      if (job) o.free -= job->record.spec.request;
-    }
-  }
-  for (double& x : o.free.v) x = std::max(x, 0.0);
-  if (strange) o.free = {};  // it is being stopped, and nobody knows how much it takes
-  o.stops = !stops_for(m).empty();
-  return o;
-}
-
-// What is told of a machine is made anew only when something it is made of has changed: at hundreds
-// of machines, copying all of it in each round and for each sibling took most of the processor.
-void Controller::update_status(Machine& m, Time now) {
-  const storage::MachineCapacity& o = capacity(m);
-  MachineStatus& r = m.status;
-  const bool silent = !is_schedulable(m, now);
-  const bool soon =
-      !m.cordoned && !m.is_confirmed() && !m.is_half_open() && has_recent_heartbeat(m, now);
-  const bool unsure =
-      m.unacknowledged_replies > 0 && base::between(m.last_heartbeat_at, now) < kHalfOpenRound;
-  const bool open = !m.cordoned && !silent;
-  const Time idle = o.assigned > 0 ? Time{} : m.idle_since;
-  const std::pair heartbeat(m.last_heartbeat.agent_incarnation, m.last_heartbeat.sequence);
-  const bool is_new = m.status_changed_at == 0;
-  // A report later than any that is well: no reason yet to leave the machine alone, but with its
-  // knocks elsewhere a sign that it can't reach this node.
-  const bool late =
-      base::between(m.last_heartbeat_at, now) > settings_.heartbeat_interval * storage::kOverdue;
-  if (!is_new && r.silent == silent && r.late == late && r.soon == soon && r.unsure == unsure &&
-      r.open == open && r.idle_since == idle && r.tasks == o.assigned && r.free == o.free &&
-      r.preemptible == o.preemptible &&
-      (m.status_heartbeat == heartbeat ||
-       std::equal(r.images.begin(), r.images.end(), m.images.begin(), m.images.end(),
-                  [](const std::string& a, const auto& b) { return a == b.first; }))) {
-    m.status_heartbeat = heartbeat;
-    return;
-  }
-  if (is_new) {
-    r.id = m.last_heartbeat.machine;
-    r.type = m.last_heartbeat.type;
-    r.zone = m.last_heartbeat.zone;
-    r.spot = m.last_heartbeat.spot;
-  }
-  r.silent = silent;
-  r.late = late;
-  r.soon = soon;
-  r.unsure = unsure;
-  r.open = open;
-  r.free = o.free;
-  r.preemptible = o.preemptible;
-  r.tasks = o.assigned;
-  r.idle_since = idle;
-  if (is_new || m.status_heartbeat != heartbeat) {
-    r.images.clear();
-    for (const auto& [image, gb] : m.images) r.images.push_back(image);
-    m.status_heartbeat = heartbeat;
-  }
-  m.status_changed_at = status_revisions_.advance();
-}
-
-std::string Controller::zone_of(const MachineId& machine) const {
-  const auto it = zones_.find(machine);
-  return it == zones_.end() ? std::string() : it->second;
-}
-
 std::vector<MachineId> Controller::release_requests() const {
   std::vector<MachineId> out;
   for (const auto& [id, m] : machines_) {
@@ -677,14 +349,7 @@
   MemberStatus s;
   s.from = self_;
   s.has_state = has_lease(now);
-  s.since = status_revisions_.acknowledged(to);
-  for (auto& [id, m] : machines_) {
-    update_status(m, now);
-    if (m.status_changed_at > s.since) s.machines.push_back(m.status);
-  }
-  s.left = status_revisions_.left_since(s.since);
-  s.upto = status_revisions_.current();
-  status_revisions_.forget_acknowledged(settings_.peers);
+  machines_.add_changes(to, now, s);
   s.release_requested = release_requests();
   s.misdirected = misdirected(now);
   s.contact = worker_contact(now);
@@ -702,7 +367,7 @@
     return out;
   }
   for (const MachineStatus& m : status.machines) {
-    if (!released_.contains(m.id)) zones_[m.id] = m.zone;
+    if (!released_.contains(m.id)) machines_.set_zone(m.id, m.zone);
   }
   for (const MachineId& id : status.release_requested) {
     if (released_.contains(id)) out.released.push_back(id);
@@ -723,7 +388,7 @@
   out.emplace_back(self_.member, std::vector<const MachineStatus*>{});
   out.back().second.reserve(machines_.size());
   for (auto& [id, m] : machines_) {
-    update_status(m, now);
+    machines_.update_status(m, now);
     out.back().second.push_back(&m.status);
   }
   if (!cache_.view()) return out;
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -12,8 +12,10 @@
 
 #include "coordination/fleet/boot_tracker.h"
 #include "coordination/fleet/scaling_plan.h"
+#include "coordination/machines/attempt_tracker.h"
+#include "coordination/machines/capacity_calculator.h"
+#include "coordination/machines/machine_registry.h"
 #include "coordination/machines/peer_registry.h"
-#include "coordination/machines/status_revisions.h"
 #include "coordination/membership/view.h"
 #include "coordination/scheduling/failure_tracker.h"
 #include "coordination/scheduling/job_priorities.h"
@@ -136,7 +138,7 @@
                             Time now);
   // A direct order was not answered: until the machine reports again, what it is to do goes with
   // the answer to its report. With dozens of dead machines, waiting for each held up all orders.
-  void commands_lost(const MachineId& machine);
+  void commands_lost(const MachineId& machine) { machines_.mark_commands_lost(machine); }
   void mark_released(const std::vector<MachineId>& machines, Time now);
   void cordon_idle(const std::vector<MachineId>& machines);
   void drain(const std::vector<MachineId>& machines);
@@ -174,7 +176,7 @@
   Instructions handle_peer_status(const MemberStatus& status, Time now);
   // The sibling took in the status up to there (0: it asks for all).
   void status_acknowledged(const MemberId& by, std::uint64_t upto) {
-    status_revisions_.acknowledge(by, upto);
+    machines_.acknowledge(by, upto);
   }
   void peer_reached(const MemberId& member, Time now) { reached_[member] = now; }
   // Has another controller, heard of lately, a lease while this one has none?
@@ -206,15 +208,10 @@
   // As the view says. Asked for every machine in every round, and the same until the view changes.
   const ControllerIncarnation* owner(const MachineId& machine) const;
   bool owns(const MachineId& machine) const;
-  // Does it report, and hear what it is answered?
-  bool is_schedulable(const Machine& m, Time now) const;
-  bool has_recent_heartbeat(const Machine& m, Time now) const;
-  void record_heartbeat(const Heartbeat& heartbeat, Time now, bool renews_lease);
-  std::vector<Command> reconcile(const Machine& m) const;
-  std::vector<Command> stops_for(const Machine& m) const;
-  const storage::MachineCapacity& capacity(const Machine& m) const;
+  bool is_schedulable(const Machine& m, Time now) const { return machines_.is_schedulable(m, now); }
+  void record_heartbeat(const Heartbeat& heartbeat, HeartbeatSource source, Time now);
+  const storage::MachineCapacity& capacity(const Machine& m) const { return capacity_.of(m); }
   Resources being_stopped(const Machine& m) const;
-  void update_status(Machine& m, Time now);
   std::vector<MachineId> release_requests() const;
   std::vector<MachineId> misdirected(Time now) const;
   // A machine of that owner reported here and was sent there.
@@ -242,12 +239,11 @@
   bool fail_over_silent_machines(Time now, std::map<MachineId, ControllerIncarnation>& to) const;
   // All members' claims that the leader has heard of, if it is time for a view that follows them.
   std::map<MachineId, ControllerIncarnation> gather_ownership_claims(Time now);
-  std::string zone_of(const MachineId& machine) const;
-  static const protocol::ReportedAttempt* reported_attempt(const Machine& m, const TaskId& task,
-                                                           const protocol::Assignment& assignment);
-  // Has the machine reported the end of this attempt? Its room is free then, on record or not.
+  std::string zone_of(const MachineId& machine) const { return machines_.zone_of(machine); }
   static bool reported_ended(const Machine& m, const TaskId& task,
-                             const protocol::Assignment& assignment);
+                             const protocol::Assignment& assignment) {
+    return m.reported_ended(task, assignment);
+  }
   // A job that was offered to this part, and which of its tasks wait here.
   struct WaitingJob {
     const Job* job;
@@ -383,7 +379,10 @@
 
   mutable std::unordered_map<MachineId, std::size_t> owners_;  // by place in the view's members
   mutable Version owners_view_version_;
-  std::map<MachineId, Machine> machines_;
+  AttemptTracker attempts_{cache_};
+  CapacityCalculator capacity_{cache_, priorities_, attempts_};
+  MachineRegistry machines_{settings_, cache_, capacity_};
+  const std::map<MachineId, Time>& released_ = machines_.released();
   struct MisdirectedHeartbeats {
     ControllerIncarnation owner;  // to whom it was sent
     Time first{}, last{};
@@ -402,13 +401,7 @@
   std::optional<Time>
       claims_pending_since_;               // since when there are claims that no view follows yet
   std::map<MachineId, Time> owned_since_;  // for machines never heard: the base of lease proofs
-  std::map<MachineId, AgentIncarnation> ended_incarnations_;
-  std::map<MachineId, Time> released_;
-  std::map<TaskId, base::Attempt> absent_;  // cancelled, and certainly never to start
-  std::map<MachineId, std::string> zones_;
-  std::map<std::pair<TaskId, std::uint64_t>, Time> stop_sent_;
-  std::map<TaskId, Time> completion_seen_at_;  // of ends that wait to be put on record with others
-  std::set<MachineId> silent_machines_;        // owned, silent, and to be released for proof
+  std::set<MachineId> silent_machines_;    // owned, silent, and to be released for proof
   std::deque<PoolEntry> pool_;
   std::unordered_map<TaskId, Time> offered_;
   Time offers_pruned_at_{};
@@ -420,7 +413,6 @@
   std::map<JobId, Time> preempting_;
 
   PeerRegistry peers_;
-  StatusRevisions status_revisions_;
   std::map<MemberId, Time> reached_;
   std::map<MemberId, Time> member_since_;
   std::set<MemberId> excluded_;
--- a/src/coordination/fleet/autoscaling.cpp
+++ b/src/coordination/fleet/autoscaling.cpp
@@ -310,7 +310,7 @@
   for (const MachineId& id : machines) {
     booting_.push_back({id, kind.type, kind.zone, kind.spot, wall_now});
     refusals_.erase(kind);
-    zones_[id] = kind.zone;
+    machines_.set_zone(id, kind.zone);
   }
 }
 
@@ -337,7 +337,7 @@
   for (const auto& c : machines) {
     listed.insert(c.id);
     if (released_.contains(c.id)) continue;
-    zones_.try_emplace(c.id, c.zone);
+    machines_.set_zone_if_unknown(c.id, c.zone);
     if (c.state == protocol::CloudState::kFailed) {
       to_release_.insert(c.id);
       continue;
--- a/src/coordination/records/maintenance.cpp
+++ b/src/coordination/records/maintenance.cpp
@@ -171,7 +171,7 @@
   silent_machines_ = std::move(next);
   evaluate_failures(now);
   watch_contact(now);
-  std::erase_if(absent_, [&](const auto& a) { return !cache_.job(a.first.job); });
+  attempts_.forget_finished_jobs();
 }
 
 std::optional<Transaction> Controller::finalize_one_job(Time now) {
--- a/src/coordination/scheduling/completions.cpp
+++ b/src/coordination/scheduling/completions.cpp
@@ -46,8 +46,7 @@
     // The session is over even if the worker's own word for it comes later: old reports of it
     // must not bring its tasks back.
     if (m) {
-      auto& ended = ended_incarnations_[machine];
-      ended = std::max(ended, m->last_heartbeat.agent_incarnation);
+      machines_.end_agent_incarnation(*m);
     }
   };
   // What reports here is owned: a new view sorts out the rest.
@@ -57,22 +56,6 @@
   }
 }
 
-const protocol::ReportedAttempt* Controller::reported_attempt(
-    const Machine& m, const TaskId& task, const protocol::Assignment& assignment) {
-  if (assignment.agent_incarnation != m.last_heartbeat.agent_incarnation) return nullptr;
-  const auto at = m.last_heartbeat.tasks.find(task);
-  if (at == m.last_heartbeat.tasks.end()) return nullptr;
-  const auto t = std::find_if(at->second.begin(), at->second.end(),
-                              [&](const auto& r) { return r.attempt == assignment.attempt; });
-  return t == at->second.end() ? nullptr : &*t;
-}
-
-bool Controller::reported_ended(const Machine& m, const TaskId& task,
-                                const protocol::Assignment& assignment) {
-  const auto* t = reported_attempt(m, task, assignment);
-  return t && t->state == TaskState::kEnded;
-}
-
 // May this end be recorded later, together with others of its record? Nothing hangs on it before
 // this part's share of the record is complete: the room is free already, and a task whose machine is lost before then ends
 // at once where it is started again, since its result is kept.
@@ -80,7 +63,7 @@
                            Time now) {
   const Job* job = cache_.job(completion.task.job);
   if (!completion.done || !job || job->cancelled()) return false;
-  const Time seen = completion_seen_at_.try_emplace(completion.task, now).first->second;
+  const Time seen = attempts_.note_completion(completion.task, now);
   if (base::between(seen, now) > settings_.tuning.record_within) return false;
   // A team near its limit waits for the room that the record still counts.
   if (cache_.has_quota_limit(job->record.spec.team)) {
@@ -146,7 +129,7 @@
     RecordBatch& batch, RoundPlan& plan) {
   std::set<TaskId> ended;
   for (const RoundPlan::Completion& completion : completions) ended.insert(completion.task);
-  std::erase_if(completion_seen_at_, [&](const auto& e) { return !ended.contains(e.first); });
+  attempts_.keep_completions(ended);
   const std::set<TaskId> together = settle_large_records(completions, batch);
   // After a crash there may be more ends than one record holds: the urgent work's come first.
   std::map<int, std::vector<RoundPlan::Completion>> due;  // by tier
@@ -174,8 +157,7 @@
                                              WriteBudget write_budget, Time now, RecordBatch& batch,
                                              RoundPlan& plan) {
   const auto seen = [&](const RoundPlan::Completion& completion) {
-    const auto at = completion_seen_at_.find(completion.task);
-    return at == completion_seen_at_.end() ? now : at->second;
+    return attempts_.completion_seen_at(completion.task).value_or(now);
   };
   std::stable_sort(completions.begin(), completions.end(),
                    [&](const auto& a, const auto& b) { return seen(a) < seen(b); });
--- a/src/coordination/scheduling/scheduling_round.cpp
+++ b/src/coordination/scheduling/scheduling_round.cpp
@@ -4,6 +4,7 @@
 
 #include "base/log.h"
 #include "coordination/controller.h"
+#include "coordination/machines/commands_due.h"
 
 namespace saddleslip::coordination {
 
@@ -15,7 +16,6 @@
 
 constexpr Seconds kReservationDuration{60.0};
 constexpr std::size_t kMachinesPerReservation = 20;  // one machine of so many, and one more
-constexpr Seconds kStopRepeat{2.0};
 constexpr int kSlowFetch = 6;  // the pass of machines that can't fetch the image in time
 constexpr Seconds kDisplaceFor{1.5};
 
@@ -341,8 +341,7 @@
   }
   cache_.apply(plan.txn, base::Revision(version.get()), now);
   for (const RoundPlan::Completion& end : plan.completions) {
-    absent_.erase(end.task);
-    completion_seen_at_.erase(end.task);
+    attempts_.forget(end.task);
     spdlog::debug("{}/{} on {} is over: {}", end.task.job.get(), end.task.no, end.machine.get(),
                   end.why);
     if (end.done) {
@@ -385,14 +384,13 @@
 std::vector<CommandBatch> Controller::stops(Time now) {
   std::vector<CommandBatch> orders;
   if (!has_authority(now)) return orders;
-  std::erase_if(stop_sent_,
-                [&](const auto& s) { return base::between(s.second, now) > kStopRepeat; });
+  attempts_.expire_kills(now);
   for (const auto& [id, m] : machines_) {
     if (!capacity(m).stops || m.commands_lost || !is_schedulable(m, now)) continue;
     CommandBatch o{
         id, m.last_heartbeat.address, m.fencing_token, m.last_heartbeat.agent_incarnation, {}};
-    for (const Command& c : stops_for(m)) {
-      if (stop_sent_.try_emplace({c.task, c.attempt.get()}, now).second) {
+    for (const Command& c : kills_due(m, cache_)) {
+      if (attempts_.may_send_kill(c.task, c.attempt, now)) {
         o.commands.push_back(c);
       }
     }
--- /dev/null
+++ b/tests/attempt_tracker_test.cpp
@@ -0,0 +1,85 @@
+// Attempts that can never start, kills that were sent, and completions that wait to be recorded.
+#include "coordination/machines/attempt_tracker.h"
+
+#include "machine_fixture.h"
+
+namespace saddleslip::coordination {
+
+using base::Attempt;
+using base::TaskId;
+using protocol::TaskState;
+
+class AttemptTrackerTest : public MachineFixture {
+ protected:
+  // Assigns the first task to the machine, which shows `token` and needs 5 to be fenced.
+  void assign_first(std::uint64_t token) {
+    add_job(kJob);
+    assign(kJob, {{0, assignment(3)}});
+    machine_.last_heartbeat = heartbeat(1, token);
+    machine_.fence_floor = base::FencingToken(5);
+  }
+
+  storage::Machine machine_;
+  AttemptTracker tracker_{cache_};
+  const TaskId task_{kJob, 0};
+};
+
+TEST_F(AttemptTrackerTest, WantedAttemptMayStillStart) {
+  assign_first(5);
+  tracker_.note_heartbeat(machine_);
+  EXPECT_FALSE(tracker_.is_never_started(task_, Attempt(3)));
+}
+
+TEST_F(AttemptTrackerTest, EvictedAttemptThatWasNotHeardOfNeverStarts) {
+  assign_first(5);
+  machine_.evict.insert(task_);
+  tracker_.note_heartbeat(machine_);
+  EXPECT_TRUE(tracker_.is_never_started(task_, Attempt(3)));
+  EXPECT_FALSE(tracker_.is_never_started(task_, Attempt(4)));
+  tracker_.forget_never_started();
+  EXPECT_FALSE(tracker_.is_never_started(task_, Attempt(3)));
+}
+
+TEST_F(AttemptTrackerTest, CancelledAttemptThatWasNotHeardOfNeverStarts) {
+  assign_first(5);
+  cache_.notify_cancelled(kJob);
+  tracker_.note_heartbeat(machine_);
+  EXPECT_TRUE(tracker_.is_never_started(task_, Attempt(3)));
+}
+
+// A copy of the command that starts it may still arrive.
+TEST_F(AttemptTrackerTest, UnfencedMachineProvesNothing) {
+  assign_first(4);
+  machine_.evict.insert(task_);
+  tracker_.note_heartbeat(machine_);
+  EXPECT_FALSE(tracker_.is_never_started(task_, Attempt(3)));
+}
+
+TEST_F(AttemptTrackerTest, ReportedAttemptHasStarted) {
+  assign_first(5);
+  machine_.evict.insert(task_);
+  report(machine_.last_heartbeat, task_, 3, TaskState::kRunning);
+  tracker_.note_heartbeat(machine_);
+  EXPECT_FALSE(tracker_.is_never_started(task_, Attempt(3)));
+}
+
+TEST_F(AttemptTrackerTest, KillIsRepeatedOnlyAfterAWhile) {
+  EXPECT_TRUE(tracker_.may_send_kill(task_, Attempt(3), at(0)));
+  EXPECT_TRUE(tracker_.may_send_kill(task_, Attempt(4), at(0)));
+  tracker_.expire_kills(at(2));
+  EXPECT_FALSE(tracker_.may_send_kill(task_, Attempt(3), at(2)));
+  tracker_.expire_kills(at(2.1));
+  EXPECT_TRUE(tracker_.may_send_kill(task_, Attempt(3), at(2.1)));
+}
+
+TEST_F(AttemptTrackerTest, CompletionKeepsTheTimeAtWhichItWasFirstSeen) {
+  EXPECT_FALSE(tracker_.completion_seen_at(task_));
+  EXPECT_EQ(tracker_.note_completion(task_, at(0)), at(0));
+  EXPECT_EQ(tracker_.note_completion(task_, at(5)), at(0));
+  tracker_.keep_completions({task_});
+  EXPECT_EQ(tracker_.completion_seen_at(task_), at(0));
+  tracker_.keep_completions({});
+  EXPECT_FALSE(tracker_.completion_seen_at(task_));
+}
+
+}  // namespace saddleslip::coordination
--- /dev/null
+++ b/tests/machine_test.cpp
@@ -0,0 +1,83 @@
+// Fencing tokens, and what a machine's heartbeats show of it.
+#include "storage/machine.h"
+
+#include <gtest/gtest.h>
+
+namespace saddleslip::storage {
+
+namespace {
+
+const Time kNow(std::chrono::seconds(1000));
+
+Time at(double seconds) {
+  return base::after(kNow, Seconds(seconds));
+}
+
+}  // namespace
+
+TEST(Machine, IsHalfOpenAfterTwoUnacknowledgedResponses) {
+  Machine machine;
+  machine.start_fencing(FencingToken(10));
+  EXPECT_FALSE(machine.track_acknowledgement(FencingToken(0), kNow));  // nothing was sent
+  machine.token_for_response(Seconds(5), kNow);
+  EXPECT_FALSE(machine.track_acknowledgement(FencingToken(0), at(1)));
+  EXPECT_FALSE(machine.is_half_open());
+  EXPECT_TRUE(machine.track_acknowledgement(FencingToken(0), at(2)));
+  EXPECT_TRUE(machine.is_half_open());
+  EXPECT_EQ(machine.half_open_since, at(1));
+  EXPECT_FALSE(machine.track_acknowledgement(FencingToken(0), at(3)));  // told once
+  machine.track_acknowledgement(machine.last_sent_token, at(4));
+  EXPECT_FALSE(machine.is_half_open());
+  EXPECT_FALSE(machine.half_open_since);
+}
+
+TEST(Machine, ResponseTokenIsRenewedWhenItIsOld) {
+  Machine machine;
+  machine.start_fencing(FencingToken(10));
+  machine.fencing_token_since = kNow;
+  EXPECT_EQ(machine.token_for_response(Seconds(5), at(5)), FencingToken(10));
+  EXPECT_EQ(machine.token_for_response(Seconds(5), at(5.1)), FencingToken(11));
+  EXPECT_EQ(machine.last_sent_token, FencingToken(11));
+  EXPECT_EQ(machine.token_for_response(Seconds(5), at(6)), FencingToken(11));
+}
+
+TEST(Machine, RestartedAgentIsNotConfirmedByItsOldToken) {
+  Machine machine;
+  machine.start_fencing(FencingToken(10));
+  machine.last_heartbeat.fencing_token = FencingToken(10);
+  machine.evict.insert({base::JobId("j"), 0});
+  EXPECT_TRUE(machine.is_confirmed());
+  machine.begin_agent_incarnation(kNow);
+  EXPECT_FALSE(machine.is_confirmed());
+  EXPECT_TRUE(machine.is_fenced());  // no commands were sent since
+  EXPECT_TRUE(machine.evict.empty());
+}
+
+TEST(Machine, ConfirmationLastsOnlyAcrossConsecutiveViews) {
+  Machine machine;
+  machine.start_fencing(FencingToken(10));
+  machine.last_heartbeat.fencing_token = FencingToken(10);
+  machine.last_answered_at = kNow;
+  machine.continue_fencing(FencingToken(20), true, at(8));
+  EXPECT_TRUE(machine.is_confirmed());
+  EXPECT_FALSE(machine.is_fenced());
+  EXPECT_EQ(machine.last_answered_at, kNow);
+  machine.continue_fencing(FencingToken(40), false, at(8));
+  EXPECT_FALSE(machine.is_confirmed());
+  EXPECT_EQ(machine.last_answered_at, at(8));
+}
+
+TEST(Machine, LeastRecentlyUsedImagesGiveWay) {
+  Machine machine;
+  machine.used_image("a", 4, 10);
+  machine.used_image("b", 4, 10);
+  machine.used_image("a", 4, 10);
+  machine.used_image("c", 4, 10);
+  EXPECT_TRUE(machine.has_image("a"));
+  EXPECT_FALSE(machine.has_image("b"));
+  EXPECT_TRUE(machine.has_image("c"));
+  machine.used_image("larger than all", 20, 10);
+  EXPECT_EQ(machine.images.size(), 1U);
+}
+
+}  // namespace saddleslip::storage
