--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -118,16 +118,14 @@
 Reply UserApi::submit(const std::string& body, Time now) {
   const auto parsed = protocol::parse_submission(body);
   Reply reply;
-  if (const auto* why = std::get_if<std::string>(&parsed)) {
+  if (const auto* fault = std::get_if<protocol::ParseError>(&parsed)) {
     // An accepted id stays accepted, whatever a later body looks like.
-    const Json root = Json::parse(body, nullptr, false);
-    if (root.is_object() && root.contains("name_id") && root.at("name_id").is_string() &&
-        protocol::valid_job_id(root.at("name_id").get<std::string>())) {
-      const auto known = look_up(JobId(root.at("name_id").get<std::string>()), reply);
+    if (const auto id = protocol::parse_submission_id(body)) {
+      const auto known = look_up(*id, reply);
       if (known == Known::kYes) return reply;
       if (known == Known::kCantTell) return try_later(kStateSilent);
     }
-    return error(400, *why);
+    return error(400, fault->message());
   }
   const auto& spec = std::get<protocol::JobSpec>(parsed);
   struct View {
--- /dev/null
+++ b/src/protocol/base_types.h
@@ -0,0 +1,29 @@
+// The ids and times of src/base under the names that messages and records use, and the JSON type.
+#pragma once
+
+#include <nlohmann/json.hpp>
+
+#include "base/clock.h"
+#include "base/ids.h"
+
+namespace saddleslip::protocol {
+
+using Json = nlohmann::json;
+using base::AgentIncarnation;
+using base::Attempt;
+using base::Epoch;
+using base::FencingToken;
+using base::Incarnation;
+using base::JobId;
+using base::LeaseId;
+using base::MachineId;
+using base::MemberId;
+using base::Revision;
+using base::Seconds;
+using base::Sequence;
+using base::TaskId;
+using base::TaskNo;
+using base::Time;
+using base::Version;
+
+}  // namespace saddleslip::protocol
--- /dev/null
+++ b/src/protocol/job_record.cpp
@@ -0,0 +1,113 @@
+#include "protocol/job_record.h"
+
+#include <algorithm>
+
+#include "protocol/store_keys.h"
+#include "protocol/wire_fields.h"
+
+namespace saddleslip::protocol {
+
+namespace {
+
+// Fields of a job's record.
+constexpr const char* kSubmission = "s";
+constexpr const char* kSubmittedAt = "at";
+constexpr const char* kDependencyLists = "n";
+constexpr const char* kIsCancelled = "w";  // withdrawn
+constexpr const char* kChunkSize = "c";    // left out if it is kMostChunk
+constexpr const char* kPieceSize = "p";    // left out if the chunks are not split
+
+// Fields of a tombstone, and its values.
+constexpr const char* kFinalStatus = "f";
+constexpr const char* kFinalAt = "at";
+constexpr const char* kFinalDone = "d";
+constexpr const char* kFinalCancelled = "w";
+
+// Reads a count of tasks from 1 to `max` into `size`, unless the field is missing. False if it is
+// malformed.
+bool read_size(const Json& value, const char* field, TaskNo max, TaskNo& size) {
+  const auto entry = value.find(field);
+  if (entry == value.end()) return true;
+  if (!entry->is_number_unsigned() || *entry < 1u || *entry > max) return false;
+  size = entry->get<TaskNo>();
+  return true;
+}
+
+}  // namespace
+
+std::uint32_t JobRecord::pieces_of_chunk() const {
+  return piece == 0 ? 1 : (chunk + piece - 1) / piece;
+}
+
+std::uint32_t JobRecord::chunk_of(TaskNo task) const {
+  const TaskNo piece_in_chunk = piece == 0 ? 0 : task % chunk / piece;
+  return task / chunk * pieces_of_chunk() + piece_in_chunk;
+}
+
+std::size_t JobRecord::chunks() const {
+  return chunk_of(spec.tasks - 1) + std::size_t{1};
+}
+
+TaskNo JobRecord::first_task(std::uint32_t number) const {
+  return number / pieces_of_chunk() * chunk + number % pieces_of_chunk() * piece;
+}
+
+TaskNo JobRecord::tasks_of(std::uint32_t number) const {
+  const TaskNo first = first_task(number);
+  const TaskNo left = std::min(chunk - first % chunk, spec.tasks - first);
+  return piece == 0 ? left : std::min(piece, left);
+}
+
+std::string JobRecord::record_key(std::uint32_t number) const {
+  return piece == 0 ? chunk_key(spec.id, number) : piece_key(spec.id, number);
+}
+
+Json to_json(const JobRecord& job) {
+  Json json = {{kSubmission, to_json(job.spec)}, {kSubmittedAt, job.submitted}};
+  if (job.dependency_lists) {
+    json[kSubmission].erase(wire::kDependencies);
+    json[kDependencyLists] = to_json(*job.dependency_lists);
+  }
+  if (job.cancelled) json[kIsCancelled] = true;
+  if (job.chunk != kMostChunk) json[kChunkSize] = job.chunk;
+  if (job.piece != 0) json[kPieceSize] = job.piece;
+  return json;
+}
+
+std::optional<JobRecord> parse_job(const Json& value) {
+  if (!value.is_object() || !value.contains(kSubmission)) return {};
+  auto spec = parse_job_spec(value.at(kSubmission));
+  if (!std::holds_alternative<JobSpec>(spec)) return {};
+  JobRecord job;
+  job.spec = std::get<JobSpec>(std::move(spec));
+  job.submitted = value.value(kSubmittedAt, 0.0);
+  job.cancelled = value.value(kIsCancelled, false);
+  if (const auto lists = value.find(kDependencyLists); lists != value.end()) {
+    job.dependency_lists = parse_dependency_lists(*lists);
+    if (!job.dependency_lists) return {};
+  }
+  if (!read_size(value, kChunkSize, kMostChunk, job.chunk)) return {};
+  if (!read_size(value, kPieceSize, job.chunk, job.piece)) return {};
+  return job;
+}
+
+Json to_json(const FinalState& state) {
+  const char* status = state.status == JobStatus::kDone ? kFinalDone : kFinalCancelled;
+  Json json = {{kFinalStatus, status}};
+  if (state.at > 0) json[kFinalAt] = state.at;
+  return json;
+}
+
+std::optional<FinalState> parse_final(const Json& value) {
+  if (!value.is_object()) return {};
+  FinalState state;
+  const auto status = value.find(kFinalStatus);
+  const bool is_done = status != value.end() && *status == kFinalDone;
+  state.status = is_done ? JobStatus::kDone : JobStatus::kCancelled;
+  if (const auto at = value.find(kFinalAt); at != value.end() && at->is_number()) {
+    state.at = at->get<double>();
+  }
+  return state;
+}
+
+}  // namespace saddleslip::protocol
--- /dev/null
+++ b/src/protocol/peer_status.cpp
@@ -0,0 +1,165 @@
+#include "protocol/peer_status.h"
+
+#include <array>
+
+#include "protocol/id_lists.h"
+
+namespace saddleslip::protocol {
+
+namespace {
+
+// Fields of a status, with the term of this code where the wire has another word.
+constexpr const char* kFrom = "from";
+constexpr const char* kHasState = "state";
+constexpr const char* kSince = "since";
+constexpr const char* kUpto = "upto";
+constexpr const char* kMachines = "m";
+constexpr const char* kLeft = "left";
+constexpr const char* kReleaseRequested = "back";
+constexpr const char* kMisdirected = "knocked";
+constexpr const char* kOwnershipClaims = "claims";
+constexpr const char* kCrashLoopingJobs = "suspects";
+constexpr const char* kContact = "contact";
+
+// Fields of offers.
+constexpr const char* kEpoch = "epoch";
+constexpr const char* kOffers = "offers";
+
+// Places in the list that encodes a machine.
+enum MachineField : std::size_t {
+  kId,
+  kType,
+  kZone,
+  kSpot,
+  kOpen,
+  kFree,
+  kPreemptible,
+  kTasks,
+  kIdleSeconds,  // 0 if it has tasks
+  kImages,
+  kSilent,
+  kUnsure,
+  kSoon,
+  kLate,
+};
+
+constexpr const char* kContactGood = "good";
+constexpr const char* kContactLost = "lost";
+constexpr const char* kContactUnknown = "unknown";
+
+const char* to_string(WorkerContact contact) {
+  switch (contact) {
+    case WorkerContact::kGood:
+      return kContactGood;
+    case WorkerContact::kLost:
+      return kContactLost;
+    case WorkerContact::kUnknown:
+      break;
+  }
+  return kContactUnknown;
+}
+
+WorkerContact parse_contact(const std::string& name) {
+  if (name == kContactGood) return WorkerContact::kGood;
+  if (name == kContactLost) return WorkerContact::kLost;
+  return WorkerContact::kUnknown;
+}
+
+// In the order of MachineField.
+Json to_json(const MachineStatus& machine, Time now) {
+  const double idle_seconds =
+      machine.tasks > 0 ? 0.0 : base::between(machine.idle_since, now).count();
+  return Json::array({machine.id.get(), machine.type, machine.zone, machine.spot, machine.open,
+                      machine.free.v, machine.preemptible.v, machine.tasks, idle_seconds,
+                      machine.images, machine.silent, machine.unsure, machine.soon, machine.late});
+}
+
+// Throws Json::exception if the value is malformed.
+MachineStatus parse_machine(const Json& value, Time now) {
+  MachineStatus machine;
+  machine.id = MachineId(value.at(kId).get<std::string>());
+  machine.type = value.at(kType).get<std::string>();
+  machine.zone = value.at(kZone).get<std::string>();
+  machine.spot = value.at(kSpot).get<bool>();
+  machine.open = value.at(kOpen).get<bool>();
+  machine.free.v = value.at(kFree).get<std::array<double, 3>>();
+  machine.preemptible.v = value.at(kPreemptible).get<std::array<double, 3>>();
+  machine.tasks = value.at(kTasks).get<std::uint32_t>();
+  if (machine.tasks == 0) {
+    machine.idle_since = base::after(now, Seconds(-value.at(kIdleSeconds).get<double>()));
+  }
+  machine.images = value.at(kImages).get<std::vector<std::string>>();
+  machine.silent = value.at(kSilent).get<bool>();
+  machine.unsure = value.at(kUnsure).get<bool>();
+  machine.soon = value.at(kSoon).get<bool>();
+  machine.late = value.at(kLate).get<bool>();
+  return machine;
+}
+
+}  // namespace
+
+Json to_json(const MemberStatus& status, Time now) {
+  Json machines = Json::array();
+  for (const MachineStatus& machine : status.machines) machines.push_back(to_json(machine, now));
+  return Json{{kFrom, to_json(status.from)},
+              {kHasState, status.has_state},
+              {kSince, status.since},
+              {kUpto, status.upto},
+              {kMachines, std::move(machines)},
+              {kLeft, ids_to_json(status.left)},
+              {kReleaseRequested, ids_to_json(status.release_requested)},
+              {kMisdirected, ids_to_json(status.misdirected)},
+              {kOwnershipClaims, ids_to_json(status.ownership_claims)},
+              {kCrashLoopingJobs, ids_to_json(status.crash_looping_jobs)},
+              {kContact, to_string(status.contact)}};
+}
+
+std::optional<MemberStatus> parse_status(const Json& body, Time now) {
+  try {
+    MemberStatus status;
+    const auto from = parse_incarnation(body.at(kFrom));
+    if (!from) return {};
+    status.from = *from;
+    status.has_state = body.at(kHasState).get<bool>();
+    status.since = body.at(kSince).get<std::uint64_t>();
+    status.upto = body.at(kUpto).get<std::uint64_t>();
+    for (const Json& entry : body.at(kMachines)) {
+      status.machines.push_back(parse_machine(entry, now));
+    }
+    status.left = parse_ids<MachineId>(body, kLeft);
+    status.release_requested = parse_ids<MachineId>(body, kReleaseRequested);
+    status.misdirected = parse_ids<MachineId>(body, kMisdirected);
+    status.ownership_claims = parse_ids<MachineId>(body, kOwnershipClaims);
+    status.crash_looping_jobs = parse_ids<JobId>(body, kCrashLoopingJobs);
+    status.contact = parse_contact(body.value(kContact, ""));
+    return status;
+  } catch (const Json::exception&) {
+    return {};
+  }
+}
+
+Json to_json(const Offers& offers) {
+  Json list = Json::array();
+  for (const Offer& offer : offers.offers) list.push_back({offer.job.get(), offer.ranges});
+  return Json{
+      {kFrom, to_json(offers.from)}, {kEpoch, offers.epoch.get()}, {kOffers, std::move(list)}};
+}
+
+std::optional<Offers> parse_offers(const Json& body) {
+  try {
+    Offers offers;
+    const auto from = parse_incarnation(body.at(kFrom));
+    if (!from) return {};
+    offers.from = *from;
+    offers.epoch = Epoch(body.at(kEpoch).get<std::uint64_t>());
+    for (const Json& entry : body.at(kOffers)) {
+      offers.offers.push_back({JobId(entry.at(0).get<std::string>()),
+                               entry.at(1).get<std::vector<std::pair<TaskNo, TaskNo>>>()});
+    }
+    return offers;
+  } catch (const Json::exception&) {
+    return {};
+  }
+}
+
+}  // namespace saddleslip::protocol
--- /dev/null
+++ b/src/protocol/store_keys.cpp
@@ -0,0 +1,90 @@
+#include "protocol/store_keys.h"
+
+#include <cctype>
+
+namespace saddleslip::protocol {
+
+namespace {
+
+// Keys hold no spaces and 200 bytes at most; an escaped byte takes three.
+constexpr std::size_t kMaxTeamBytes = 80;
+constexpr std::size_t kMaxNumberDigits = 6;
+
+void append_escaped(std::string& out, char c) {
+  static constexpr char kHexDigits[] = "0123456789abcdef";
+  const auto byte = static_cast<unsigned char>(c);
+  if (std::isalnum(byte) || c == '-' || c == '_') {
+    out += c;
+    return;
+  }
+  out += '%';
+  out += kHexDigits[byte >> 4];
+  out += kHexDigits[byte & 15];
+}
+
+}  // namespace
+
+std::string job_key(const JobId& id) {
+  return kJobs + id.get();
+}
+
+std::string final_key(const JobId& id) {
+  return kFinals + id.get();
+}
+
+std::string chunk_key(const JobId& id, std::uint32_t chunk) {
+  return kChunks + id.get() + "/" + std::to_string(chunk);
+}
+
+std::string piece_key(const JobId& id, std::uint32_t piece) {
+  return kChunks + id.get() + "/p" + std::to_string(piece);
+}
+
+std::string dependency_lists_key(const JobId& id) {
+  return kDependencies + id.get();
+}
+
+std::string dependency_list_key(const JobId& id, const std::string& set, std::size_t number) {
+  return dependency_lists_key(id) + "/" + set + "/" + std::to_string(number);
+}
+
+std::string team_key(const std::string& team) {
+  std::string key = kTeams;
+  for (const char c : team.substr(0, kMaxTeamBytes)) append_escaped(key, c);
+  return key;
+}
+
+std::string row_key(const JobId& id) {
+  return kTeams + "job/" + id.get();
+}
+
+std::string claim_key(const MachineId& machine) {
+  return kClaims + machine.get();
+}
+
+std::string member_key(const MemberId& member) {
+  return kMembers + member.get();
+}
+
+std::optional<ChunkName> parse_chunk_key(const std::string& key) {
+  const auto slash = key.rfind('/');
+  if (slash == std::string::npos || slash <= kChunks.size()) return {};
+  const bool is_piece = key.compare(slash, 2, "/p") == 0;
+  const std::size_t digits_at = slash + (is_piece ? 2 : 1);
+  if (digits_at >= key.size() || key.size() - digits_at > kMaxNumberDigits) return {};
+  std::uint32_t number = 0;
+  for (std::size_t i = digits_at; i < key.size(); ++i) {
+    if (key[i] < '0' || key[i] > '9') return {};
+    number = number * 10 + static_cast<std::uint32_t>(key[i] - '0');
+  }
+  const std::string job = key.substr(kChunks.size(), slash - kChunks.size());
+  return ChunkName{JobId(job), number, is_piece};
+}
+
+std::optional<JobId> job_of_dependency_key(const std::string& key) {
+  if (!key.starts_with(kDependencies)) return {};
+  const std::size_t end = key.find('/', kDependencies.size());
+  return JobId(key.substr(kDependencies.size(), end - kDependencies.size()));
+}
+
+}  // namespace saddleslip::protocol
--- /dev/null
+++ b/src/protocol/store_transaction.cpp
@@ -0,0 +1,71 @@
+#include "protocol/store_transaction.h"
+
+#include "protocol/wire_fields.h"
+
+namespace saddleslip::protocol {
+
+namespace {
+
+constexpr const char* kKey = "key";
+constexpr const char* kValue = "v";
+constexpr const char* kWrites = "writes";
+constexpr const char* kWrite = "write";
+constexpr const char* kRemove = "remove";
+
+std::uint64_t number_or_zero(const Json& object, const char* field) {
+  const auto value = object.find(field);
+  return value != object.end() && value->is_number_unsigned() ? value->get<std::uint64_t>() : 0;
+}
+
+Version parse_version(const Json& object) {
+  return Version(number_or_zero(object, wire::kVersion));
+}
+
+// The string in that field; null if it is missing or no string.
+const std::string* find_string(const Json& object, const char* field) {
+  const auto value = object.find(field);
+  return value == object.end() ? nullptr : value->get_ptr<const std::string*>();
+}
+
+Json to_json(const Put& put) {
+  if (!put.value) return Json{{kRemove, put.key}};
+  Json write = {{kWrite, put.key}, {kValue, *put.value}};
+  if (put.lease) write[wire::kLease] = put.lease->get();
+  return write;
+}
+
+}  // namespace
+
+Json to_json(const Transaction& transaction) {
+  Json preconditions = Json::array();
+  for (const auto& [key, version] : transaction.preconditions) {
+    preconditions.push_back({{kKey, key}, {wire::kVersion, version.get()}});
+  }
+  Json writes = Json::array();
+  for (const Put& put : transaction.writes) writes.push_back(to_json(put));
+  return Json{{wire::kPreconditions, std::move(preconditions)}, {kWrites, std::move(writes)}};
+}
+
+std::optional<Item> parse_item(const Json& value) {
+  if (!value.is_object() || !value.contains(kValue)) return {};
+  const std::string* key = find_string(value, kKey);
+  if (!key) return {};
+  return Item{*key, value.at(kValue), parse_version(value)};
+}
+
+std::optional<Item> parse_change(const Json& value) {
+  if (!value.is_object()) return {};
+  if (const std::string* removed = find_string(value, kRemove)) {
+    return Item{*removed, Json(), parse_version(value)};
+  }
+  if (const std::string* written = find_string(value, kWrite)) {
+    return Item{*written, value.value(kValue, Json()), parse_version(value)};
+  }
+  return {};
+}
+
+Revision parse_revision(const Json& answer) {
+  return Revision(number_or_zero(answer, wire::kRevision));
+}
+
+}  // namespace saddleslip::protocol
--- /dev/null
+++ b/src/protocol/user_responses.cpp
@@ -0,0 +1,28 @@
+#include "protocol/user_responses.h"
+
+#include <array>
+
+#include "protocol/wire_fields.h"
+
+namespace saddleslip::protocol {
+
+namespace {
+
+// In the order of the enum. On the wire, a cancelled job is withdrawn.
+constexpr std::array<const char*, 4> kStatusNames = {"queued", "running", "done", "withdrawn"};
+
+}  // namespace
+
+std::string user_status(const JobId& id, JobStatus status, std::optional<TaskNo> done,
+                        std::optional<TaskNo> running) {
+  Json json = {{wire::kId, id.get()}, {"status", kStatusNames[static_cast<std::size_t>(status)]}};
+  if (done) json["done"] = *done;
+  if (running) json["running"] = *running;
+  return json.dump();
+}
+
+std::string error_body(const std::string& reason) {
+  return Json{{"error", reason}}.dump(-1, ' ', false, Json::error_handler_t::replace);
+}
+
+}  // namespace saddleslip::protocol
--- a/tests/parse_test.cpp
+++ b/tests/parse_test.cpp
@@ -16,7 +16,7 @@
 
 TEST(Submission, ReadsWhatIsWellFormed) {
   const auto s = parse_submission(kGood);
-  ASSERT_TRUE(std::holds_alternative<JobSpec>(s)) << std::get<std::string>(s);
+  ASSERT_TRUE(std::holds_alternative<JobSpec>(s)) << std::get<ParseError>(s).message();
   // What is stored is read back the same.
   const auto again = parse_submission(to_json(std::get<JobSpec>(s)).dump());
   ASSERT_TRUE(std::holds_alternative<JobSpec>(again));
@@ -36,7 +36,7 @@
 
 TEST(Submission, RefusesWhatIsMalformed) {
   for (const char* text : {"", "[]", "3", "{", "null", R"({"name_id":"run-000412"})"}) {
-    EXPECT_TRUE(std::holds_alternative<std::string>(parse_submission(text))) << text;
+    EXPECT_TRUE(std::holds_alternative<ParseError>(parse_submission(text))) << text;
   }
   const std::vector<std::pair<const char*, Json>> bad = {{"name_id", "job-1"},
                                                          {"name_id", "run-"},
@@ -69,8 +69,37 @@
   for (const auto& [field, value] : bad) {
     Json j = good();
     j[field] = value;
-    EXPECT_TRUE(std::holds_alternative<std::string>(parse_submission(j.dump())))
-        << field << " = " << value.dump();
+    const auto parsed = parse_submission(j.dump());
+    const auto* error = std::get_if<ParseError>(&parsed);
+    ASSERT_TRUE(error) << field << " = " << value.dump();
+    EXPECT_EQ(error->field, field) << value.dump();
+  }
+}
+
+TEST(Submission, SeveralErrorsReportTheFirst) {
+  const auto message = [](const std::string& body) {
+    const auto parsed = parse_submission(body);
+    const auto* error = std::get_if<ParseError>(&parsed);
+    return error ? error->message() : "";
+  };
+  EXPECT_EQ(message("{"), "not JSON");
+  EXPECT_EQ(message("[]"), "not an object");
+  Json j = good();
+  j["gait"] = "troupe";
+  j["cores"] = -1;
+  EXPECT_EQ(message(j.dump()), "gait must be array, gang or daemon");
+  j = good();
+  j["name_id"] = "job-1";
+  EXPECT_EQ(message(j.dump()), "name_id must have the form run-000412");
+  j.erase("name_id");
+  EXPECT_EQ(message(j.dump()), "name_id must be a non-empty string");
+}
+
+// A repeated submission is answered by its id, also if the rest of it is malformed.
+TEST(Submission, MalformedBodyStillHasId) {
+  EXPECT_EQ(parse_submission_id(R"({"name_id":"run-000412"})"), JobId("run-000412"));
+  for (const char* body : {"", "{", "[]", "{}", R"({"name_id":7})", R"({"name_id":"job-1"})"}) {
+    EXPECT_FALSE(parse_submission_id(body)) << body;
   }
 }
 
