--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -17,73 +17,21 @@
 // A machine that hears no answer goes from node to node, and comes by within this.
 constexpr Seconds kHalfOpenRound{20.0};
 constexpr std::size_t kMaxCrashLoopingJobs = 256;  // named in one status
-constexpr std::size_t kMostOwners = 20000;         // remembered; more are worked out anew
 
 }  // namespace
 
 Controller::Controller(const base::Settings& settings)
-    : settings_(settings), cache_(settings), priorities_(settings_, cache_) {}
+    : settings_(settings),
+      cache_(settings),
+      priorities_(settings_, cache_),
+      authority_(settings_, cache_),
+      ownership_(cache_, authority_) {}
 
 // --- membership
 
-void Controller::begin_incarnation(ControllerIncarnation incarnation, Time now) {
-  self_ = std::move(incarnation);
-  has_incarnation_ = true;
-  incarnation_since_ = now;
-  authority_valid_until_ = Time{};
-  lease_valid_until_ = Time{};
-}
-
-void Controller::end_incarnation() {
-  has_incarnation_ = false;
-  authority_valid_until_ = Time{};
-  lease_valid_until_ = Time{};
-}
-
-void Controller::lease_acquired(Time sent) {
-  lease_valid_until_ = std::max(lease_valid_until_, ttl_after(sent));
-}
-
-Time Controller::ttl_after(Time sent) const {
-  // Counted from when the call was sent, on a clock that may run slow against the store's. The full
-  // time that an outage gives back to leases is not counted on.
-  return base::after(sent, settings_.tuning.member_ttl * (1.0 - base::kDrift));
-}
-
-void Controller::lease_renewed(Time sent, std::uint64_t cache_generation) {
-  if (cache_generation != cache_generation_) return;
-  authority_valid_until_ = ttl_after(sent);
-  authority_view_ = cache_.version(protocol::kViewKey);
-}
-
-bool Controller::has_authority(Time now) const {
-  return has_incarnation_ && now < authority_valid_until_ && cache_.view() &&
-         installed_view_.get() != 0 && authority_view_ == installed_view_ &&
-         installed_view_ == cache_.version(protocol::kViewKey) && has_member(*cache_.view(), self_);
-}
-
 bool Controller::is_leader(Time now) const {
-  return has_incarnation_ && has_lease(now) && cache_.leader() && *cache_.leader() == self_;
-}
-
-const ControllerIncarnation* Controller::owner(const MachineId& machine) const {
-  const auto& view = cache_.view();
-  if (!view || view->members.empty()) return nullptr;
-  const Version version = cache_.version(protocol::kViewKey);
-  if (owners_view_version_ != version || owners_.size() > kMostOwners) {
-    owners_.clear();
-    owners_view_version_ = version;
-  }
-  const auto [at, is_new] = owners_.try_emplace(machine, 0);
-  if (is_new) {
-    at->second = static_cast<std::size_t>(owner_of(*view, machine) - view->members.data());
-  }
-  return &view->members[at->second];
-}
-
-bool Controller::owns(const MachineId& machine) const {
-  const ControllerIncarnation* of = has_incarnation_ ? owner(machine) : nullptr;
-  return of && *of == self_;
+  return authority_.has_incarnation() && has_lease(now) && cache_.leader() &&
+         *cache_.leader() == self_;
 }
 
 void Controller::install_view(Time now) {
@@ -102,18 +50,10 @@
       spdlog::info("no longer leading");
     }
   }
-  const Version version = cache_.version(protocol::kViewKey);
-  // Taking over needs all that was recorded before the view: the watch must have brought it.
-  if (!cache_.view() || version == installed_view_ || cache_.revision().get() < version.get()) {
-    return;
-  }
-  const FencingToken base = first_fencing_token(cache_.view()->epoch);
-  // Views that were skipped may have had other owners, who may have answered until lately.
-  const bool in_a_row =
-      base.get() == base_fencing_token_.get() + first_fencing_token(Epoch(1)).get();
-  installed_view_ = version;
-  base_fencing_token_ = base;
-  view_installed_at_ = now;
+  const auto installed = ownership_.install_view(now);
+  if (!installed) return;
+  const FencingToken base = installed->base_fencing_token;
+  const bool in_a_row = installed->follows_previous;
   std::erase_if(machines_, [&](const auto& m) {
     if (owns(m.first)) return false;
     left_[m.first] = ++status_revision_;
@@ -133,14 +73,6 @@
       m.last_answered_at =
           std::max(m.last_answered_at, base::after(now, settings_.tuning.member_ttl));
   }
-  std::map<MachineId, std::pair<MemberId, Time>> overridden;
-  for (const auto& [id, member] : cache_.view()->overrides) {
-    const auto before = override_since_.find(id);
-    overridden[id] = before != override_since_.end() && before->second.first == member
-                         ? before->second
-                         : std::pair(member, now);
-  }
-  override_since_ = std::move(overridden);
   // Shares handed to members that are gone must find a new home at once.
   offered_.clear();
   std::string names;
@@ -163,7 +95,7 @@
 }
 
 std::optional<Transaction> Controller::propose_membership_change(Time now, base::LeaseId lease) {
-  if (!has_incarnation_ || !has_lease(now)) return {};
+  if (!authority_.has_incarnation() || !has_lease(now)) return {};
   const auto& members = cache_.members();
   const auto me = members.find(self_.member);
   if (me == members.end() || me->second.incarnation != self_) {
@@ -182,7 +114,7 @@
   }
   Transaction txn;
   if (me->second.reaches != (reached > 0) &&
-      (reached > 0 || base::between(incarnation_since_, now) > kReachable)) {
+      (reached > 0 || base::between(authority_.incarnation_began_at(), now) > kReachable)) {
     return member_record(lease, reached > 0);
   }
   // A process that came back takes the place of its earlier life at once, leader or not: who owns
@@ -218,7 +150,7 @@
   }
   if (*leader != self_) return {};
   if (others >= 2 && reached == 0 && others_reach &&
-      base::between(std::max(leader_since_, incarnation_since_), now) > kReachable) {
+      base::between(std::max(leader_since_, authority_.incarnation_began_at()), now) > kReachable) {
     spdlog::warn("no other member can be reached: giving up the lead");
     txn.writes.push_back({protocol::kLeadKey, {}, {}});
     return txn;
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -12,6 +12,8 @@
 
 #include "coordination/fleet/boot_tracker.h"
 #include "coordination/fleet/scaling_plan.h"
+#include "coordination/membership/authority_lease.h"
+#include "coordination/membership/ownership.h"
 #include "coordination/membership/view.h"
 #include "coordination/scheduling/failure_tracker.h"
 #include "coordination/scheduling/job_priorities.h"
@@ -98,28 +100,25 @@
   const StateCache& cache() const { return cache_; }
 
   // --- membership
-  // A lease was taken: a new life. Until the view names it, nothing may be done.
-  void begin_incarnation(ControllerIncarnation incarnation, Time now);
-  const ControllerIncarnation& self() const { return self_; }
-  // The lease of this life was taken by a call sent at `sent`.
-  void lease_acquired(Time sent);
-  // The lease was renewed by a call sent at `sent`, and the ledger was proved current after that: it
-  // holds all that was committed before the call, cancellations and views. `copy` is cache_generation() as
-  // of before that proof: a copy that was read anew meanwhile was not proved current.
-  void lease_renewed(Time sent, std::uint64_t cache_generation);
-  std::uint64_t cache_generation() const { return cache_generation_; }
-  void end_incarnation();
-  // The ledger was read anew, page by page: parts of it are older than what was proved before, so that
-  // nothing may be commanded until a renewal has proved it current again.
-  void cache_replaced() {
-    authority_valid_until_ = Time{};
-    ++cache_generation_;
+  // See AuthorityLease for these.
+  void begin_incarnation(ControllerIncarnation incarnation, Time now) {
+    authority_.begin_incarnation(std::move(incarnation), now);
+  }
+  void end_incarnation() { authority_.end_incarnation(); }
+  void lease_acquired(Time sent) { authority_.lease_acquired(sent); }
+  void lease_renewed(Time sent, std::uint64_t cache_generation) {
+    authority_.lease_renewed(sent, cache_generation);
+  }
+  void cache_replaced() { authority_.cache_replaced(); }
+  std::uint64_t cache_generation() const { return authority_.cache_generation(); }
+  const ControllerIncarnation& self() const { return authority_.self(); }
+  bool has_lease(Time now) const { return authority_.has_lease(now); }
+  // May this process answer workers and send them commands now?
+  bool has_authority(Time now) const {
+    return authority_.has_authority(now, ownership_.installed_view());
   }
-  // May this process answer workers and give them orders now?
-  bool has_authority(Time now) const;
-  bool has_lease(Time now) const { return now < lease_valid_until_; }
   bool is_leader(Time now) const;
-  // After the ledger took in changes: follows a new view.
+  // To be called after the cache took in changes: installs a new view, notes a new leader.
   void install_view(Time now);
   // The key by which others know of this life.
   Transaction member_record(base::LeaseId lease, bool reaches_others) const;
@@ -210,10 +209,10 @@
 
   // Puts on record that all controllers read this version's format, if they do and it is not yet.
   std::optional<Transaction> propose_format_upgrade() const;
-  Time ttl_after(Time sent) const;
-  // As the view says. Asked for every machine in every round, and the same until the view changes.
-  const ControllerIncarnation* owner(const MachineId& machine) const;
-  bool owns(const MachineId& machine) const;
+  const ControllerIncarnation* owner(const MachineId& machine) const {
+    return ownership_.owner(machine);
+  }
+  bool owns(const MachineId& machine) const { return ownership_.owns(machine); }
   // Does it report, and hear what it is answered?
   bool is_schedulable(const Machine& m, Time now) const;
   bool has_recent_heartbeat(const Machine& m, Time now) const;
@@ -373,31 +372,25 @@
   const base::Settings& settings_;
   StateCache cache_;
   JobPriorities priorities_;
-  ControllerIncarnation self_;
-  bool has_incarnation_ = false;
-  Time incarnation_since_{};
-  Time lease_valid_until_{};
-  Time authority_valid_until_{};
-  Version authority_view_;
-  std::uint64_t cache_generation_ = 0;  // counts the times that the ledger was read anew
-  Version installed_view_;
-  FencingToken base_fencing_token_;
-  Time view_installed_at_{};
+  AuthorityLease authority_;
+  Ownership ownership_;
+  // Short names for what other parts of this class read until they are classes of their own.
+  const ControllerIncarnation& self_ = authority_.self();
+  const Version& installed_view_ = ownership_.installed_view();
+  const FencingToken& base_fencing_token_ = ownership_.base_fencing_token();
+  const Time& view_installed_at_ = ownership_.view_installed_at();
   std::optional<Time> authority_since_;
   Time last_running_at_{},
       resumed_after_pause_at_{};  // when this process was last seen to run, and went on
   std::optional<Time> many_silent_at_;
   std::optional<Time> unheard_since_;  // while it hears hardly any of its machines
 
-  mutable std::unordered_map<MachineId, std::size_t> owners_;  // by place in the view's members
-  mutable Version owners_view_version_;
   std::map<MachineId, Machine> machines_;
   struct MisdirectedHeartbeats {
     ControllerIncarnation owner;  // to whom it was sent
     Time first{}, last{};
     int times = 0;
   };
-  std::map<MachineId, std::pair<MemberId, Time>> override_since_;
   struct CapacityReservation {
     JobId job;
     Time until{};
--- a/src/coordination/membership/reachability.cpp
+++ b/src/coordination/membership/reachability.cpp
@@ -44,11 +44,8 @@
     if (owns(id)) continue;
     // A machine that hears nobody knocks everywhere: handed on each time, its owners would change
     // for ever, and none would get to see that it is deaf.
-    const auto overridden = override_since_.find(id);
-    if (overridden != override_since_.end() &&
-        base::between(overridden->second.second, now) < kOverrideHeld) {
-      continue;
-    }
+    const auto overridden_since = ownership_.overridden_since(id);
+    if (overridden_since && base::between(*overridden_since, now) < kOverrideHeld) continue;
     const ControllerIncarnation* of = owner(id);
     // Sent to another owner, or an earlier life of it: that tells nothing of this one.
     if (!of || b.owner != *of) continue;
--- a/src/coordination/records/maintenance.cpp
+++ b/src/coordination/records/maintenance.cpp
@@ -179,7 +179,7 @@
 }
 
 std::optional<Transaction> Controller::finalize_one_job(Time now) {
-  if (!has_incarnation_ || !cache_.view()) return {};
+  if (!authority_.has_incarnation() || !cache_.view()) return {};
   for (const auto& [id, job] : cache_.jobs()) {
     if (!may_finalize(job)) continue;
     const ControllerIncarnation* home = home_of(*cache_.view(), id);
@@ -200,7 +200,7 @@
 }
 
 std::optional<Transaction> Controller::collect_garbage() {
-  if (!has_incarnation_ || !cache_.view() || cache_.orphans().empty()) return {};
+  if (!authority_.has_incarnation() || !cache_.view() || cache_.orphans().empty()) return {};
   Transaction txn;
   for (const auto& [key, version] : cache_.orphans()) {
     const ControllerIncarnation* home = home_of(*cache_.view(), JobId(key));
