--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -25,30 +25,19 @@
       cache_(settings),
       priorities_(settings_, cache_),
       authority_(settings_, cache_),
-      ownership_(cache_, authority_) {}
+      ownership_(cache_, authority_),
+      leadership_(cache_, authority_),
+      proposals_({settings_, cache_, authority_, leadership_, peer_contact_}) {}
 
 // --- membership
 
-bool Controller::is_leader(Time now) const {
-  return authority_.has_incarnation() && has_lease(now) && cache_.leader() &&
-         *cache_.leader() == self_;
-}
-
 void Controller::install_view(Time now) {
-  for (const auto& [id, member] : cache_.members()) member_since_.try_emplace(id, now);
-  std::erase_if(member_since_, [&](const auto& m) { return !cache_.members().contains(m.first); });
-  if (is_leader(now) != was_leader_) {
-    was_leader_ = is_leader(now);
-    if (was_leader_) {
-      leader_since_ = now;
-      booting_ = cache_.booting();
-      to_release_.clear();
-      unheard_.clear();
-      excluded_.clear();
-      spdlog::info("leading from now on");
-    } else {
-      spdlog::info("no longer leading");
-    }
+  peer_contact_.update_members(cache_.members(), now);
+  if (leadership_.update(now) == LeadershipChange::kGained) {
+    proposals_.include_all_members();
+    booting_ = cache_.booting();
+    to_release_.clear();
+    unheard_.clear();
   }
   const auto installed = ownership_.install_view(now);
   if (!installed) return;
@@ -84,131 +73,12 @@
                has_member(*cache_.view(), self_) ? "a member" : "not a member");
 }
 
-Transaction Controller::member_record(base::LeaseId lease, bool reaches_others) const {
-  const std::string key = protocol::member_key(self_.member);
-  Transaction txn;
-  // Guarded: carried out late, it must not take the place of a later life's.
-  txn.preconditions[key] = cache_.version(key);
-  txn.writes.push_back(
-      {key, to_json(protocol::Member{self_, reaches_others, protocol::kFormat}), lease});
-  return txn;
-}
-
 std::optional<Transaction> Controller::propose_membership_change(Time now, base::LeaseId lease) {
-  if (!authority_.has_incarnation() || !has_lease(now)) return {};
-  const auto& members = cache_.members();
-  const auto me = members.find(self_.member);
-  if (me == members.end() || me->second.incarnation != self_) {
-    // Lost to a write of an earlier life, carried out late, and to the end of that life's lease: without
-    // its key this life would stay out of every view for good.
-    return member_record(lease, false);
-  }
-  std::size_t others = 0, reached = 0;
-  bool others_reach = false;  // does one of them say that it reaches somebody?
-  for (const auto& [id, member] : members) {
-    if (id == self_.member) continue;
-    ++others;
-    others_reach = others_reach || member.reaches;
-    const auto at = reached_.find(id);
-    if (at != reached_.end() && base::between(at->second, now) < kReachable) ++reached;
-  }
-  Transaction txn;
-  if (me->second.reaches != (reached > 0) &&
-      (reached > 0 || base::between(authority_.incarnation_began_at(), now) > kReachable)) {
-    return member_record(lease, reached > 0);
-  }
-  // A process that came back takes the place of its earlier life at once, leader or not: who owns
-  // what stays the same, and workers' leases run on while it waits.
-  if (const auto& view = cache_.view(); view && !has_member(*view, self_)) {
-    const auto old =
-        std::find_if(view->members.begin(), view->members.end(),
-                     [&](const ControllerIncarnation& m) { return m.member == self_.member; });
-    if (old != view->members.end()) {
-      View next = *view;
-      next.epoch = Epoch(next.epoch.get() + 1);
-      next.members[static_cast<std::size_t>(old - view->members.begin())] = self_;
-      txn.preconditions[protocol::kViewKey] = cache_.version(protocol::kViewKey);
-      txn.preconditions[protocol::member_key(self_.member)] =
-          cache_.version(protocol::member_key(self_.member));
-      txn.writes.push_back({protocol::kViewKey, to_json(next), {}});
-      return txn;
-    }
-  }
-  txn.preconditions[protocol::kLeadKey] = cache_.version(protocol::kLeadKey);
-  const auto& leader = cache_.leader();
-  // A leader whose member has begun another life is no more.
-  const auto present = leader ? members.find(leader->member) : members.end();
-  const bool ended = leader && present != members.end() && present->second.incarnation != *leader;
-  if (!leader || ended) {
-    // A node that reaches nobody while others reach each other is the one that is cut off: it must
-    // not lead. Where nobody reaches anybody, any leader is better than none.
-    if (others > 0 && reached == 0 && others_reach) return {};
-    txn.preconditions[protocol::member_key(self_.member)] =
-        cache_.version(protocol::member_key(self_.member));
-    txn.writes.push_back({protocol::kLeadKey, to_json(self_), lease});
-    return txn;
-  }
-  if (*leader != self_) return {};
-  if (others >= 2 && reached == 0 && others_reach &&
-      base::between(std::max(leader_since_, authority_.incarnation_began_at()), now) > kReachable) {
-    spdlog::warn("no other member can be reached: giving up the lead");
-    txn.writes.push_back({protocol::kLeadKey, {}, {}});
-    return txn;
-  }
-  if (auto format = propose_format_upgrade()) return format;
-  std::set<MemberId> excluded;
-  for (const auto& [id, member] : members) {
-    if (id == self_.member || reached == 0) continue;
-    const auto at = reached_.find(id);
-    const auto since = member_since_.find(id);
-    Time last = at == reached_.end() ? Time{} : at->second;
-    if (since != member_since_.end()) last = std::max(last, since->second);
-    if (base::between(last, now) > kReachable) excluded.insert(id);
-  }
-  if (excluded != excluded_) {
-    excluded_ = excluded;
-    for (const auto& id : excluded)
-      spdlog::warn("{} can't be reached: left out of the view", id.get());
-  }
-  const auto next = next_view(
-      members, cache_.view(), excluded_, gather_ownership_claims(now),
-      [this](const MachineId& id) { return released_.contains(id); }, settings_.value_bytes);
-  if (next) {
-    txn.preconditions[protocol::kViewKey] = cache_.version(protocol::kViewKey);
-    txn.writes.push_back({protocol::kViewKey, to_json(*next), {}});
-  }
-  for (const auto& [machine, incarnation] : cache_.ownership_claims()) {
-    if (txn.writes.size() + 1 >= settings_.txn_ops) break;
-    const std::string key = protocol::claim_key(machine);
-    txn.preconditions[key] = cache_.version(key);
-    txn.writes.push_back({key, {}, {}});
-  }
-  if (txn.writes.empty()) return {};
-  return txn;
-}
-
-// New formats begin once every controller that is configured has said, under its present incarnation, that it
-// reads them: one that is away may come back as the version before.
-std::optional<Transaction> Controller::propose_format_upgrade() const {
-  if (cache_.format() >= protocol::kFormat) return {};
-  Transaction txn;
-  txn.preconditions[protocol::kFormatKey] = cache_.version(protocol::kFormatKey);
-  const auto reads_format = [&](const MemberId& id) {
-    const auto at = cache_.members().find(id);
-    if (at == cache_.members().end() || at->second.format < protocol::kFormat) return false;
-    const std::string key = protocol::member_key(id);
-    txn.preconditions[key] = cache_.version(key);
-    return true;
-  };
-  if (!reads_format(self_.member)) return {};
-  for (const base::Peer& peer : settings_.peers) {
-    // The transaction takes conditions on so many members; a larger cluster is upgraded all the same.
-    const bool has_room =
-        txn.preconditions.size() < settings_.txn_ops * protocol::kPreconditionsPerWrite;
-    if (!has_room || !reads_format(peer.member)) return {};
-  }
-  txn.writes.push_back({protocol::kFormatKey, protocol::kFormat, {}});
-  return txn;
+  if (auto txn = proposals_.propose(now, lease)) return txn;
+  if (!is_leader(now)) return {};
+  proposals_.exclude_lost_members(now);
+  return proposals_.propose_view(gather_ownership_claims(now),
+                                 [this](const MachineId& id) { return released_.contains(id); });
 }
 
 // --- workers
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -13,7 +13,10 @@
 #include "coordination/fleet/boot_tracker.h"
 #include "coordination/fleet/scaling_plan.h"
 #include "coordination/membership/authority_lease.h"
+#include "coordination/membership/leadership.h"
+#include "coordination/membership/membership_proposals.h"
 #include "coordination/membership/ownership.h"
+#include "coordination/membership/peer_contact.h"
 #include "coordination/membership/view.h"
 #include "coordination/scheduling/failure_tracker.h"
 #include "coordination/scheduling/job_priorities.h"
@@ -38,9 +41,6 @@
 using storage::Machine;
 using storage::StateCache;
 
-// A sibling that was not reached for this long counts as cut off.
-inline constexpr Seconds kReachable{4.0};
-
 struct WorkerReply {
   int status = 503;
   std::string body;
@@ -117,12 +117,13 @@
   bool has_authority(Time now) const {
     return authority_.has_authority(now, ownership_.installed_view());
   }
-  bool is_leader(Time now) const;
+  bool is_leader(Time now) const { return leadership_.is_leader(now); }
   // To be called after the cache took in changes: installs a new view, notes a new leader.
   void install_view(Time now);
-  // The key by which others know of this life.
-  Transaction member_record(base::LeaseId lease, bool reaches_others) const;
-  // What leadership asks for: to take it, or to write a new view. At most one transaction.
+  // See MembershipProposals for these.
+  Transaction member_record(base::LeaseId lease, bool reaches_others) const {
+    return proposals_.member_record(lease, reaches_others);
+  }
   std::optional<Transaction> propose_membership_change(Time now, base::LeaseId lease);
 
   // --- workers
@@ -173,7 +174,7 @@
   void status_acknowledged(const MemberId& by, std::uint64_t upto) {
     acknowledged_revisions_[by] = upto;
   }
-  void peer_reached(const MemberId& member, Time now) { reached_[member] = now; }
+  void peer_reached(const MemberId& member, Time now) { peer_contact_.record_reached(member, now); }
   // Has another controller, heard of lately, a lease while this one has none?
   bool peers_have_state(Time now) const;
 
@@ -207,8 +208,6 @@
     Time until{};
   };
 
-  // Puts on record that all controllers read this version's format, if they do and it is not yet.
-  std::optional<Transaction> propose_format_upgrade() const;
   const ControllerIncarnation* owner(const MachineId& machine) const {
     return ownership_.owner(machine);
   }
@@ -374,11 +373,15 @@
   JobPriorities priorities_;
   AuthorityLease authority_;
   Ownership ownership_;
+  PeerContact peer_contact_;
+  Leadership leadership_;
+  MembershipProposals proposals_;
   // Short names for what other parts of this class read until they are classes of their own.
   const ControllerIncarnation& self_ = authority_.self();
   const Version& installed_view_ = ownership_.installed_view();
   const FencingToken& base_fencing_token_ = ownership_.base_fencing_token();
   const Time& view_installed_at_ = ownership_.view_installed_at();
+  const Time& leader_since_ = leadership_.leader_since();
   std::optional<Time> authority_since_;
   Time last_running_at_{},
       resumed_after_pause_at_{};  // when this process was last seen to run, and went on
@@ -425,11 +428,6 @@
   std::map<MachineId, std::uint64_t> left_;  // machines no longer owned, by that count
   std::map<MemberId, std::uint64_t>
       acknowledged_revisions_;  // what each sibling has, by that count
-  std::map<MemberId, Time> reached_;
-  std::map<MemberId, Time> member_since_;
-  std::set<MemberId> excluded_;
-  Time leader_since_{};
-  bool was_leader_ = false;
 
   std::map<MachineKind, Time> refused_;  // not to be asked for before then
   std::map<MachineKind, int> refusals_;  // in a row
--- a/src/coordination/membership/reachability.cpp
+++ b/src/coordination/membership/reachability.cpp
@@ -73,8 +73,7 @@
 std::optional<Transaction> Controller::propose_ownership_claims(Time now) {
   const auto& leader = cache_.leader();
   if (!leader || *leader == self_) return {};
-  const auto reached = reached_.find(leader->member);
-  if (reached != reached_.end() && base::between(reached->second, now) < kReachable) return {};
+  if (peer_contact_.is_reachable(leader->member, now)) return {};
   Transaction txn;
   txn.preconditions[protocol::kViewKey] = installed_view_;
   for (const MachineId& id : ownership_claims(now)) {
--- /dev/null
+++ b/tests/membership_proposals_test.cpp
@@ -0,0 +1,192 @@
+// What a member proposes to the state service about the membership.
+#include "coordination/membership/membership_proposals.h"
+
+#include <gtest/gtest.h>
+
+namespace saddleslip::coordination {
+
+class MembershipProposalsTest : public ::testing::Test {
+ protected:
+  MembershipProposalsTest() {
+    settings_.tuning.member_ttl = base::Seconds(100);
+    authority_.begin_incarnation(self_, start_);
+    authority_.lease_acquired(start_);
+  }
+  void store(const std::string& key, const protocol::Json& value) {
+    cache_.apply({key, value, base::Version(++last_version_)}, start_);
+  }
+  void store_member(const ControllerIncarnation& member, bool reaches_others,
+                    std::uint64_t format = protocol::kFormat) {
+    store(protocol::member_key(member.member),
+          to_json(protocol::Member{member, reaches_others, format}));
+    contact_.update_members(cache_.members(), start_);
+  }
+  void store_view(std::vector<ControllerIncarnation> members) {
+    store(protocol::kViewKey, to_json(View{Epoch(1), std::move(members), {}}));
+  }
+  void store_leader(const ControllerIncarnation& leader) {
+    store(protocol::kLeadKey, to_json(leader));
+    leadership_.update(start_);
+  }
+  // This process leads a cluster of two that reach each other, all of which is on record.
+  void lead_two_members() {
+    contact_.record_reached(other_.member, start_);
+    store_member(self_, true);
+    store_member(other_, true);
+    store_view({self_, other_});
+    store_leader(self_);
+    store(protocol::kFormatKey, protocol::kFormat);
+  }
+  // The key that is written by the only write of the proposal; empty: nothing is proposed.
+  std::string proposed_key(double seconds) const {
+    const auto txn = proposals_.propose(at(seconds), lease_);
+    if (!txn) return "";
+    EXPECT_EQ(1u, txn->writes.size());
+    return txn->writes.front().key;
+  }
+  std::optional<protocol::Transaction> view_proposal(
+      const std::map<MachineId, ControllerIncarnation>& claims = {}) const {
+    return proposals_.propose_view(claims, [](const MachineId&) { return false; });
+  }
+  base::Time at(double seconds) const { return base::after(start_, base::Seconds(seconds)); }
+
+  base::Settings settings_;
+  const base::Time start_{std::chrono::seconds(1000)};
+  const base::LeaseId lease_{7};
+  const ControllerIncarnation self_{MemberId("n0"), base::Incarnation(7)};
+  const ControllerIncarnation other_{MemberId("n1"), base::Incarnation(8)};
+  const ControllerIncarnation third_{MemberId("n2"), base::Incarnation(9)};
+  const std::string own_key_ = protocol::member_key(self_.member);
+  std::uint64_t last_version_ = 0;
+  storage::StateCache cache_{settings_};
+  AuthorityLease authority_{settings_, cache_};
+  Leadership leadership_{cache_, authority_};
+  PeerContact contact_;
+  MembershipProposals proposals_{{settings_, cache_, authority_, leadership_, contact_}};
+};
+
+TEST_F(MembershipProposalsTest, NothingIsProposedWithoutALease) {
+  EXPECT_EQ("", proposed_key(200));
+  authority_.end_incarnation();
+  EXPECT_EQ("", proposed_key(1));
+}
+
+TEST_F(MembershipProposalsTest, MissingOwnRecordIsWrittenFirst) {
+  EXPECT_EQ(own_key_, proposed_key(1));
+  store_member({self_.member, base::Incarnation(6)}, false);
+  EXPECT_EQ(own_key_, proposed_key(1));
+  store_member(self_, false);
+  EXPECT_EQ(protocol::kLeadKey, proposed_key(1));
+}
+
+TEST_F(MembershipProposalsTest, OwnRecordFollowsWhoIsReached) {
+  store_member(self_, false);
+  store_member(other_, false);
+  store_leader(other_);
+  contact_.record_reached(other_.member, at(1));
+  EXPECT_EQ(own_key_, proposed_key(1));
+  store_member(self_, true);
+  EXPECT_EQ("", proposed_key(2));
+  EXPECT_EQ(own_key_, proposed_key(10));  // reached by nobody since
+}
+
+TEST_F(MembershipProposalsTest, EarlierIncarnationIsReplacedInTheView) {
+  store_member(self_, false);
+  store_view({other_, {self_.member, base::Incarnation(6)}});
+  const auto txn = proposals_.propose(at(1), lease_);
+  ASSERT_TRUE(txn);
+  EXPECT_EQ((std::map<std::string, base::Version>{
+                {protocol::kViewKey, cache_.version(protocol::kViewKey)},
+                {own_key_, cache_.version(own_key_)}}),
+            txn->preconditions);
+  const auto view = protocol::parse_view(*txn->writes.front().value);
+  ASSERT_TRUE(view);
+  EXPECT_EQ((std::vector{other_, self_}), view->members);
+  EXPECT_EQ(Epoch(2), view->epoch);
+}
+
+TEST_F(MembershipProposalsTest, LeadershipIsTakenWhenTheLeaderBeganAnotherIncarnation) {
+  store_member(self_, false);
+  store_member(other_, false);
+  store_leader(other_);
+  EXPECT_EQ("", proposed_key(1));
+  store_member({other_.member, base::Incarnation(18)}, false);
+  EXPECT_EQ(protocol::kLeadKey, proposed_key(1));
+}
+
+TEST_F(MembershipProposalsTest, MemberThatIsCutOffDoesNotTakeLeadership) {
+  store_member(self_, false);
+  store_member(other_, true);
+  EXPECT_EQ("", proposed_key(1));
+  // Where nobody reaches anybody, any leader is better than none.
+  store_member(other_, false);
+  EXPECT_EQ(protocol::kLeadKey, proposed_key(1));
+}
+
+TEST_F(MembershipProposalsTest, LeaderThatIsCutOffGivesUp) {
+  store_member(self_, false);
+  store_member(other_, true);
+  store_member(third_, true);
+  store(protocol::kFormatKey, protocol::kFormat);
+  store_leader(self_);
+  EXPECT_EQ("", proposed_key(3));
+  const auto txn = proposals_.propose(at(5), lease_);
+  ASSERT_TRUE(txn);
+  EXPECT_EQ(protocol::kLeadKey, txn->writes.front().key);
+  EXPECT_FALSE(txn->writes.front().value);  // removed
+}
+
+TEST_F(MembershipProposalsTest, FormatIsUpgradedOnceAllConfiguredMembersReadIt) {
+  settings_.peers = {{other_.member, "a", {}}};
+  store_member(self_, false);
+  store_leader(self_);
+  EXPECT_EQ("", proposed_key(1));
+  store_member(other_, false, protocol::kFormat - 1);
+  EXPECT_EQ("", proposed_key(1));
+  store_member(other_, false);
+  EXPECT_EQ(protocol::kFormatKey, proposed_key(1));
+}
+
+TEST_F(MembershipProposalsTest, ViewThatIsRightIsNotProposedAgain) {
+  lead_two_members();
+  EXPECT_EQ("", proposed_key(1));
+  EXPECT_FALSE(view_proposal());
+}
+
+TEST_F(MembershipProposalsTest, LostMemberIsExcludedUntilItIsReachedAgain) {
+  lead_two_members();
+  store_member(third_, true);
+  store_view({self_, other_, third_});
+  proposals_.exclude_lost_members(at(3));
+  EXPECT_FALSE(view_proposal());
+  contact_.record_reached(other_.member, at(5));
+  proposals_.exclude_lost_members(at(5));
+  const auto txn = view_proposal();
+  ASSERT_TRUE(txn);
+  EXPECT_TRUE(txn->preconditions.contains(protocol::kLeadKey));
+  EXPECT_EQ((std::vector{self_, other_}),
+            protocol::parse_view(*txn->writes.front().value)->members);
+  contact_.record_reached(third_.member, at(6));
+  proposals_.exclude_lost_members(at(6));
+  EXPECT_FALSE(view_proposal());
+}
+
+TEST_F(MembershipProposalsTest, LeaderThatReachesNobodyExcludesNobody) {
+  lead_two_members();
+  proposals_.exclude_lost_members(at(10));
+  EXPECT_FALSE(view_proposal());
+}
+
+TEST_F(MembershipProposalsTest, ClaimedMachineMovesAndItsClaimIsRemoved) {
+  lead_two_members();
+  const MachineId machine("i-1");
+  store(protocol::claim_key(machine), to_json(other_));
+  const auto txn = view_proposal(cache_.ownership_claims());
+  ASSERT_TRUE(txn);
+  ASSERT_EQ(2u, txn->writes.size());
+  EXPECT_EQ(other_.member, protocol::parse_view(*txn->writes[0].value)->overrides.at(machine));
+  EXPECT_EQ(protocol::claim_key(machine), txn->writes[1].key);
+  EXPECT_TRUE(txn->preconditions.contains(protocol::claim_key(machine)));
+}
+
+}  // namespace saddleslip::coordination
