--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -17,106 +17,35 @@
 // A machine that hears no answer goes from node to node, and comes by within this.
 constexpr Seconds kHalfOpenRound{20.0};
 constexpr std::size_t kMaxCrashLoopingJobs = 256;  // named in one status
-constexpr std::size_t kMostOwners = 20000;         // remembered; more are worked out anew
 
 }  // namespace
 
 Controller::Controller(const base::Settings& settings)
-    : settings_(settings), cache_(settings), priorities_(settings_, cache_) {}
+    : settings_(settings),
+      cache_(settings),
+      priorities_(settings_, cache_),
+      authority_(settings_, cache_),
+      ownership_(cache_, authority_),
+      leadership_(cache_, authority_),
+      proposals_({settings_, cache_, authority_, leadership_, peer_contact_}) {}
 
 // --- membership
 
-void Controller::begin_incarnation(ControllerIncarnation incarnation, Time now) {
-  self_ = std::move(incarnation);
-  has_incarnation_ = true;
-  incarnation_since_ = now;
-  authority_valid_until_ = Time{};
-  lease_valid_until_ = Time{};
-}
-
-void Controller::end_incarnation() {
-  has_incarnation_ = false;
-  authority_valid_until_ = Time{};
-  lease_valid_until_ = Time{};
-}
-
-void Controller::lease_acquired(Time sent) {
-  lease_valid_until_ = std::max(lease_valid_until_, ttl_after(sent));
-}
-
-Time Controller::ttl_after(Time sent) const {
-  // Counted from when the call was sent, on a clock that may run slow against the store's. The full
-  // time that an outage gives back to leases is not counted on.
-  return base::after(sent, settings_.tuning.member_ttl * (1.0 - base::kDrift));
-}
-
-void Controller::lease_renewed(Time sent, std::uint64_t cache_generation) {
-  if (cache_generation != cache_generation_) return;
-  authority_valid_until_ = ttl_after(sent);
-  authority_view_ = cache_.version(protocol::kViewKey);
-}
-
-bool Controller::has_authority(Time now) const {
-  return has_incarnation_ && now < authority_valid_until_ && cache_.view() &&
-         installed_view_.get() != 0 && authority_view_ == installed_view_ &&
-         installed_view_ == cache_.version(protocol::kViewKey) && has_member(*cache_.view(), self_);
-}
-
-bool Controller::is_leader(Time now) const {
-  return has_incarnation_ && has_lease(now) && cache_.leader() && *cache_.leader() == self_;
-}
-
-const ControllerIncarnation* Controller::owner(const MachineId& machine) const {
-  const auto& view = cache_.view();
-  if (!view || view->members.empty()) return nullptr;
-  const Version version = cache_.version(protocol::kViewKey);
-  if (owners_view_version_ != version || owners_.size() > kMostOwners) {
-    owners_.clear();
-    owners_view_version_ = version;
-  }
-  const auto [at, is_new] = owners_.try_emplace(machine, 0);
-  if (is_new) {
-    at->second = static_cast<std::size_t>(owner_of(*view, machine) - view->members.data());
-  }
-  return &view->members[at->second];
-}
-
-bool Controller::owns(const MachineId& machine) const {
-  const ControllerIncarnation* of = has_incarnation_ ? owner(machine) : nullptr;
-  return of && *of == self_;
-}
-
 void Controller::install_view(Time now) {
-  for (const auto& [id, member] : cache_.members()) member_since_.try_emplace(id, now);
-  std::erase_if(member_since_, [&](const auto& m) { return !cache_.members().contains(m.first); });
-  if (is_leader(now) != was_leader_) {
-    was_leader_ = is_leader(now);
-    if (was_leader_) {
-      leader_since_ = now;
-      booting_ = cache_.booting();
-      to_release_.clear();
-      unheard_.clear();
-      excluded_.clear();
-      spdlog::info("leading from now on");
-    } else {
-      spdlog::info("no longer leading");
-    }
-  }
-  const Version version = cache_.version(protocol::kViewKey);
-  // Taking over needs all that was recorded before the view: the watch must have brought it.
-  if (!cache_.view() || version == installed_view_ || cache_.revision().get() < version.get()) {
-    return;
-  }
-  const FencingToken base = first_fencing_token(cache_.view()->epoch);
-  // Views that were skipped may have had other owners, who may have answered until lately.
-  const bool in_a_row =
-      base.get() == base_fencing_token_.get() + first_fencing_token(Epoch(1)).get();
-  installed_view_ = version;
-  base_fencing_token_ = base;
-  view_installed_at_ = now;
+  peer_contact_.update_members(cache_.members(), now);
+  if (leadership_.update(now) == LeadershipChange::kGained) {
+    proposals_.include_all_members();
+    booting_ = cache_.booting();
+    to_release_.clear();
+    unheard_.clear();
+  }
+  const auto installed = ownership_.install_view(now);
+  if (!installed) return;
+  const FencingToken base = installed->base_fencing_token;
+  const bool in_a_row = installed->follows_previous;
   std::erase_if(machines_, [&](const auto& m) {
     if (owns(m.first)) return false;
-    left_[m.first] = ++status_revision_;
+    status_revisions_.machine_left(m.first);
     return true;
   });
   std::erase_if(owned_since_, [&](const auto& m) { return !in_a_row || !owns(m.first); });
@@ -133,14 +62,6 @@
       m.last_answered_at =
           std::max(m.last_answered_at, base::after(now, settings_.tuning.member_ttl));
   }
-  std::map<MachineId, std::pair<MemberId, Time>> overridden;
-  for (const auto& [id, member] : cache_.view()->overrides) {
-    const auto before = override_since_.find(id);
-    overridden[id] = before != override_since_.end() && before->second.first == member
-                         ? before->second
-                         : std::pair(member, now);
-  }
-  override_since_ = std::move(overridden);
   // Shares handed to members that are gone must find a new home at once.
   offered_.clear();
   std::string names;
@@ -152,131 +73,12 @@
                has_member(*cache_.view(), self_) ? "a member" : "not a member");
 }
 
-Transaction Controller::member_record(base::LeaseId lease, bool reaches_others) const {
-  const std::string key = protocol::member_key(self_.member);
-  Transaction txn;
-  // Guarded: carried out late, it must not take the place of a later life's.
-  txn.preconditions[key] = cache_.version(key);
-  txn.writes.push_back(
-      {key, to_json(protocol::Member{self_, reaches_others, protocol::kFormat}), lease});
-  return txn;
-}
-
 std::optional<Transaction> Controller::propose_membership_change(Time now, base::LeaseId lease) {
-  if (!has_incarnation_ || !has_lease(now)) return {};
-  const auto& members = cache_.members();
-  const auto me = members.find(self_.member);
-  if (me == members.end() || me->second.incarnation != self_) {
-    // Lost to a write of an earlier life, carried out late, and to the end of that life's lease: without
-    // its key this life would stay out of every view for good.
-    return member_record(lease, false);
-  }
-  std::size_t others = 0, reached = 0;
-  bool others_reach = false;  // does one of them say that it reaches somebody?
-  for (const auto& [id, member] : members) {
-    if (id == self_.member) continue;
-    ++others;
-    others_reach = others_reach || member.reaches;
-    const auto at = reached_.find(id);
-    if (at != reached_.end() && base::between(at->second, now) < kReachable) ++reached;
-  }
-  Transaction txn;
-  if (me->second.reaches != (reached > 0) &&
-      (reached > 0 || base::between(incarnation_since_, now) > kReachable)) {
-    return member_record(lease, reached > 0);
-  }
-  // A process that came back takes the place of its earlier life at once, leader or not: who owns
-  // what stays the same, and workers' leases run on while it waits.
-  if (const auto& view = cache_.view(); view && !has_member(*view, self_)) {
-    const auto old =
-        std::find_if(view->members.begin(), view->members.end(),
-                     [&](const ControllerIncarnation& m) { return m.member == self_.member; });
-    if (old != view->members.end()) {
-      View next = *view;
-      next.epoch = Epoch(next.epoch.get() + 1);
-      next.members[static_cast<std::size_t>(old - view->members.begin())] = self_;
-      txn.preconditions[protocol::kViewKey] = cache_.version(protocol::kViewKey);
-      txn.preconditions[protocol::member_key(self_.member)] =
-          cache_.version(protocol::member_key(self_.member));
-      txn.writes.push_back({protocol::kViewKey, to_json(next), {}});
-      return txn;
-    }
-  }
-  txn.preconditions[protocol::kLeadKey] = cache_.version(protocol::kLeadKey);
-  const auto& leader = cache_.leader();
-  // A leader whose member has begun another life is no more.
-  const auto present = leader ? members.find(leader->member) : members.end();
-  const bool ended = leader && present != members.end() && present->second.incarnation != *leader;
-  if (!leader || ended) {
-    // A node that reaches nobody while others reach each other is the one that is cut off: it must
-    // not lead. Where nobody reaches anybody, any leader is better than none.
-    if (others > 0 && reached == 0 && others_reach) return {};
-    txn.preconditions[protocol::member_key(self_.member)] =
-        cache_.version(protocol::member_key(self_.member));
-    txn.writes.push_back({protocol::kLeadKey, to_json(self_), lease});
-    return txn;
-  }
-  if (*leader != self_) return {};
-  if (others >= 2 && reached == 0 && others_reach &&
-      base::between(std::max(leader_since_, incarnation_since_), now) > kReachable) {
-    spdlog::warn("no other member can be reached: giving up the lead");
-    txn.writes.push_back({protocol::kLeadKey, {}, {}});
-    return txn;
-  }
-  if (auto format = propose_format_upgrade()) return format;
-  std::set<MemberId> excluded;
-  for (const auto& [id, member] : members) {
-    if (id == self_.member || reached == 0) continue;
-    const auto at = reached_.find(id);
-    const auto since = member_since_.find(id);
-    Time last = at == reached_.end() ? Time{} : at->second;
-    if (since != member_since_.end()) last = std::max(last, since->second);
-    if (base::between(last, now) > kReachable) excluded.insert(id);
-  }
-  if (excluded != excluded_) {
-    excluded_ = excluded;
-    for (const auto& id : excluded)
-      spdlog::warn("{} can't be reached: left out of the view", id.get());
-  }
-  const auto next = next_view(
-      members, cache_.view(), excluded_, gather_ownership_claims(now),
-      [this](const MachineId& id) { return released_.contains(id); }, settings_.value_bytes);
-  if (next) {
-    txn.preconditions[protocol::kViewKey] = cache_.version(protocol::kViewKey);
-    txn.writes.push_back({protocol::kViewKey, to_json(*next), {}});
-  }
-  for (const auto& [machine, incarnation] : cache_.ownership_claims()) {
-    if (txn.writes.size() + 1 >= settings_.txn_ops) break;
-    const std::string key = protocol::claim_key(machine);
-    txn.preconditions[key] = cache_.version(key);
-    txn.writes.push_back({key, {}, {}});
-  }
-  if (txn.writes.empty()) return {};
-  return txn;
-}
-
-// New formats begin once every controller that is configured has said, under its present incarnation, that it
-// reads them: one that is away may come back as the version before.
-std::optional<Transaction> Controller::propose_format_upgrade() const {
-  if (cache_.format() >= protocol::kFormat) return {};
-  Transaction txn;
-  txn.preconditions[protocol::kFormatKey] = cache_.version(protocol::kFormatKey);
-  const auto reads_format = [&](const MemberId& id) {
-    const auto at = cache_.members().find(id);
-    if (at == cache_.members().end() || at->second.format < protocol::kFormat) return false;
-    const std::string key = protocol::member_key(id);
-    txn.preconditions[key] = cache_.version(key);
-    return true;
-  };
-  if (!reads_format(self_.member)) return {};
-  for (const base::Peer& peer : settings_.peers) {
-    // The transaction takes conditions on so many members; a larger cluster is upgraded all the same.
-    const bool has_room =
-        txn.preconditions.size() < settings_.txn_ops * protocol::kPreconditionsPerWrite;
-    if (!has_room || !reads_format(peer.member)) return {};
-  }
-  txn.writes.push_back({protocol::kFormatKey, protocol::kFormat, {}});
-  return txn;
+  if (auto txn = proposals_.propose(now, lease)) return txn;
+  if (!is_leader(now)) return {};
+  proposals_.exclude_lost_members(now);
+  return proposals_.propose_view(gather_ownership_claims(now),
+                                 [this](const MachineId& id) { return released_.contains(id); });
 }
 
 // --- workers
@@ -340,7 +142,7 @@
   auto [at, is_new] = machines_.try_emplace(heartbeat.machine);
   Machine& m = at->second;
   if (is_new) {
-    left_.erase(heartbeat.machine);
+    status_revisions_.machine_joined(heartbeat.machine);
     m.idle_since = now;
     m.fencing_token = base_fencing_token_;
     m.fence_floor = base_fencing_token_;
@@ -503,7 +305,7 @@
 void Controller::mark_released(const std::vector<MachineId>& machines, Time now) {
   for (const MachineId& id : machines) {
     if (!released_.emplace(id, now).second) continue;
-    if (machines_.erase(id) > 0) left_[id] = ++status_revision_;
+    if (machines_.erase(id) > 0) status_revisions_.machine_left(id);
     unheard_owned_at_ = Time{};  // its tasks are over: at once
     silent_machines_.erase(id);
     zones_.erase(id);
@@ -652,7 +454,7 @@
     for (const auto& [image, gb] : m.images) r.images.push_back(image);
     m.status_heartbeat = heartbeat;
   }
-  m.status_changed_at = ++status_revision_;
+  m.status_changed_at = status_revisions_.advance();
 }
 
 std::string Controller::zone_of(const MachineId& machine) const {
@@ -677,23 +479,14 @@
   MemberStatus s;
   s.from = self_;
   s.has_state = has_lease(now);
-  s.since = acknowledged_revisions_[to];
+  s.since = status_revisions_.acknowledged(to);
   for (auto& [id, m] : machines_) {
     update_status(m, now);
     if (m.status_changed_at > s.since) s.machines.push_back(m.status);
   }
-  for (const auto& [id, at] : left_) {
-    if (at > s.since && s.since > 0) s.left.push_back(id);
-  }
-  s.upto = status_revision_;
-  // What every sibling knows to have left need not be kept.
-  std::uint64_t least = status_revision_;
-  for (const base::Peer& peer : settings_.peers) {
-    // One that has nothing is told all.
-    if (const std::uint64_t taken = acknowledged_revisions_[peer.member]; taken > 0)
-      least = std::min(least, taken);
-  }
-  std::erase_if(left_, [&](const auto& l) { return l.second <= least; });
+  s.left = status_revisions_.left_since(s.since);
+  s.upto = status_revisions_.current();
+  status_revisions_.forget_acknowledged(settings_.peers);
   s.release_requested = release_requests();
   s.misdirected = misdirected(now);
   s.contact = worker_contact(now);
@@ -706,28 +499,12 @@
 
 Instructions Controller::handle_peer_status(const MemberStatus& status, Time now) {
   Instructions out;
-  const auto before = peers_.find(status.from.member);
-  if (status.since != 0 && (before == peers_.end() || before->second.from != status.from ||
-                            before->second.upto != status.since)) {
-    // It builds upon a telling that never came, or that was of another life.
+  if (!peers_.update(status, now)) {
     out.again = true;
     return out;
   }
-  Peer& s = peers_[status.from.member];
-  if (status.since == 0) s.machines.clear();
-  s.from = status.from;
-  s.has_state = status.has_state;
-  s.upto = status.upto;
-  s.release_requested = status.release_requested;
-  s.misdirected = status.misdirected;
-  s.ownership_claims = status.ownership_claims;
-  s.contact = status.contact;
-  s.crash_looping_jobs = {status.crash_looping_jobs.begin(), status.crash_looping_jobs.end()};
-  s.last_heartbeat_at = now;
-  for (const MachineId& id : status.left) s.machines.erase(id);
   for (const MachineStatus& m : status.machines) {
     if (!released_.contains(m.id)) zones_[m.id] = m.zone;
-    s.machines[m.id] = m;
   }
   for (const MachineId& id : status.release_requested) {
     if (released_.contains(id)) out.released.push_back(id);
@@ -743,12 +520,6 @@
   return out;
 }
 
-bool Controller::peers_have_state(Time now) const {
-  return std::any_of(peers_.begin(), peers_.end(), [&](const auto& s) {
-    return s.second.has_state && base::between(s.second.last_heartbeat_at, now) < Seconds(2.5);
-  });
-}
-
 Controller::Partitions Controller::partitions(Time now, Seconds remembered) {
   Partitions out;
   out.emplace_back(self_.member, std::vector<const MachineStatus*>{});
