--- a/tests/daemon_test.cpp
+++ b/tests/daemon_test.cpp
@@ -87,7 +87,7 @@
 // A barrier whose catch-up is a function of its number, counted from one.
 class CountedBarrier {
  public:
-  explicit CountedBarrier(std::function<bool(int)> catch_up)
+  explicit CountedBarrier(const std::function<bool(int)>& catch_up)
       : barrier_({Seconds(0), kLong}, [this, catch_up] { return catch_up(++catch_ups_); }) {}
   ReadBarrier& barrier() { return barrier_; }
   int catch_ups() const { return catch_ups_; }
