--- a/src/coordination/membership/view.cpp
+++ b/src/coordination/membership/view.cpp
@@ -6,8 +6,10 @@
 
 namespace {
 
+// FNV-1a, with a finisher that spreads the last bytes over the whole value. All controllers must agree
+// on it: it must never change.
 std::uint64_t hash(const std::string& a, const std::string& b) {
-  std::uint64_t h = 1469598103934665603ull;  // FNV-1a, then a finisher that spreads the last bytes
+  std::uint64_t h = 1469598103934665603ull;
   const auto mix = [&h](const std::string& s) {
     for (const char c : s) {
       h ^= static_cast<unsigned char>(c);
@@ -26,43 +28,45 @@
   return h;
 }
 
-const ControllerIncarnation* highest(const View& view, const std::string& name) {
+// The member with the highest hash together with the name.
+const ControllerIncarnation* highest_ranked(const View& view, const std::string& name) {
   const ControllerIncarnation* best = nullptr;
-  std::uint64_t most = 0;
+  std::uint64_t best_rank = 0;
   for (const ControllerIncarnation& m : view.members) {
-    const std::uint64_t h = hash(m.member.get(), name);
-    if (!best || h > most) {
+    const std::uint64_t rank = hash(m.member.get(), name);
+    if (!best || rank > best_rank) {
       best = &m;
-      most = h;
+      best_rank = rank;
     }
   }
   return best;
 }
 
-constexpr std::size_t kForMembers = 100;  // bytes of the view for each member, and once more
+// Estimates of the size of a stored view, for keeping within the size of a value.
+constexpr std::size_t kBytesPerMember = 100;
+constexpr std::size_t kBytesPerOverride = 3;  // besides the machine's id
 
 }  // namespace
 
 const ControllerIncarnation* home_of(const View& view, const JobId& job) {
-  return highest(view, job.get());
+  return highest_ranked(view, job.get());
 }
 
 const ControllerIncarnation* owner_of(const View& view, const MachineId& machine) {
-  if (const auto add_override = view.overrides.find(machine);
-      add_override != view.overrides.end()) {
+  if (const auto entry = view.overrides.find(machine); entry != view.overrides.end()) {
     for (const ControllerIncarnation& m : view.members) {
-      if (m.member == add_override->second) return &m;
+      if (m.member == entry->second) return &m;
     }
   }
-  return highest(view, machine.get());
+  return highest_ranked(view, machine.get());
 }
 
 std::optional<View> next_view(const std::map<MemberId, protocol::Member>& members,
                               const std::optional<View>& present,
                               const std::set<MemberId>& excluded,
                               const std::map<MachineId, ControllerIncarnation>& claims,
-                              const std::function<bool(const MachineId&)>& released,
-                              std::size_t most_bytes) {
+                              const std::function<bool(const MachineId&)>& is_released,
+                              std::size_t max_bytes) {
   View next;
   for (const auto& [id, member] : members) {
     if (!excluded.contains(id)) next.members.push_back(member.incarnation);
@@ -71,10 +75,10 @@
     return std::any_of(next.members.begin(), next.members.end(),
                        [&id](const ControllerIncarnation& m) { return m.member == id; });
   };
-  std::size_t bytes = kForMembers * (next.members.size() + 1);
+  std::size_t bytes = kBytesPerMember * (next.members.size() + 1);
   const auto add_override = [&](const MachineId& machine, const MemberId& member) {
-    const std::size_t more = machine.get().size() + 3;
-    if (bytes + more > most_bytes || released(machine)) return;
+    const std::size_t more = machine.get().size() + kBytesPerOverride;
+    if (bytes + more > max_bytes || is_released(machine)) return;
     if (next.overrides.emplace(machine, member).second) bytes += more;
   };
   for (const auto& [machine, incarnation] : claims) {
@@ -88,10 +92,11 @@
   if (next.members.empty()) return {};
   if (present) {
     next.epoch = present->epoch;
-    // That machines are gone is no reason for a new view: they leave it with the next one.
-    View now = *present;
-    std::erase_if(now.overrides, [&](const auto& p) { return released(p.first); });
-    if (next == now) return {};
+    // Released machines are no reason for a new view: they are dropped with the next one.
+    View without_released = *present;
+    std::erase_if(without_released.overrides,
+                  [&](const auto& entry) { return is_released(entry.first); });
+    if (next == without_released) return {};
   }
   next.epoch = Epoch(next.epoch.get() + 1);
   return next;
