--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -9,7 +9,6 @@
 
 namespace {
 
-constexpr Seconds kPauseDetected{2.5};   // without a report, a round or a status
 constexpr Seconds kReleasedKept{600.0};  // late reports and old lists may still name the machine
 
 constexpr double kFencingTokenRenewal =
@@ -27,7 +26,10 @@
       authority_(settings_, cache_),
       ownership_(cache_, authority_),
       leadership_(cache_, authority_),
-      proposals_({settings_, cache_, authority_, leadership_, peer_contact_}) {}
+      proposals_({settings_, cache_, authority_, leadership_, peer_contact_}),
+      contact_monitor_(pauses_),
+      ownership_claims_(settings_, ownership_, peers_),
+      transfers_({settings_, cache_, authority_, ownership_, peers_}) {}
 
 // --- membership
 
@@ -77,27 +79,13 @@
   if (auto txn = proposals_.propose(now, lease)) return txn;
   if (!is_leader(now)) return {};
   proposals_.exclude_lost_members(now);
-  return proposals_.propose_view(gather_ownership_claims(now),
-                                 [this](const MachineId& id) { return released_.contains(id); });
+  const auto is_released = [this](const MachineId& id) { return released_.contains(id); };
+  const auto transfers = transfers_.due(own_report(now), is_released, now);
+  return proposals_.propose_view(transfers, is_released);
 }
 
 // --- workers
 
-void Controller::detect_pause(Time now) {
-  if (last_running_at_ != Time{} && base::between(last_running_at_, now) > kPauseDetected) {
-    spdlog::warn("stood still for {:.1f} s", base::between(last_running_at_, now).count());
-    resumed_after_pause_at_ = now;
-  }
-  last_running_at_ = std::max(last_running_at_, now);
-}
-
-// Since when this process could hear machines: while it might not answer, or stood still, they went from
-// node to node, and that is no silence.
-Time Controller::listening_since() const {
-  return authority_since_ ? std::max(*authority_since_, resumed_after_pause_at_)
-                          : resumed_after_pause_at_;
-}
-
 WorkerReply Controller::handle_heartbeat(const Heartbeat& heartbeat, Time now) {
   detect_pause(now);
   if (!cache_.view() || cache_.view()->members.empty()) {
@@ -105,7 +93,7 @@
   }
   const ControllerIncarnation* of = owner(heartbeat.machine);
   if (of->member != self_.member) {
-    record_misdirected_heartbeat(heartbeat.machine, *of, now);
+    ownership_claims_.record_misdirected(heartbeat.machine, *of, now);
     return {421, protocol::redirect(of->member)};
   }
   if (!has_authority(now)) return {503, protocol::error_body("not entitled to act now")};
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -18,8 +18,12 @@
 #include "coordination/membership/leadership.h"
 #include "coordination/membership/membership_proposals.h"
 #include "coordination/membership/ownership.h"
+#include "coordination/membership/ownership_claims.h"
+#include "coordination/membership/ownership_transfers.h"
+#include "coordination/membership/pause_detector.h"
 #include "coordination/membership/peer_contact.h"
 #include "coordination/membership/view.h"
+#include "coordination/membership/worker_contact_monitor.h"
 #include "coordination/scheduling/failure_tracker.h"
 #include "coordination/scheduling/job_priorities.h"
 #include "coordination/scheduling/packing.h"
@@ -214,32 +218,20 @@
   Resources being_stopped(const Machine& m) const;
   void update_status(Machine& m, Time now);
   std::vector<MachineId> release_requests() const;
-  std::vector<MachineId> misdirected(Time now) const;
-  // A machine of that owner reported here and was sent there.
-  void record_misdirected_heartbeat(const MachineId& machine, const ControllerIncarnation& owner,
-                                    Time now);
-  // Machines that come back again and again: they reach this node, and not their owner.
+  std::vector<MachineId> misdirected(Time now) const { return ownership_claims_.misdirected(now); }
+  // Machines of other members that this one claims.
   std::vector<MachineId> ownership_claims(Time now);
-  // Notices that this process stood still, its clock running on.
-  void detect_pause(Time now);
-  Time listening_since() const;
+  void detect_pause(Time now) { pauses_.record_running(now); }
+  Time listening_since() const { return contact_monitor_.listening_since(); }
   // Does this controller hear the machines that it owns?
   protocol::WorkerContact worker_contact(Time now) const;
-  // Asked in each round: since when does it hear hardly any of them?
-  void watch_contact(Time now);
-  struct MachineCensus {
-    std::size_t owned = 0, overdue = 0;
-    bool are_lost() const;
-    bool are_heard() const;
-  };
+  void watch_contact(Time now) { contact_monitor_.update_census(count_overdue(now), now); }
   MachineCensus count_overdue(Time now) const;
   bool is_overdue(const Machine& m, Time now) const;
-  protocol::WorkerContact contact_of(const ControllerIncarnation& member, Time now) const;
-  std::vector<MachineId> silent_machines_of(const ControllerIncarnation& member, Time now) const;
-  // Adds the machines of members that have lost their workers. False: there are none.
-  bool fail_over_silent_machines(Time now, std::map<MachineId, ControllerIncarnation>& to) const;
-  // All members' claims that the leader has heard of, if it is time for a view that follows them.
-  std::map<MachineId, ControllerIncarnation> gather_ownership_claims(Time now);
+  // The machines that this controller owns and does not hear.
+  std::vector<MachineId> silent_machines(Time now) const;
+  // What this member says of itself to the leader, if that is itself.
+  MemberReport own_report(Time now);
   std::string zone_of(const MachineId& machine) const;
   static const protocol::ReportedAttempt* reported_attempt(const Machine& m, const TaskId& task,
                                                            const protocol::Assignment& assignment);
@@ -363,29 +355,25 @@
   const base::Settings& settings_;
   StateCache cache_;
   JobPriorities priorities_;
+  PeerRegistry peers_;
   AuthorityLease authority_;
   Ownership ownership_;
   PeerContact peer_contact_;
   Leadership leadership_;
   MembershipProposals proposals_;
+  PauseDetector pauses_;
+  WorkerContactMonitor contact_monitor_;
+  OwnershipClaims ownership_claims_;
+  OwnershipTransfers transfers_;
   // Short names for what other parts of this class read until they are classes of their own.
   const ControllerIncarnation& self_ = authority_.self();
   const Version& installed_view_ = ownership_.installed_view();
   const FencingToken& base_fencing_token_ = ownership_.base_fencing_token();
   const Time& view_installed_at_ = ownership_.view_installed_at();
   const Time& leader_since_ = leadership_.leader_since();
-  std::optional<Time> authority_since_;
-  Time last_running_at_{},
-      resumed_after_pause_at_{};  // when this process was last seen to run, and went on
   std::optional<Time> many_silent_at_;
-  std::optional<Time> unheard_since_;  // while it hears hardly any of its machines
 
   std::map<MachineId, Machine> machines_;
-  struct MisdirectedHeartbeats {
-    ControllerIncarnation owner;  // to whom it was sent
-    Time first{}, last{};
-    int times = 0;
-  };
   struct CapacityReservation {
     JobId job;
     Time until{};
@@ -393,10 +381,7 @@
         false;  // for a job that waited too long, rather than one that displaces others
   };
   std::map<MachineId, CapacityReservation>
-      reservations_;  // kept free of other work until the job fits
-  std::map<MachineId, MisdirectedHeartbeats> misdirected_;  // sent to their owners, and back again
-  std::optional<Time>
-      claims_pending_since_;               // since when there are claims that no view follows yet
+      reservations_;                       // kept free of other work until the job fits
   std::map<MachineId, Time> owned_since_;  // for machines never heard: the base of lease proofs
   std::map<MachineId, AgentIncarnation> ended_incarnations_;
   std::map<MachineId, Time> released_;
@@ -415,7 +400,6 @@
   Time unheard_owned_at_{};
   std::map<JobId, Time> preempting_;
 
-  PeerRegistry peers_;
   StatusRevisions status_revisions_;
 
   std::map<MachineKind, Time> refused_;  // not to be asked for before then
--- a/src/coordination/membership/membership_proposals.cpp
+++ b/src/coordination/membership/membership_proposals.cpp
@@ -84,6 +84,28 @@
   return txn;
 }
 
+bool MembershipProposals::needs_claims_on_record(base::Time now) const {
+  const auto& leader = in_.cache.leader();
+  return leader && *leader != in_.authority.self() &&
+         !in_.contact.is_reachable(leader->member, now);
+}
+
+std::optional<Transaction> MembershipProposals::propose_claims(
+    const std::vector<base::MachineId>& machines, base::Version installed_view) const {
+  Transaction txn;
+  txn.preconditions[protocol::kViewKey] = installed_view;
+  for (const base::MachineId& machine : machines) {
+    const std::string key = protocol::claim_key(machine);
+    if (in_.cache.version(key).get() != 0) continue;
+    if (txn.writes.size() >= in_.settings.txn_ops) break;
+    txn.preconditions[key] = base::Version(0);
+    txn.writes.push_back({key, to_json(in_.authority.self()), {}});
+    spdlog::info("machine can't reach its owner, claimed: machine={}", machine.get());
+  }
+  if (txn.writes.empty()) return {};
+  return txn;
+}
+
 MembershipProposals::Connectivity MembershipProposals::connectivity(base::Time now) const {
   Connectivity links;
   for (const auto& [id, member] : in_.cache.members()) {
--- a/src/coordination/membership/membership_proposals.h
+++ b/src/coordination/membership/membership_proposals.h
@@ -46,6 +46,12 @@
       const std::map<base::MachineId, protocol::ControllerIncarnation>& claims,
       const std::function<bool(const base::MachineId&)>& is_released) const;
 
+  // Claims are told to the leader directly, unless this member can't reach it.
+  bool needs_claims_on_record(base::Time now) const;
+  // Puts claims to these machines on record, guarded by the view that they were decided by.
+  std::optional<protocol::Transaction> propose_claims(const std::vector<base::MachineId>& machines,
+                                                      base::Version installed_view) const;
+
  private:
   // How the other members are connected.
   struct Connectivity {
--- /dev/null
+++ b/src/coordination/membership/pause_detector.cpp
@@ -0,0 +1,24 @@
+#include "coordination/membership/pause_detector.h"
+
+#include <algorithm>
+
+#include "base/log.h"
+
+namespace saddleslip::coordination {
+
+namespace {
+
+constexpr base::Seconds kMinPause{2.5};
+
+}  // namespace
+
+void PauseDetector::record_running(base::Time now) {
+  const base::Seconds gap = base::between(last_running_at_, now);
+  if (last_running_at_ != base::Time{} && gap > kMinPause) {
+    spdlog::warn("process was paused: seconds={:.1f}", gap.count());
+    resumed_at_ = now;
+  }
+  last_running_at_ = std::max(last_running_at_, now);
+}
+
+}  // namespace saddleslip::coordination
--- a/src/coordination/scheduling/scheduling_round.cpp
+++ b/src/coordination/scheduling/scheduling_round.cpp
@@ -113,12 +113,8 @@
 RoundPlan Controller::plan(Time now, WriteBudget write_budget) {
   detect_pause(now);
   RoundPlan plan;
-  if (!has_authority(now)) {
-    authority_since_.reset();
-    unheard_since_.reset();
-    return plan;
-  }
-  if (!authority_since_) authority_since_ = now;
+  contact_monitor_.update_authority(has_authority(now), now);
+  if (!has_authority(now)) return plan;
   housekeeping(now);
   priorities_.update(now);
 
--- a/tests/membership_proposals_test.cpp
+++ b/tests/membership_proposals_test.cpp
@@ -189,4 +189,27 @@
   EXPECT_TRUE(txn->preconditions.contains(protocol::claim_key(machine)));
 }
 
+TEST_F(MembershipProposalsTest, ClaimsGoOnRecordOnlyWhileTheLeaderIsOutOfReach) {
+  EXPECT_FALSE(proposals_.needs_claims_on_record(at(1)));  // no leader
+  store_leader(other_);
+  EXPECT_TRUE(proposals_.needs_claims_on_record(at(1)));
+  contact_.record_reached(other_.member, at(1));
+  EXPECT_FALSE(proposals_.needs_claims_on_record(at(2)));
+  store_leader(self_);
+  EXPECT_FALSE(proposals_.needs_claims_on_record(at(10)));
+}
+
+TEST_F(MembershipProposalsTest, ClaimThatIsOnRecordIsNotProposedAgain) {
+  const MachineId first("i-1"), second("i-2");
+  store(protocol::claim_key(first), to_json(other_));
+  EXPECT_FALSE(proposals_.propose_claims({first}, base::Version(3)));
+  const auto txn = proposals_.propose_claims({first, second}, base::Version(3));
+  ASSERT_TRUE(txn);
+  EXPECT_EQ((std::map<std::string, base::Version>{{protocol::kViewKey, base::Version(3)},
+                                                  {protocol::claim_key(second), base::Version(0)}}),
+            txn->preconditions);
+  ASSERT_EQ(1u, txn->writes.size());
+  EXPECT_EQ(protocol::claim_key(second), txn->writes.front().key);
+}
+
 }  // namespace saddleslip::coordination
