--- a/tests/simulation/fault_commands.cpp
+++ b/tests/simulation/fault_commands.cpp
@@ -10,24 +10,11 @@
   cluster.controllers.crash(controller, line.optional_number());
 }
 
-void play_upgrade(SimulatedCluster& cluster, CommandLine& line) {
+// Commands with a controller and a number of seconds.
+template <void (SimulatedControllers::*kFault)(std::size_t, double)>
+void play_controller_fault(SimulatedCluster& cluster, CommandLine& line) {
   const std::size_t controller = line.controller();
-  cluster.controllers.upgrade(controller, line.number());
-}
-
-void play_freeze(SimulatedCluster& cluster, CommandLine& line) {
-  const std::size_t controller = line.controller();
-  cluster.controllers.freeze(controller, line.number());
-}
-
-void play_slow_load(SimulatedCluster& cluster, CommandLine& line) {
-  const std::size_t controller = line.controller();
-  cluster.controllers.set_load_time(controller, line.number());
-}
-
-void play_watch_lag(SimulatedCluster& cluster, CommandLine& line) {
-  const std::size_t controller = line.controller();
-  cluster.controllers.set_watch_lag(controller, line.number());
+  (cluster.controllers.*kFault)(controller, line.number());
 }
 
 void play_lose_commit(SimulatedCluster& cluster, CommandLine& line) {
@@ -79,12 +66,10 @@
   machine(cluster, line).die();
 }
 
-void play_hang(SimulatedCluster& cluster, CommandLine& line) {
-  machine(cluster, line).is_hung = true;
-}
-
-void play_wake(SimulatedCluster& cluster, CommandLine& line) {
-  machine(cluster, line).is_hung = false;
+// Commands that set or clear a condition of a machine.
+template <bool SimulatedMachine::*kCondition, bool kValue>
+void play_condition(SimulatedCluster& cluster, CommandLine& line) {
+  machine(cluster, line).*kCondition = kValue;
 }
 
 // Every so-manieth machine of the large fleet.
@@ -105,26 +90,6 @@
   cluster.workers.reboot(id, line.number());
 }
 
-void play_faulty(SimulatedCluster& cluster, CommandLine& line) {
-  machine(cluster, line).is_faulty = true;
-}
-
-void play_half_open(SimulatedCluster& cluster, CommandLine& line) {
-  machine(cluster, line).is_half_open = true;
-}
-
-void play_mend_half_open(SimulatedCluster& cluster, CommandLine& line) {
-  machine(cluster, line).is_half_open = false;
-}
-
-void play_silent(SimulatedCluster& cluster, CommandLine& line) {
-  machine(cluster, line).is_silent = true;
-}
-
-void play_audible(SimulatedCluster& cluster, CommandLine& line) {
-  machine(cluster, line).is_silent = false;
-}
-
 void play_spot_notice(SimulatedCluster& cluster, CommandLine& line) {
   SimulatedMachine& spot = machine(cluster, line);
   spot.spot_ends_at = cluster.clock.seconds() + line.number();
@@ -150,11 +115,14 @@
 constexpr ScenarioCommand kServiceFaults[] = {
     {"crash", "CONTROLLER [BACK_AFTER_S]", "ends a controller's process", play_crash},
     {"upgrade", "CONTROLLER BACK_AFTER_S", "it ends, and comes back with this version",
-     play_upgrade},
-    {"freeze", "CONTROLLER SECONDS", "it stands still while its clocks run on", play_freeze},
+     play_controller_fault<&SimulatedControllers::upgrade>},
+    {"freeze", "CONTROLLER SECONDS", "it stands still while its clocks run on",
+     play_controller_fault<&SimulatedControllers::freeze>},
     {"slow_load", "CONTROLLER SECONDS",
-     "the time between reading the jobs and their tasks' records", play_slow_load},
-    {"watch_lag", "CONTROLLER SECONDS", "it learns of changes so much later", play_watch_lag},
+     "the time between reading the jobs and their tasks' records",
+     play_controller_fault<&SimulatedControllers::set_load_time>},
+    {"watch_lag", "CONTROLLER SECONDS", "it learns of changes so much later",
+     play_controller_fault<&SimulatedControllers::set_watch_lag>},
     {"lose_commit", "CONTROLLER", "its next commit is carried out, unanswered", play_lose_commit},
     {"late_commit", "CONTROLLER SECONDS",
      "its next commit is carried out so much later, unanswered", play_late_commit},
@@ -171,15 +139,20 @@
 
 constexpr ScenarioCommand kMachineFaults[] = {
     {"die", "MACHINE", "it is gone with its tasks", play_die},
-    {"hang", "MACHINE", "it stands still", play_hang},
-    {"wake", "MACHINE", "it no longer hangs", play_wake},
+    {"hang", "MACHINE", "it stands still", play_condition<&SimulatedMachine::is_hung, true>},
+    {"wake", "MACHINE", "it no longer hangs", play_condition<&SimulatedMachine::is_hung, false>},
     {"some", "EVERY die|hang|wake", "every so-manieth machine of the large fleet", play_some},
     {"reboot", "MACHINE SECONDS", "it comes back empty before it is missed", play_reboot},
-    {"faulty", "MACHINE", "it fails all that it starts", play_faulty},
-    {"half_open", "MACHINE", "its heartbeats arrive, but nothing reaches it", play_half_open},
-    {"mend_half_open", "MACHINE", "it is reached again", play_mend_half_open},
-    {"silent", "MACHINE", "its heartbeats do not arrive, but commands reach it", play_silent},
-    {"audible", "MACHINE", "its heartbeats arrive again", play_audible},
+    {"faulty", "MACHINE", "it fails all that it starts",
+     play_condition<&SimulatedMachine::is_faulty, true>},
+    {"half_open", "MACHINE", "its heartbeats arrive, but nothing reaches it",
+     play_condition<&SimulatedMachine::is_half_open, true>},
+    {"mend_half_open", "MACHINE", "it is reached again",
+     play_condition<&SimulatedMachine::is_half_open, false>},
+    {"silent", "MACHINE", "its heartbeats do not arrive, but commands reach it",
+     play_condition<&SimulatedMachine::is_silent, true>},
+    {"audible", "MACHINE", "its heartbeats arrive again",
+     play_condition<&SimulatedMachine::is_silent, false>},
     {"spot_notice", "MACHINE SECONDS", "the cloud takes a spot machine back after that",
      play_spot_notice},
     {"copies", "MACHINE SECONDS", "a copy of each heartbeat arrives so much later, everywhere",
