--- a/tests/authority_test.cpp
+++ b/tests/authority_test.cpp
@@ -35,26 +35,26 @@
 };
 
 // The state cache may be older than the lease.
-TEST_F(AuthorityTest, LeaseWithoutACurrentCache_GivesNoAuthority) {
+TEST_F(AuthorityTest, LeaseWithoutACurrentCacheGivesNoAuthority) {
   EXPECT_FALSE(has_authority_at(0));
   controller_.lease_acquired(at_seconds(0));
   EXPECT_FALSE(has_authority_at(0));
 }
 
-TEST_F(AuthorityTest, LeaseRenewed_GivesAuthorityForOneTtl) {
+TEST_F(AuthorityTest, LeaseRenewedGivesAuthorityForOneTtl) {
   renew(0);
   EXPECT_TRUE(has_authority_at(ttl() * 0.99));
   EXPECT_FALSE(has_authority_at(ttl()));
 }
 
-TEST_F(AuthorityTest, RenewalAnsweredLate_CountsFromItsSending) {
+TEST_F(AuthorityTest, RenewalAnsweredLateCountsFromItsSending) {
   renew(0);
   renew(1);
   EXPECT_TRUE(has_authority_at(ttl()));
   EXPECT_FALSE(has_authority_at(ttl() + 1));
 }
 
-TEST_F(AuthorityTest, CacheReplaced_EndsAuthorityUntilTheNextRenewal) {
+TEST_F(AuthorityTest, CacheReplacedEndsAuthorityUntilTheNextRenewal) {
   controller_.lease_renewed(at_seconds(0), controller_.cache_generation());
   EXPECT_TRUE(has_authority_at(1));
   controller_.cache_replaced();
@@ -64,7 +64,7 @@
 }
 
 // The proof that the cache is current is of no use if the cache is replaced while it is under way.
-TEST_F(AuthorityTest, CacheReplacedDuringARenewal_RenewalGivesNoAuthority) {
+TEST_F(AuthorityTest, CacheReplacedDuringARenewalRenewalGivesNoAuthority) {
   const std::uint64_t generation = controller_.cache_generation();
   controller_.cache_replaced();
   controller_.lease_renewed(at_seconds(0), generation);
--- a/tests/boot_tracker_test.cpp
+++ b/tests/boot_tracker_test.cpp
@@ -24,28 +24,28 @@
   const Seconds usual_{20};
 };
 
-TEST_F(BootTrackerTest, OneMachineOverdue_IsNotLikely) {
+TEST_F(BootTrackerTest, OneMachineOverdueIsNotLikely) {
   EXPECT_TRUE(likely(49, 0));
   EXPECT_FALSE(likely(50, 1));
 }
 
-TEST_F(BootTrackerTest, OneMachineLateByFiveTimesTheUsualTime_IsGivenUp) {
+TEST_F(BootTrackerTest, OneMachineLateByFiveTimesTheUsualTimeIsGivenUp) {
   EXPECT_FALSE(given_up(99));
   EXPECT_TRUE(given_up(100));
 }
 
 // All are late: a second fleet must not be rented for the same work.
-TEST_F(BootTrackerTest, MostMachinesOverdue_AreLikelyUntilTheyAreGivenUp) {
+TEST_F(BootTrackerTest, MostMachinesOverdueAreLikelyUntilTheyAreGivenUp) {
   EXPECT_TRUE(likely(60, 5));
   EXPECT_FALSE(likely(100, 5));
 }
 
-TEST_F(BootTrackerTest, OthersOfTheKindCameUp_OverdueOnesAreNotLikely) {
+TEST_F(BootTrackerTest, OthersOfTheKindCameUpOverdueOnesAreNotLikely) {
   for (int i = 0; i < 5; ++i) record_boot(20);
   EXPECT_FALSE(likely(60, 2));
 }
 
-TEST_F(BootTrackerTest, KindBootedSlowlyOfLate_IsWaitedForThatLong) {
+TEST_F(BootTrackerTest, KindBootedSlowlyOfLateIsWaitedForThatLong) {
   record_boot(90);
   EXPECT_TRUE(likely(100, 1));
   EXPECT_FALSE(likely(115, 1));
@@ -53,13 +53,13 @@
   EXPECT_TRUE(given_up(136));
 }
 
-TEST_F(BootTrackerTest, KindBootedSlowlyLongAgo_IsJudgedByTheUsualTime) {
+TEST_F(BootTrackerTest, KindBootedSlowlyLongAgoIsJudgedByTheUsualTime) {
   record_boot(90);
   EXPECT_FALSE(likely(100, 1, 200));
   EXPECT_TRUE(given_up(100, 200));
 }
 
-TEST_F(BootTrackerTest, OtherKindBootedSlowly_DoesNotCount) {
+TEST_F(BootTrackerTest, OtherKindBootedSlowlyDoesNotCount) {
   tracker_.record_up({"small", "a", false}, Seconds(90), at_seconds(0));
   EXPECT_FALSE(likely(100, 1));
 }
--- a/tests/failure_tracker_test.cpp
+++ b/tests/failure_tracker_test.cpp
@@ -43,18 +43,18 @@
 };
 
 // A job that was submitted with a mistake must not get machines returned, however often it fails.
-TEST_F(FailureTrackerTest, JobFailsOnEveryMachine_NoMachineIsFaulty) {
+TEST_F(FailureTrackerTest, JobFailsOnEveryMachineNoMachineIsFaulty) {
   fail_on_all_machines(broken_, 20);
   for (const MachineId& machine : {m1_, m2_, m3_}) EXPECT_FALSE(tracker_.is_faulty(machine));
 }
 
-TEST_F(FailureTrackerTest, JobFailsOnEveryMachine_IsCrashLooping) {
+TEST_F(FailureTrackerTest, JobFailsOnEveryMachineIsCrashLooping) {
   fail_on_all_machines(broken_, 20);
   EXPECT_TRUE(tracker_.is_crash_looping(broken_));
 }
 
 // A faulty machine is found by a job that succeeds elsewhere, also with a broken one beside it.
-TEST_F(FailureTrackerTest, SoundJobFailsOnOneMachine_MachineIsFaulty) {
+TEST_F(FailureTrackerTest, SoundJobFailsOnOneMachineMachineIsFaulty) {
   fail_sound_job_beside_broken_one();
   EXPECT_FALSE(tracker_.is_faulty(m1_));  // nothing is known of the job yet
   tracker_.mark_sound(sound_);
@@ -62,14 +62,14 @@
   EXPECT_FALSE(tracker_.is_faulty(m2_));
 }
 
-TEST_F(FailureTrackerTest, SoundJobIsForgotten_EvidenceAgainstTheMachineStays) {
+TEST_F(FailureTrackerTest, SoundJobIsForgottenEvidenceAgainstTheMachineStays) {
   fail_sound_job_beside_broken_one();
   tracker_.mark_sound(sound_);
   tracker_.forget_job(sound_);
   EXPECT_TRUE(tracker_.is_faulty(m1_));
 }
 
-TEST_F(FailureTrackerTest, SuccessOnTheMachine_ClearsEarlierFailures) {
+TEST_F(FailureTrackerTest, SuccessOnTheMachineClearsEarlierFailures) {
   fail(sound_, m1_, 0);
   tracker_.record_success(m1_);
   fail(sound_, m1_, 1);
@@ -83,12 +83,12 @@
 }
 
 // Where nothing succeeds elsewhere: several unrelated jobs that failed on this machine alone.
-TEST_F(FailureTrackerTest, ThreeJobsFailOnOneMachineAlone_MachineIsFaulty) {
+TEST_F(FailureTrackerTest, ThreeJobsFailOnOneMachineAloneMachineIsFaulty) {
   for (const JobId& job : {sound_, other_, broken_}) fail(job, m1_, 0);
   EXPECT_TRUE(tracker_.is_faulty(m1_));
 }
 
-TEST_F(FailureTrackerTest, OneOfThreeJobsFailsElsewhereToo_ItNoLongerCounts) {
+TEST_F(FailureTrackerTest, OneOfThreeJobsFailsElsewhereTooItNoLongerCounts) {
   for (const JobId& job : {sound_, other_, broken_}) fail(job, m1_, 0);
   fail(broken_, m2_, 1);
   EXPECT_FALSE(tracker_.is_faulty(m1_));
@@ -96,19 +96,19 @@
   EXPECT_TRUE(tracker_.is_faulty(m1_));
 }
 
-TEST_F(FailureTrackerTest, JobFailsOnOneMachine_MayBeRetriedAtOnce) {
+TEST_F(FailureTrackerTest, JobFailsOnOneMachineMayBeRetriedAtOnce) {
   fail(broken_, m1_, 0);
   EXPECT_TRUE(tracker_.may_retry(broken_, at_seconds(0)));
 }
 
-TEST_F(FailureTrackerTest, JobFailsOnSeveralMachines_RetryIsDelayed) {
+TEST_F(FailureTrackerTest, JobFailsOnSeveralMachinesRetryIsDelayed) {
   fail_on_three_machines(broken_);
   EXPECT_FALSE(tracker_.may_retry(broken_, at_seconds(1.9)));
   EXPECT_TRUE(tracker_.may_retry(broken_, at_seconds(2)));
 }
 
 // Retries of a job that fails everywhere must not take capacity and writes from others.
-TEST_F(FailureTrackerTest, JobGoesOnFailing_DelayGrowsUpToABound) {
+TEST_F(FailureTrackerTest, JobGoesOnFailingDelayGrowsUpToABound) {
   fail_on_three_machines(broken_);
   double t = 2;
   for (int i = 0; i < 10; ++i) {
@@ -122,13 +122,13 @@
 }
 
 // A task that fails only after a while runs for that while on a healthy machine as well.
-TEST_F(FailureTrackerTest, JobFailsAfterAWhile_IsSoundOnlyIfItRunsLonger) {
+TEST_F(FailureTrackerTest, JobFailsAfterAWhileIsSoundOnlyIfItRunsLonger) {
   fail(broken_, m1_, 0, 20);
   EXPECT_GT(tracker_.long_run(broken_), Seconds(20));
   EXPECT_GT(tracker_.long_run(sound_), Seconds(1));
 }
 
-TEST_F(FailureTrackerTest, JobFailedOnAMachine_AvoidsItForAWhile) {
+TEST_F(FailureTrackerTest, JobFailedOnAMachineAvoidsItForAWhile) {
   fail(sound_, m1_, 0);
   EXPECT_TRUE(tracker_.avoids(sound_, m1_, at_seconds(10)));
   EXPECT_FALSE(tracker_.avoids(sound_, m2_, at_seconds(10)));
--- a/tests/job_priorities_test.cpp
+++ b/tests/job_priorities_test.cpp
@@ -55,20 +55,20 @@
 
 }  // namespace
 
-TEST_F(JobPrioritiesTest, DependentOfHigherRank_PassesItsRankOn) {
+TEST_F(JobPrioritiesTest, DependentOfHigherRankPassesItsRankOn) {
   add(make_job(kFirst, Rank::kIdle));
   add(make_job(kMiddle, Rank::kStandard, {kFirst}));
   EXPECT_EQ(priorities_.rank(job(kFirst)), Rank::kStandard);
 }
 
-TEST_F(JobPrioritiesTest, ChainOfDependents_PassesTheHighestRankOn) {
+TEST_F(JobPrioritiesTest, ChainOfDependentsPassesTheHighestRankOn) {
   add_chain();
   EXPECT_EQ(priorities_.rank(job(kFirst)), Rank::kUrgent);
   EXPECT_EQ(priorities_.rank(job(kMiddle)), Rank::kUrgent);
 }
 
 // Each must be done so early that what depends on it can still run.
-TEST_F(JobPrioritiesTest, ChainOfDependents_PassesTheDueTimeOn) {
+TEST_F(JobPrioritiesTest, ChainOfDependentsPassesTheDueTimeOn) {
   add(make_job(kFirst, Rank::kIdle));
   const double alone = priorities_.due(job(kFirst), now_);
   add_chain();
@@ -79,7 +79,7 @@
 }
 
 // The dependent may come when the others are well under way, and may be cancelled.
-TEST_F(JobPrioritiesTest, DependentCancelled_PassesNothingOn) {
+TEST_F(JobPrioritiesTest, DependentCancelledPassesNothingOn) {
   add(make_job(kFirst, Rank::kIdle));
   protocol::JobRecord dependent = make_urgent_dependent();
   add(dependent);
@@ -90,7 +90,7 @@
 }
 
 // An inherited rank makes an array go first, and stops no other work.
-TEST_F(JobPrioritiesTest, InheritedRank_DoesNotAllowPreemption) {
+TEST_F(JobPrioritiesTest, InheritedRankDoesNotAllowPreemption) {
   settings_.teams["t"].guaranteed_cores = 0;
   add(make_job(kFirst, Rank::kIdle));
   add(make_urgent_dependent());
@@ -99,7 +99,7 @@
 }
 
 // Each job requests 8 of the team's 10 guaranteed cores.
-TEST_F(JobPrioritiesTest, BlockedJob_HoldsNoShareOfAGuarantee) {
+TEST_F(JobPrioritiesTest, BlockedJobHoldsNoShareOfAGuarantee) {
   add(make_job(kFirst, Rank::kStandard));
   add(make_job(kMiddle, Rank::kStandard, {kFirst}));
   EXPECT_TRUE(priorities_.is_guaranteed(job(kFirst)));
@@ -107,7 +107,7 @@
 }
 
 // The guarantee goes to jobs in the order in which they become ready.
-TEST_F(JobPrioritiesTest, BlockedJobBecomesReady_ComesAfterThoseThatWereReadyBefore) {
+TEST_F(JobPrioritiesTest, BlockedJobBecomesReadyComesAfterThoseThatWereReadyBefore) {
   add(make_job(kFirst, Rank::kStandard));
   add(make_job(kMiddle, Rank::kStandard, {kFirst}));
   add(make_job(kLast, Rank::kStandard));
@@ -121,7 +121,7 @@
 }
 
 // Waiting for other jobs is not waiting for capacity.
-TEST_F(JobPrioritiesTest, BlockedJob_StarvesOnlyFromWhenItIsReady) {
+TEST_F(JobPrioritiesTest, BlockedJobStarvesOnlyFromWhenItIsReady) {
   add(make_job(kFirst, Rank::kStandard));
   add(make_job(kMiddle, Rank::kStandard, {kFirst}));
   const Time later = base::after(now_, Seconds(500));
--- a/tests/packing_test.cpp
+++ b/tests/packing_test.cpp
@@ -33,17 +33,17 @@
 }  // namespace
 
 // s = (1/8, 1/4), r = (4/8, 8/32): the dot product over the squared length of r.
-TEST(Packing, ScoreOfARequest_IsItsScalarProjectionOnTheFreeCapacity) {
+TEST(Packing, ScoreOfARequestIsItsScalarProjectionOnTheFreeCapacity) {
   EXPECT_NEAR(score(make_resources(1, 8), make_resources(4, 8), make_resources(8, 32)),
               (0.125 * 0.5 + 0.25 * 0.25) / (0.25 + 0.0625), 1e-12);
 }
 
-TEST(Packing, ResourceThatNoMachineHas_IsNotScored) {
+TEST(Packing, ResourceThatNoMachineHasIsNotScored) {
   EXPECT_NEAR(score(make_resources(1, 8), make_resources(4, 8), make_resources(8, 0)),
               0.125 * 0.5 / 0.25, 1e-12);
 }
 
-TEST(Packing, SeveralPairsFit_TheBestIsPlacedFirst) {
+TEST(Packing, SeveralPairsFitTheBestIsPlacedFirst) {
   std::vector<Group> groups = {make_group(make_even(1), 1, 0), make_group(make_even(4), 1, 0)};
   std::vector<Bin> bins = {{make_even(8)}, {make_even(4)}};
   const auto placements = pack(groups, bins, make_even(8));
@@ -53,7 +53,7 @@
   EXPECT_EQ(placements[1].bin, 0u);
 }
 
-TEST(Packing, GroupsOfSeveralTiers_ArePlacedByTierWithoutOverfilling) {
+TEST(Packing, GroupsOfSeveralTiersArePlacedByTierWithoutOverfilling) {
   std::vector<Group> groups = {make_group(make_even(4), 3, 1), make_group(make_even(1), 2, 0)};
   std::vector<Bin> bins = {{make_even(4)}, {make_even(5)}};
   const auto placements = pack(groups, bins, make_even(5));
@@ -158,7 +158,7 @@
 
 }  // namespace
 
-TEST(Packing, RandomInstances_ArePackedAsTheDefinitionSaysTiesIncluded) {
+TEST(Packing, RandomInstancesArePackedAsTheDefinitionSaysTiesIncluded) {
   RandomInstances random;
   for (int instance = 0; instance < 300; ++instance) {
     auto bins = random.make_bins();
--- a/tests/peer_test.cpp
+++ b/tests/peer_test.cpp
@@ -27,24 +27,24 @@
   const MemberId peer_{"n1"};
 };
 
-TEST_F(PeerStatusTest, DeltaBeforeAnyStatus_AsksForAll) {
+TEST_F(PeerStatusTest, DeltaBeforeAnyStatusAsksForAll) {
   EXPECT_TRUE(asks_for_all(7, 3, 5));
   EXPECT_FALSE(asks_for_all(7, 0, 5));
 }
 
-TEST_F(PeerStatusTest, DeltaOnTopOfTheLastOne_IsTaken) {
+TEST_F(PeerStatusTest, DeltaOnTopOfTheLastOneIsTaken) {
   EXPECT_FALSE(asks_for_all(7, 0, 5));
   EXPECT_FALSE(asks_for_all(7, 5, 6));
 }
 
 // A status that was lost leaves a gap.
-TEST_F(PeerStatusTest, DeltaOnAnotherBase_AsksForAll) {
+TEST_F(PeerStatusTest, DeltaOnAnotherBaseAsksForAll) {
   EXPECT_FALSE(asks_for_all(7, 0, 5));
   EXPECT_FALSE(asks_for_all(7, 5, 6));
   EXPECT_TRUE(asks_for_all(7, 5, 8));
 }
 
-TEST_F(PeerStatusTest, DeltaOfANewIncarnation_AsksForAll) {
+TEST_F(PeerStatusTest, DeltaOfANewIncarnationAsksForAll) {
   EXPECT_FALSE(asks_for_all(7, 0, 5));
   EXPECT_FALSE(asks_for_all(7, 5, 6));
   EXPECT_TRUE(asks_for_all(9, 6, 8));
@@ -52,22 +52,22 @@
 }
 
 // A peer whose offers were lost is forgotten until it sends its whole status.
-TEST_F(PeerStatusTest, OffersToThePeerWereLost_AsksForAll) {
+TEST_F(PeerStatusTest, OffersToThePeerWereLostAsksForAll) {
   EXPECT_FALSE(asks_for_all(9, 0, 2));
   controller_.offers_lost(peer_, {});
   EXPECT_TRUE(asks_for_all(9, 2, 3));
 }
 
-TEST_F(PeerStatusTest, NothingAcknowledged_SendsAll) {
+TEST_F(PeerStatusTest, NothingAcknowledgedSendsAll) {
   EXPECT_EQ(status_since(), 0u);
 }
 
-TEST_F(PeerStatusTest, RevisionAcknowledged_SendsWhatChangedSince) {
+TEST_F(PeerStatusTest, RevisionAcknowledgedSendsWhatChangedSince) {
   controller_.status_acknowledged(peer_, 4);
   EXPECT_EQ(status_since(), 4u);
 }
 
-TEST_F(PeerStatusTest, PeerAsksForAll_SendsAll) {
+TEST_F(PeerStatusTest, PeerAsksForAllSendsAll) {
   controller_.status_acknowledged(peer_, 4);
   controller_.status_acknowledged(peer_, 0);
   EXPECT_EQ(status_since(), 0u);
--- a/tests/rule_checks_test.cpp
+++ b/tests/rule_checks_test.cpp
@@ -47,7 +47,7 @@
   const JobId id_{"run-000001"};
 };
 
-TEST_F(RuleChecksTest, AllRulesKept_ReportsNothing) {
+TEST_F(RuleChecksTest, AllRulesKeptReportsNothing) {
   add_job();
   set_running("m1", 0);
   start("m2", 1);
@@ -57,45 +57,45 @@
   EXPECT_EQ(cluster_.rules.starts(), 1u);
 }
 
-TEST_F(RuleChecksTest, TaskOfUnknownJobStarts_IsReported) {
+TEST_F(RuleChecksTest, TaskOfUnknownJobStartsIsReported) {
   start("m1", 0);
   EXPECT_TRUE(failed("invented: a task of an unknown job starts"));
 }
 
-TEST_F(RuleChecksTest, TaskRunsElsewhere_IsReported) {
+TEST_F(RuleChecksTest, TaskRunsElsewhereIsReported) {
   add_job();
   set_running("m2", 0);
   start("m1", 0);
   EXPECT_TRUE(failed("ran_twice: run-000001/0 starts on m1, is on m2"));
 }
 
-TEST_F(RuleChecksTest, DependencyIsNotDone_IsReported) {
+TEST_F(RuleChecksTest, DependencyIsNotDoneIsReported) {
   add_job().spec.dependencies = {JobId("run-000002")};
   start("m1", 0);
   EXPECT_TRUE(failed("too_early: run-000001/0"));
 }
 
-TEST_F(RuleChecksTest, MachineInAnotherZoneThanRequested_IsReported) {
+TEST_F(RuleChecksTest, MachineInAnotherZoneThanRequestedIsReported) {
   add_job().spec.zone = "b";
   start("m1", 0);
   EXPECT_TRUE(failed("wrong_place: run-000001/0"));
 }
 
-TEST_F(RuleChecksTest, JobOfOneZoneStartsInASecondOne_IsReported) {
+TEST_F(RuleChecksTest, JobOfOneZoneStartsInASecondOneIsReported) {
   add_job().spec.one_zone = true;
   set_running("m2", 0);
   start("m1", 1);
   EXPECT_TRUE(failed("wrong_place: run-000001/1 in another zone"));
 }
 
-TEST_F(RuleChecksTest, SpreadJobHasMoreThanHalfInAZone_IsReported) {
+TEST_F(RuleChecksTest, SpreadJobHasMoreThanHalfInAZoneIsReported) {
   add_job().spec.spread = true;
   set_running("m1", 0);
   start("m1", 1);
   EXPECT_TRUE(failed("wrong_place: too many of run-000001 in a"));
 }
 
-TEST_F(RuleChecksTest, StartOfCancelledJobIsCommanded_IsReported) {
+TEST_F(RuleChecksTest, StartOfCancelledJobIsCommandedIsReported) {
   add_job().cancelled_at = 0;
   pass(0.1);
   cluster_.rules.on_start_commanded(0, task(0));
@@ -103,7 +103,7 @@
 }
 
 // Nobody can tell it: it has until its authority ends.
-TEST_F(RuleChecksTest, IsolatedControllerCommandsStartOfCancelledJob_IsReportedAfterItsTtl) {
+TEST_F(RuleChecksTest, IsolatedControllerCommandsStartOfCancelledJobIsReportedAfterItsTtl) {
   add_job().cancelled_at = 0;
   cluster_.network.cut("n0", "state");
   cluster_.network.cut("n0", "n1");
@@ -115,7 +115,7 @@
   EXPECT_TRUE(failed("ran_cancelled: n0 commands a start of run-000001"));
 }
 
-TEST_F(RuleChecksTest, CancelledTaskStillRuns_IsReportedAfterTheAllowedTime) {
+TEST_F(RuleChecksTest, CancelledTaskStillRunsIsReportedAfterTheAllowedTime) {
   add_job().cancelled_at = 0;
   set_running("m1", 0);
   pass(cluster_.config.cancel_s - 1);
@@ -126,7 +126,7 @@
   EXPECT_TRUE(failed("ran_cancelled: run-000001/0"));
 }
 
-TEST_F(RuleChecksTest, TeamUsesMoreThanItsQuota_IsReported) {
+TEST_F(RuleChecksTest, TeamUsesMoreThanItsQuotaIsReported) {
   add_job();
   cluster_.config.teams = {{"t", 0, 1}};
   set_running("m1", 0);
@@ -137,17 +137,17 @@
   EXPECT_TRUE(failed("quota: team t uses 2"));
 }
 
-TEST_F(RuleChecksTest, DoneIsToldBeforeAllTasksAre_IsReported) {
+TEST_F(RuleChecksTest, DoneIsToldBeforeAllTasksAreIsReported) {
   cluster_.rules.check_answer(add_job(), "done");
   EXPECT_TRUE(failed("not_done: run-000001"));
 }
 
-TEST_F(RuleChecksTest, CancelledIsToldThoughNobodyAsked_IsReported) {
+TEST_F(RuleChecksTest, CancelledIsToldThoughNobodyAskedIsReported) {
   cluster_.rules.check_answer(add_job(), "withdrawn");
   EXPECT_TRUE(failed("went_back: run-000001 cancelled by nobody"));
 }
 
-TEST_F(RuleChecksTest, FinalAnswerChanges_IsReported) {
+TEST_F(RuleChecksTest, FinalAnswerChangesIsReported) {
   SimulatedJob& job = add_job(1);
   job.done = {0};
   cluster_.rules.check_answer(job, "done");
--- a/tests/scaling_plan_test.cpp
+++ b/tests/scaling_plan_test.cpp
@@ -38,7 +38,7 @@
   ScalingInput input_;
 };
 
-TEST_F(ScalingPlanTest, DemandOfOneMachine_RentsOneOfTheCheapestKind) {
+TEST_F(ScalingPlanTest, DemandOfOneMachineRentsOneOfTheCheapestKind) {
   set_demand(steady_, 8);
   const auto plan = plan_scaling(input_);
   ASSERT_EQ(plan.scale_out.size(), 1u);
@@ -46,13 +46,13 @@
   EXPECT_EQ(plan.scale_out[0].count, 1);
 }
 
-TEST_F(ScalingPlanTest, MachineForTheDemandIsBooting_RentsNothing) {
+TEST_F(ScalingPlanTest, MachineForTheDemandIsBootingRentsNothing) {
   set_demand(steady_, 8);
   input_.booting = {{MachineId("i-1"), "big", "a", false, 0}};
   EXPECT_TRUE(plan_scaling(input_).scale_out.empty());
 }
 
-TEST_F(ScalingPlanTest, CheapestKindWasRefused_RentsTheNextBest) {
+TEST_F(ScalingPlanTest, CheapestKindWasRefusedRentsTheNextBest) {
   set_demand(steady_, 8);
   refuse_big();
   const auto plan = plan_scaling(input_);
@@ -60,7 +60,7 @@
   EXPECT_EQ(plan.scale_out[0].kind.type, "small");
 }
 
-TEST_F(ScalingPlanTest, JobAllowsSpot_RentsASpotMachine) {
+TEST_F(ScalingPlanTest, JobAllowsSpotRentsASpotMachine) {
   set_demand(spot_, 4);
   refuse_big();
   const auto plan = plan_scaling(input_);
--- a/tests/simulated_cluster_test.cpp
+++ b/tests/simulated_cluster_test.cpp
@@ -27,27 +27,27 @@
 
 }  // namespace
 
-TEST(WholeDayChecks, JobUnansweredFor75Seconds_IsForgotten) {
+TEST(WholeDayChecks, JobUnansweredFor75SecondsIsForgotten) {
   const std::string day = kCluster + "submit run-000001 service\nrun 8\nunasked n0\nunasked n1\n";
   EXPECT_EQ(failures_of(day + "run 70\n"), "");
   EXPECT_TRUE(fails_with(day + "run 80\n", "forgotten: no question about run-000001"));
 }
 
 // Time in which nobody could answer does not count.
-TEST(WholeDayChecks, JobUnansweredDuringAnOutage_IsNotForgotten) {
+TEST(WholeDayChecks, JobUnansweredDuringAnOutageIsNotForgotten) {
   EXPECT_EQ(failures_of(kCluster + "submit run-000001 service\nrun 8\n"
                                    "state down\nrun 100\nstate up\nrun 40\n"),
             "");
 }
 
-TEST(WholeDayChecks, LessThanHalfOfAClassBegan_Fails) {
+TEST(WholeDayChecks, LessThanHalfOfAClassBeganFails) {
   EXPECT_TRUE(fails_with(kCluster + "submit run-000001 array class=x run=2\n"
                                     "submit run-000002 array class=x type=big\n"
                                     "submit run-000003 array class=x type=big\nrun 250\n",
                          "served of class x: 1 of 3"));
 }
 
-TEST(WholeDayChecks, LessThanHalfOfATeamBegan_Fails) {
+TEST(WholeDayChecks, LessThanHalfOfATeamBeganFails) {
   EXPECT_TRUE(fails_with("team u 0 0\n" + kCluster +
                              "submit run-000001 array class=x run=2\n"
                              "submit run-000002 array class=x run=2\n"
@@ -55,7 +55,7 @@
                          "served of team u: 0 of 1"));
 }
 
-TEST(WholeDayChecks, LargestJobOfAClassDidNotBeginWithinFourMinutes_Fails) {
+TEST(WholeDayChecks, LargestJobOfAClassDidNotBeginWithinFourMinutesFails) {
   const std::string day = kCluster +
                           "submit run-000001 array class=x run=2\n"
                           "submit run-000002 array class=x run=2\n"
@@ -65,7 +65,7 @@
 }
 
 // A job that began too late was not served in time, however well it ran afterwards.
-TEST(WholeDayChecks, LargestJobOfAClassBeganAfterFourMinutes_Fails) {
+TEST(WholeDayChecks, LargestJobOfAClassBeganAfterFourMinutesFails) {
   EXPECT_TRUE(fails_with(kCluster +
                              "submit run-000001 array class=x run=2\n"
                              "submit run-000002 array class=x run=2\n"
@@ -75,7 +75,7 @@
 }
 
 // A final record that no controller wrote says that a job is done, and what depends on it begins.
-TEST(WholeDayChecks, JobStartsBeforeItsDependencyIsDone_IsTooEarly) {
+TEST(WholeDayChecks, JobStartsBeforeItsDependencyIsDoneIsTooEarly) {
   const std::string day =
       "controllers 2\nmachine m1 big a\nrun 8\n"
       "submit run-000001 array run=30\nsubmit run-000002 array follows=run-000001\nrun 5\n";
@@ -85,7 +85,7 @@
 }
 
 // A record that lost its job's dependencies, as a version that does not know of them would write it.
-TEST(WholeDayChecks, JobIsCalledQueuedAfterItsDependencyWasCancelled_IsOrphaned) {
+TEST(WholeDayChecks, JobIsCalledQueuedAfterItsDependencyWasCancelledIsOrphaned) {
   const std::string day = kCluster +
                           "submit run-000001 array run=300\n"
                           "submit run-000002 array type=big follows=run-000001\nrun 5\n";
@@ -101,13 +101,13 @@
       fails_with(day + without_dependencies + cancelled, "orphaned: run-000002 is called queued"));
 }
 
-TEST(ScenarioPlayer, UnknownCommand_FailsWithTheHelp) {
+TEST(ScenarioPlayer, UnknownCommandFailsWithTheHelp) {
   EXPECT_TRUE(fails_with("controllers 1\nunheard of\n", "unknown command: unheard of"));
   EXPECT_TRUE(fails_with("unheard of\n", "machine ID TYPE ZONE [spot]: adds a machine"));
   EXPECT_TRUE(fails_with("expect unheard\n", "unknown expectation: unheard"));
 }
 
-TEST(ScenarioPlayer, NothingRan_Fails) {
+TEST(ScenarioPlayer, NothingRanFails) {
   EXPECT_TRUE(fails_with(kCluster, "nothing_ran"));
 }
 
--- a/tests/simulation/controller_store_access.cpp
+++ b/tests/simulation/controller_store_access.cpp
@@ -65,7 +65,7 @@
                                                     const protocol::Transaction& txn) {
   check_limits(n, txn);
   check_format(txn);
-  const StateClient::Committed done = commit_untraced(n, txn);
+  StateClient::Committed done = commit_untraced(n, txn);
   trace_commit(n, txn, done);
   return done;
 }
