--- /dev/null
+++ b/src/storage/job.cpp
@@ -0,0 +1,73 @@
+#include "storage/job.h"
+
+#include <utility>
+
+namespace saddleslip::storage {
+
+namespace {
+
+// Records of the given number as they are before any of the job's tasks has started.
+std::vector<Chunk> unstarted_chunks(const RecordLayout& layout) {
+  std::vector<Chunk> chunks(layout.record_count());
+  for (std::uint32_t number = 0; number < chunks.size(); ++number)
+    chunks[number].record.done.assign(layout.tasks_of_record(number).count, false);
+  return chunks;
+}
+
+}  // namespace
+
+Job::Job(JobRecord job_record, Version record_version, Time now)
+    : record(std::move(job_record)), version(record_version), seen(now) {
+  const RecordLayout layout(record);
+  chunks = unstarted_chunks(layout);
+  if (layout.is_divided()) whole.resize(layout.chunk_count());
+}
+
+std::vector<std::string> Job::task_record_keys() const {
+  std::vector<std::string> keys;
+  for (std::uint32_t number = 0; number < chunks.size(); ++number)
+    keys.push_back(record.record_key(number));
+  for (std::uint32_t number = 0; number < whole.size(); ++number)
+    keys.push_back(protocol::chunk_key(record.spec.id, number));
+  return keys;
+}
+
+void Job::update_record(JobRecord newer, Version newer_version) {
+  if (newer.dependency_lists) newer.spec.dependencies = std::move(record.spec.dependencies);
+  record = std::move(newer);
+  version = newer_version;
+}
+
+void Job::replace_chunk(std::size_t number, Chunk chunk, Time now) {
+  const ChunkRecord& before = chunks[number].record;
+  assigned -= static_cast<TaskNo>(before.assigned.size());
+  done -= before.done_count();
+  chunks[number] = std::move(chunk);
+  const ChunkRecord& after = chunks[number].record;
+  assigned += static_cast<TaskNo>(after.assigned.size());
+  done += after.done_count();
+  last_progress_at = now;
+}
+
+void Job::divide() {
+  whole = std::move(chunks);
+  chunks = unstarted_chunks(RecordLayout(record));
+  assigned = 0;
+  done = 0;
+}
+
+ChunkRecord Job::piece_of_whole(std::uint32_t piece) const {
+  const RecordLayout layout(record);
+  const std::uint32_t chunk = piece / record.pieces_of_chunk();
+  const TaskRange tasks = layout.tasks_of_record(piece);
+  const TaskNo offset = tasks.first - layout.tasks_of_chunk(chunk).first;
+  const ChunkRecord& from = whole[chunk].record;
+  ChunkRecord out;
+  out.next = from.next;
+  out.done.assign(from.done.begin() + offset, from.done.begin() + offset + tasks.count);
+  out.assigned.insert(from.assigned.lower_bound(tasks.first),
+                      from.assigned.lower_bound(tasks.first + tasks.count));
+  return out;
+}
+
+}  // namespace saddleslip::storage
--- /dev/null
+++ b/tests/job_test.cpp
@@ -0,0 +1,102 @@
+// A job as its own record and the records of its tasks say.
+#include "storage/job.h"
+
+#include <gtest/gtest.h>
+
+namespace saddleslip::storage {
+
+namespace {
+
+const MachineId kMachine("i-1");
+
+// A job of 150 tasks in chunks of 100.
+JobRecord record(TaskNo piece = 0) {
+  JobRecord out;
+  out.spec.id = JobId("run-000001");
+  out.spec.tasks = 150;
+  out.chunk = 100;
+  out.piece = piece;
+  return out;
+}
+
+Chunk chunk(TaskNo count, std::vector<TaskNo> done, std::vector<TaskNo> assigned) {
+  Chunk out{{}, Version(2)};
+  out.record.done.assign(count, false);
+  for (const TaskNo offset : done) out.record.done[offset] = true;
+  for (const TaskNo task : assigned)
+    out.record.assigned[task] = {kMachine, Attempt(1), base::AgentIncarnation(1)};
+  return out;
+}
+
+}  // namespace
+
+TEST(Job, NewJobHasEveryTaskPending) {
+  const Job job(record(), Version(1), Time{});
+  EXPECT_EQ(job.chunks.size(), 2u);
+  EXPECT_EQ(job.pending(), 150u);
+  EXPECT_FALSE(job.is_done(149));
+  EXPECT_EQ(job.assignment(149), nullptr);
+}
+
+TEST(Job, ReplacedChunkIsCountedAnew) {
+  Job job(record(), Version(1), Time{});
+  job.replace_chunk(1, chunk(50, {0, 1}, {102}), Time{std::chrono::seconds(5)});
+  EXPECT_EQ(job.pending(), 147u);
+  EXPECT_TRUE(job.is_done(101));
+  ASSERT_NE(job.assignment(102), nullptr);
+  EXPECT_EQ(job.assignment(102)->machine, kMachine);
+  EXPECT_EQ(job.last_progress_at, Time{std::chrono::seconds(5)});
+  job.replace_chunk(1, chunk(50, {0, 1, 2}, {}), Time{});
+  EXPECT_EQ(job.done, 3u);
+  EXPECT_EQ(job.assigned, 0u);
+}
+
+TEST(Job, NothingIsPendingWhileBlockedOrCancelled) {
+  Job job(record(), Version(1), Time{});
+  job.blocked = true;
+  EXPECT_EQ(job.pending(), 0u);
+  job.blocked = false;
+  job.notify_cancelled = true;
+  EXPECT_EQ(job.pending(), 0u);
+  EXPECT_TRUE(job.cancelled());
+  EXPECT_FALSE(job.cancelled_on_record());
+  job.dependency_cancelled = true;
+  EXPECT_TRUE(job.cancelled_on_record());
+}
+
+TEST(Job, PiecesBeginAsTheUndividedChunkSays) {
+  Job job(record(), Version(1), Time{});
+  job.replace_chunk(1, chunk(50, {0, 41}, {142}), Time{});
+  job.update_record(record(40), Version(3));
+  ASSERT_TRUE(job.must_divide());
+  job.divide();
+  EXPECT_FALSE(job.must_divide());
+  EXPECT_EQ(job.chunks.size(), 5u);
+  EXPECT_EQ(job.whole.size(), 2u);
+  EXPECT_EQ(job.done, 0u);
+  const ChunkRecord last = job.piece_of_whole(4);  // tasks 140 to 149
+  EXPECT_EQ(last.done_count(), 1u);
+  EXPECT_TRUE(last.done[1]);
+  EXPECT_TRUE(last.assigned.contains(142));
+}
+
+TEST(Job, KeysCoverPiecesAndUndividedChunks) {
+  const Job job(record(40), Version(1), Time{});
+  const auto keys = job.task_record_keys();
+  ASSERT_EQ(keys.size(), 7u);
+  EXPECT_EQ(keys.front(), protocol::piece_key(job.record.spec.id, 0));
+  EXPECT_EQ(keys.back(), protocol::chunk_key(job.record.spec.id, 1));
+}
+
+// Dependencies that were read from lists of their own are in no job record.
+TEST(Job, UpdateKeepsDependenciesOfLists) {
+  JobRecord first = record();
+  first.dependency_lists = protocol::DependencyLists{"set", 1};
+  Job job(first, Version(1), Time{});
+  job.record.spec.dependencies = {JobId("run-000000")};
+  job.update_record(first, Version(2));
+  EXPECT_EQ(job.record.spec.dependencies.size(), 1u);
+  EXPECT_EQ(job.version, Version(2));
+}
+
+}  // namespace saddleslip::storage
