--- a/src/storage/dependency_graph.cpp
+++ b/src/storage/dependency_graph.cpp
@@ -18,25 +18,25 @@
 }  // namespace
 
 void DependencyGraph::add(const JobId& job, const std::vector<JobId>& dependencies) {
-  for (const JobId& need : dependencies) {
-    dependencies_of_[job].insert(need);
-    dependents_of_[need].insert(job);
+  for (const JobId& dependency : dependencies) {
+    dependencies_of_[job].insert(dependency);
+    dependents_of_[dependency].insert(job);
   }
 }
 
 void DependencyGraph::remove(const JobId& job) {
   const auto at = dependencies_of_.find(job);
   if (at == dependencies_of_.end()) return;
-  for (const JobId& need : at->second) remove_edge(dependents_of_, need, job);
+  for (const JobId& dependency : at->second) remove_edge(dependents_of_, dependency, job);
   dependencies_of_.erase(at);
 }
 
-std::set<JobId> DependencyGraph::mark_done(const JobId& need) {
-  const auto at = dependents_of_.find(need);
+std::set<JobId> DependencyGraph::mark_done(const JobId& dependency) {
+  const auto at = dependents_of_.find(dependency);
   if (at == dependents_of_.end()) return {};
   std::set<JobId> dependents = std::move(at->second);
   dependents_of_.erase(at);
-  for (const JobId& job : dependents) remove_edge(dependencies_of_, job, need);
+  for (const JobId& job : dependents) remove_edge(dependencies_of_, job, dependency);
   return dependents;
 }
 
@@ -50,8 +50,8 @@
   return at == dependencies_of_.end() ? kNoJobs : at->second;
 }
 
-const std::set<JobId>& DependencyGraph::dependents(const JobId& need) const {
-  const auto at = dependents_of_.find(need);
+const std::set<JobId>& DependencyGraph::dependents(const JobId& dependency) const {
+  const auto at = dependents_of_.find(dependency);
   return at == dependents_of_.end() ? kNoJobs : at->second;
 }
 
@@ -67,16 +67,16 @@
 std::vector<JobId> DependencyGraph::reachable(const Edges& edges, const JobId& from) {
   std::vector<JobId> found;
   std::set<JobId> seen{from};
-  std::vector<JobId> open{from};
-  while (!open.empty()) {
-    const JobId next = open.back();
-    open.pop_back();
+  std::vector<JobId> unvisited{from};
+  while (!unvisited.empty()) {
+    const JobId next = unvisited.back();
+    unvisited.pop_back();
     const auto at = edges.find(next);
     if (at == edges.end()) continue;
     for (const JobId& to : at->second) {
       if (!seen.insert(to).second) continue;
       found.push_back(to);
-      open.push_back(to);
+      unvisited.push_back(to);
     }
   }
   return found;
