--- a/src/transport/socket_stream.cpp
+++ b/src/transport/socket_stream.cpp
@@ -9,70 +9,82 @@
 
 namespace saddleslip::transport {
 
+namespace {
+
+constexpr long kLongestPollMs = 3'600'000;          // poll(2) takes an int
+constexpr std::size_t kMostIdleOutput = 16u << 10;  // a larger output buffer is given back
+
+bool would_block(int error) {
+  return error == EAGAIN || error == EWOULDBLOCK;
+}
+
+}  // namespace
+
 bool SocketStream::wait(short events) const {
   for (;;) {
     const auto left =
         std::chrono::duration_cast<std::chrono::milliseconds>(deadline_ - base::SteadyClock::now());
     if (left.count() <= 0) return false;
-    pollfd p{sock_, events, 0};
-    const int n = ::poll(&p, 1, static_cast<int>(std::min<long>(left.count(), 3'600'000)) + 1);
-    if (n > 0) return true;
-    if (n < 0 && errno != EINTR) return false;
+    pollfd request{socket_, events, 0};
+    // One more, as the remaining time was rounded down.
+    const int timeout_ms = static_cast<int>(std::min<long>(left.count(), kLongestPollMs)) + 1;
+    const int ready = ::poll(&request, 1, timeout_ms);
+    if (ready > 0) return true;
+    if (ready < 0 && errno != EINTR) return false;
   }
 }
 
-bool SocketStream::fill() {
+bool SocketStream::receive() {
   for (;;) {
-    const ssize_t n = ::recv(sock_, in_.data(), in_.size(), MSG_DONTWAIT);
-    if (n > 0) {
+    const ssize_t received = ::recv(socket_, input_.data(), input_.size(), MSG_DONTWAIT);
+    if (received > 0) {
       begin_ = 0;
-      end_ = static_cast<std::size_t>(n);
+      end_ = static_cast<std::size_t>(received);
       return true;
     }
-    if (n == 0) return false;
+    if (received == 0) return false;
     if (errno == EINTR) continue;
-    if ((errno != EAGAIN && errno != EWOULDBLOCK) || !wait(POLLIN)) return false;
+    if (!would_block(errno) || !wait(POLLIN)) return false;
   }
 }
 
 bool SocketStream::wait_for_data() {
-  if (begin_ < end_) return true;
-  return fill();
+  return has_data() || receive();
 }
 
 ssize_t SocketStream::read(char* ptr, size_t size) {
   if (!flush()) return -1;
-  if (begin_ == end_ && !fill()) return -1;
-  const std::size_t n = std::min(size, end_ - begin_);
-  std::memcpy(ptr, in_.data() + begin_, n);
-  begin_ += n;
-  return static_cast<ssize_t>(n);
+  if (!has_data() && !receive()) return -1;
+  const std::size_t count = std::min(size, end_ - begin_);
+  std::memcpy(ptr, input_.data() + begin_, count);
+  begin_ += count;
+  return static_cast<ssize_t>(count);
 }
 
 ssize_t SocketStream::write(const char* ptr, size_t size) {
-  if (broken_) return -1;
-  out_.append(ptr, size);
+  if (is_broken_) return -1;
+  output_.append(ptr, size);
   return static_cast<ssize_t>(size);
 }
 
 bool SocketStream::flush() {
   std::size_t sent = 0;
-  while (sent < out_.size() && !broken_) {
-    const ssize_t n =
-        ::send(sock_, out_.data() + sent, out_.size() - sent, MSG_NOSIGNAL | MSG_DONTWAIT);
-    if (n > 0) {
-      sent += static_cast<std::size_t>(n);
-    } else if (n < 0 && errno == EINTR) {
+  while (sent < output_.size() && !is_broken_) {
+    const ssize_t count =
+        ::send(socket_, output_.data() + sent, output_.size() - sent, MSG_NOSIGNAL | MSG_DONTWAIT);
+    if (count > 0) {
+      sent += static_cast<std::size_t>(count);
+    } else if (count < 0 && errno == EINTR) {
       continue;
-    } else if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
-      if (!wait(POLLOUT)) broken_ = true;
+    } else if (count < 0 && would_block(errno)) {
+      if (!wait(POLLOUT)) is_broken_ = true;
     } else {
-      broken_ = true;
+      is_broken_ = true;
     }
   }
-  out_.clear();
-  if (out_.capacity() > 16u << 10) out_.shrink_to_fit();
-  return !broken_;
+  output_.clear();
+  if (output_.capacity() > kMostIdleOutput) output_.shrink_to_fit();
+  return !is_broken_;
 }
 
 }  // namespace saddleslip::transport
--- /dev/null
+++ b/tests/file_descriptor_test.cpp
@@ -0,0 +1,54 @@
+// Ownership of file descriptors.
+#include "transport/file_descriptor.h"
+
+#include <fcntl.h>
+#include <gtest/gtest.h>
+
+#include <utility>
+
+namespace saddleslip::transport {
+
+namespace {
+
+int open_null() {
+  return ::open("/dev/null", O_RDONLY | O_CLOEXEC);
+}
+
+bool is_open_in_system(int descriptor) {
+  return ::fcntl(descriptor, F_GETFD) != -1;
+}
+
+}  // namespace
+
+TEST(FileDescriptor, DestructionCloses) {
+  const int descriptor = open_null();
+  {
+    const FileDescriptor owner(descriptor);
+    EXPECT_TRUE(owner.is_open());
+    EXPECT_TRUE(is_open_in_system(descriptor));
+  }
+  EXPECT_FALSE(is_open_in_system(descriptor));
+}
+
+TEST(FileDescriptor, MoveHandsOverAndClosesWhatWasOwned) {
+  const int first = open_null(), second = open_null();
+  FileDescriptor target(first);
+  FileDescriptor source(second);
+  target = std::move(source);
+  EXPECT_FALSE(is_open_in_system(first));
+  EXPECT_TRUE(is_open_in_system(second));
+  EXPECT_EQ(target.get(), second);
+}
+
+TEST(FileDescriptor, ReleasedDescriptorStaysOpen) {
+  const int descriptor = open_null();
+  {
+    FileDescriptor owner(descriptor);
+    EXPECT_EQ(owner.release(), descriptor);
+    EXPECT_FALSE(owner.is_open());
+  }
+  EXPECT_TRUE(is_open_in_system(descriptor));
+  ::close(descriptor);
+}
+
+}  // namespace saddleslip::transport
