--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -8,18 +8,24 @@
 
 namespace saddleslip::base {
 
+namespace {
+
+spdlog::level::level_enum level_from_environment() {
+  const char* value = std::getenv("LOG_LEVEL");
+  const std::string level = value ? value : "";
+  if (level == "error") return spdlog::level::err;
+  if (level == "warn") return spdlog::level::warn;
+  if (level == "debug") return spdlog::level::debug;
+  return spdlog::level::info;
+}
+
+}  // namespace
+
 void init_log() {
   auto sink = std::make_shared<spdlog::sinks::stderr_sink_mt>();
   auto logger = std::make_shared<spdlog::logger>("saddleslip", sink);
   logger->set_pattern("%H:%M:%S.%e %L %v");
-  auto level = spdlog::level::info;
-  if (const char* env = std::getenv("LOG_LEVEL")) {
-    const std::string s = env;
-    if (s == "error") level = spdlog::level::err;
-    if (s == "warn") level = spdlog::level::warn;
-    if (s == "debug") level = spdlog::level::debug;
-  }
-  logger->set_level(level);
+  logger->set_level(level_from_environment());
   logger->flush_on(spdlog::level::err);
   spdlog::set_default_logger(logger);
 }
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,11 +1,13 @@
-// Logging to standard error, as much as LOG_LEVEL says.
+// Logging to standard error through spdlog's default logger.
 #pragma once
 
 #include <spdlog/spdlog.h>
 
 namespace saddleslip::base {
 
-// Reads LOG_LEVEL (error, warn, info, debug; default info).
+// Installs the default logger. The environment variable LOG_LEVEL says what is logged: error, warn,
+// info or debug; info if it is not set or says something else. To be called once, before any other
+// thread logs; logging itself is safe from every thread.
 void init_log();
 
 }  // namespace saddleslip::base
