--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -14,6 +14,11 @@
 #include "coordination/fleet/scaling_plan.h"
 #include "coordination/machines/peer_registry.h"
 #include "coordination/machines/status_revisions.h"
+#include "coordination/membership/authority_lease.h"
+#include "coordination/membership/leadership.h"
+#include "coordination/membership/membership_proposals.h"
+#include "coordination/membership/ownership.h"
+#include "coordination/membership/peer_contact.h"
 #include "coordination/membership/view.h"
 #include "coordination/scheduling/failure_tracker.h"
 #include "coordination/scheduling/job_priorities.h"
@@ -38,9 +43,6 @@
 using storage::Machine;
 using storage::StateCache;
 
-// A sibling that was not reached for this long counts as cut off.
-inline constexpr Seconds kReachable{4.0};
-
 struct WorkerReply {
   int status = 503;
   std::string body;
@@ -100,32 +102,30 @@
   const StateCache& cache() const { return cache_; }
 
   // --- membership
-  // A lease was taken: a new life. Until the view names it, nothing may be done.
-  void begin_incarnation(ControllerIncarnation incarnation, Time now);
-  const ControllerIncarnation& self() const { return self_; }
-  // The lease of this life was taken by a call sent at `sent`.
-  void lease_acquired(Time sent);
-  // The lease was renewed by a call sent at `sent`, and the ledger was proved current after that: it
-  // holds all that was committed before the call, cancellations and views. `copy` is cache_generation() as
-  // of before that proof: a copy that was read anew meanwhile was not proved current.
-  void lease_renewed(Time sent, std::uint64_t cache_generation);
-  std::uint64_t cache_generation() const { return cache_generation_; }
-  void end_incarnation();
-  // The ledger was read anew, page by page: parts of it are older than what was proved before, so that
-  // nothing may be commanded until a renewal has proved it current again.
-  void cache_replaced() {
-    authority_valid_until_ = Time{};
-    ++cache_generation_;
+  // See AuthorityLease for these.
+  void begin_incarnation(ControllerIncarnation incarnation, Time now) {
+    authority_.begin_incarnation(std::move(incarnation), now);
+  }
+  void end_incarnation() { authority_.end_incarnation(); }
+  void lease_acquired(Time sent) { authority_.lease_acquired(sent); }
+  void lease_renewed(Time sent, std::uint64_t cache_generation) {
+    authority_.lease_renewed(sent, cache_generation);
+  }
+  void cache_replaced() { authority_.cache_replaced(); }
+  std::uint64_t cache_generation() const { return authority_.cache_generation(); }
+  const ControllerIncarnation& self() const { return authority_.self(); }
+  bool has_lease(Time now) const { return authority_.has_lease(now); }
+  // May this process answer workers and send them commands now?
+  bool has_authority(Time now) const {
+    return authority_.has_authority(now, ownership_.installed_view());
   }
-  // May this process answer workers and give them orders now?
-  bool has_authority(Time now) const;
-  bool has_lease(Time now) const { return now < lease_valid_until_; }
-  bool is_leader(Time now) const;
-  // After the ledger took in changes: follows a new view.
+  bool is_leader(Time now) const { return leadership_.is_leader(now); }
+  // To be called after the cache took in changes: installs a new view, notes a new leader.
   void install_view(Time now);
-  // The key by which others know of this life.
-  Transaction member_record(base::LeaseId lease, bool reaches_others) const;
-  // What leadership asks for: to take it, or to write a new view. At most one transaction.
+  // See MembershipProposals for these.
+  Transaction member_record(base::LeaseId lease, bool reaches_others) const {
+    return proposals_.member_record(lease, reaches_others);
+  }
   std::optional<Transaction> propose_membership_change(Time now, base::LeaseId lease);
 
   // --- workers
@@ -176,7 +176,7 @@
   void status_acknowledged(const MemberId& by, std::uint64_t upto) {
     status_revisions_.acknowledge(by, upto);
   }
-  void peer_reached(const MemberId& member, Time now) { reached_[member] = now; }
+  void peer_reached(const MemberId& member, Time now) { peer_contact_.record_reached(member, now); }
   // Has another controller, heard of lately, a lease while this one has none?
   bool peers_have_state(Time now) const { return peers_.any_has_state(now); }
 
@@ -200,12 +200,10 @@
     Time until{};
   };
 
-  // Puts on record that all controllers read this version's format, if they do and it is not yet.
-  std::optional<Transaction> propose_format_upgrade() const;
-  Time ttl_after(Time sent) const;
-  // As the view says. Asked for every machine in every round, and the same until the view changes.
-  const ControllerIncarnation* owner(const MachineId& machine) const;
-  bool owns(const MachineId& machine) const;
+  const ControllerIncarnation* owner(const MachineId& machine) const {
+    return ownership_.owner(machine);
+  }
+  bool owns(const MachineId& machine) const { return ownership_.owns(machine); }
   // Does it report, and hear what it is answered?
   bool is_schedulable(const Machine& m, Time now) const;
   bool has_recent_heartbeat(const Machine& m, Time now) const;
@@ -365,31 +363,29 @@
   const base::Settings& settings_;
   StateCache cache_;
   JobPriorities priorities_;
-  ControllerIncarnation self_;
-  bool has_incarnation_ = false;
-  Time incarnation_since_{};
-  Time lease_valid_until_{};
-  Time authority_valid_until_{};
-  Version authority_view_;
-  std::uint64_t cache_generation_ = 0;  // counts the times that the ledger was read anew
-  Version installed_view_;
-  FencingToken base_fencing_token_;
-  Time view_installed_at_{};
+  AuthorityLease authority_;
+  Ownership ownership_;
+  PeerContact peer_contact_;
+  Leadership leadership_;
+  MembershipProposals proposals_;
+  // Short names for what other parts of this class read until they are classes of their own.
+  const ControllerIncarnation& self_ = authority_.self();
+  const Version& installed_view_ = ownership_.installed_view();
+  const FencingToken& base_fencing_token_ = ownership_.base_fencing_token();
+  const Time& view_installed_at_ = ownership_.view_installed_at();
+  const Time& leader_since_ = leadership_.leader_since();
   std::optional<Time> authority_since_;
   Time last_running_at_{},
       resumed_after_pause_at_{};  // when this process was last seen to run, and went on
   std::optional<Time> many_silent_at_;
   std::optional<Time> unheard_since_;  // while it hears hardly any of its machines
 
-  mutable std::unordered_map<MachineId, std::size_t> owners_;  // by place in the view's members
-  mutable Version owners_view_version_;
   std::map<MachineId, Machine> machines_;
   struct MisdirectedHeartbeats {
     ControllerIncarnation owner;  // to whom it was sent
     Time first{}, last{};
     int times = 0;
   };
-  std::map<MachineId, std::pair<MemberId, Time>> override_since_;
   struct CapacityReservation {
     JobId job;
     Time until{};
@@ -421,11 +417,6 @@
 
   PeerRegistry peers_;
   StatusRevisions status_revisions_;
-  std::map<MemberId, Time> reached_;
-  std::map<MemberId, Time> member_since_;
-  std::set<MemberId> excluded_;
-  Time leader_since_{};
-  bool was_leader_ = false;
 
   std::map<MachineKind, Time> refused_;  // not to be asked for before then
   std::map<MachineKind, int> refusals_;  // in a row
