--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -14,7 +14,16 @@
 #include "coordination/fleet/scaling_plan.h"
 #include "coordination/machines/peer_registry.h"
 #include "coordination/machines/status_revisions.h"
+#include "coordination/membership/authority_lease.h"
+#include "coordination/membership/leadership.h"
+#include "coordination/membership/membership_proposals.h"
+#include "coordination/membership/ownership.h"
+#include "coordination/membership/ownership_claims.h"
+#include "coordination/membership/ownership_transfers.h"
+#include "coordination/membership/pause_detector.h"
+#include "coordination/membership/peer_contact.h"
 #include "coordination/membership/view.h"
+#include "coordination/membership/worker_contact_monitor.h"
 #include "coordination/scheduling/failure_tracker.h"
 #include "coordination/scheduling/job_priorities.h"
 #include "coordination/scheduling/packing.h"
@@ -38,9 +47,6 @@
 using storage::Machine;
 using storage::StateCache;
 
-// A sibling that was not reached for this long counts as cut off.
-inline constexpr Seconds kReachable{4.0};
-
 struct WorkerReply {
   int status = 503;
   std::string body;
@@ -100,32 +106,30 @@
   const StateCache& cache() const { return cache_; }
 
   // --- membership
-  // A lease was taken: a new life. Until the view names it, nothing may be done.
-  void begin_incarnation(ControllerIncarnation incarnation, Time now);
-  const ControllerIncarnation& self() const { return self_; }
-  // The lease of this life was taken by a call sent at `sent`.
-  void lease_acquired(Time sent);
-  // The lease was renewed by a call sent at `sent`, and the ledger was proved current after that: it
-  // holds all that was committed before the call, cancellations and views. `copy` is cache_generation() as
-  // of before that proof: a copy that was read anew meanwhile was not proved current.
-  void lease_renewed(Time sent, std::uint64_t cache_generation);
-  std::uint64_t cache_generation() const { return cache_generation_; }
-  void end_incarnation();
-  // The ledger was read anew, page by page: parts of it are older than what was proved before, so that
-  // nothing may be commanded until a renewal has proved it current again.
-  void cache_replaced() {
-    authority_valid_until_ = Time{};
-    ++cache_generation_;
+  // See AuthorityLease for these.
+  void begin_incarnation(ControllerIncarnation incarnation, Time now) {
+    authority_.begin_incarnation(std::move(incarnation), now);
+  }
+  void end_incarnation() { authority_.end_incarnation(); }
+  void lease_acquired(Time sent) { authority_.lease_acquired(sent); }
+  void lease_renewed(Time sent, std::uint64_t cache_generation) {
+    authority_.lease_renewed(sent, cache_generation);
+  }
+  void cache_replaced() { authority_.cache_replaced(); }
+  std::uint64_t cache_generation() const { return authority_.cache_generation(); }
+  const ControllerIncarnation& self() const { return authority_.self(); }
+  bool has_lease(Time now) const { return authority_.has_lease(now); }
+  // May this process answer workers and send them commands now?
+  bool has_authority(Time now) const {
+    return authority_.has_authority(now, ownership_.installed_view());
   }
-  // May this process answer workers and give them orders now?
-  bool has_authority(Time now) const;
-  bool has_lease(Time now) const { return now < lease_valid_until_; }
-  bool is_leader(Time now) const;
-  // After the ledger took in changes: follows a new view.
+  bool is_leader(Time now) const { return leadership_.is_leader(now); }
+  // To be called after the cache took in changes: installs a new view, notes a new leader.
   void install_view(Time now);
-  // The key by which others know of this life.
-  Transaction member_record(base::LeaseId lease, bool reaches_others) const;
-  // What leadership asks for: to take it, or to write a new view. At most one transaction.
+  // See MembershipProposals for these.
+  Transaction member_record(base::LeaseId lease, bool reaches_others) const {
+    return proposals_.member_record(lease, reaches_others);
+  }
   std::optional<Transaction> propose_membership_change(Time now, base::LeaseId lease);
 
   // --- workers
@@ -176,7 +180,7 @@
   void status_acknowledged(const MemberId& by, std::uint64_t upto) {
     status_revisions_.acknowledge(by, upto);
   }
-  void peer_reached(const MemberId& member, Time now) { reached_[member] = now; }
+  void peer_reached(const MemberId& member, Time now) { peer_contact_.record_reached(member, now); }
   // Has another controller, heard of lately, a lease while this one has none?
   bool peers_have_state(Time now) const { return peers_.any_has_state(now); }
 
@@ -200,12 +204,10 @@
     Time until{};
   };
 
-  // Puts on record that all controllers read this version's format, if they do and it is not yet.
-  std::optional<Transaction> propose_format_upgrade() const;
-  Time ttl_after(Time sent) const;
-  // As the view says. Asked for every machine in every round, and the same until the view changes.
-  const ControllerIncarnation* owner(const MachineId& machine) const;
-  bool owns(const MachineId& machine) const;
+  const ControllerIncarnation* owner(const MachineId& machine) const {
+    return ownership_.owner(machine);
+  }
+  bool owns(const MachineId& machine) const { return ownership_.owns(machine); }
   // Does it report, and hear what it is answered?
   bool is_schedulable(const Machine& m, Time now) const;
   bool has_recent_heartbeat(const Machine& m, Time now) const;
@@ -216,32 +218,20 @@
   Resources being_stopped(const Machine& m) const;
   void update_status(Machine& m, Time now);
   std::vector<MachineId> release_requests() const;
-  std::vector<MachineId> misdirected(Time now) const;
-  // A machine of that owner reported here and was sent there.
-  void record_misdirected_heartbeat(const MachineId& machine, const ControllerIncarnation& owner,
-                                    Time now);
-  // Machines that come back again and again: they reach this node, and not their owner.
+  std::vector<MachineId> misdirected(Time now) const { return ownership_claims_.misdirected(now); }
+  // Machines of other members that this one claims.
   std::vector<MachineId> ownership_claims(Time now);
-  // Notices that this process stood still, its clock running on.
-  void detect_pause(Time now);
-  Time listening_since() const;
+  void detect_pause(Time now) { pauses_.record_running(now); }
+  Time listening_since() const { return contact_monitor_.listening_since(); }
   // Does this controller hear the machines that it owns?
   protocol::WorkerContact worker_contact(Time now) const;
-  // Asked in each round: since when does it hear hardly any of them?
-  void watch_contact(Time now);
-  struct MachineCensus {
-    std::size_t owned = 0, overdue = 0;
-    bool are_lost() const;
-    bool are_heard() const;
-  };
+  void watch_contact(Time now) { contact_monitor_.update_census(count_overdue(now), now); }
   MachineCensus count_overdue(Time now) const;
   bool is_overdue(const Machine& m, Time now) const;
-  protocol::WorkerContact contact_of(const ControllerIncarnation& member, Time now) const;
-  std::vector<MachineId> silent_machines_of(const ControllerIncarnation& member, Time now) const;
-  // Adds the machines of members that have lost their workers. False: there are none.
-  bool fail_over_silent_machines(Time now, std::map<MachineId, ControllerIncarnation>& to) const;
-  // All members' claims that the leader has heard of, if it is time for a view that follows them.
-  std::map<MachineId, ControllerIncarnation> gather_ownership_claims(Time now);
+  // The machines that this controller owns and does not hear.
+  std::vector<MachineId> silent_machines(Time now) const;
+  // What this member says of itself to the leader, if that is itself.
+  MemberReport own_report(Time now);
   std::string zone_of(const MachineId& machine) const;
   static const protocol::ReportedAttempt* reported_attempt(const Machine& m, const TaskId& task,
                                                            const protocol::Assignment& assignment);
@@ -365,31 +355,25 @@
   const base::Settings& settings_;
   StateCache cache_;
   JobPriorities priorities_;
-  ControllerIncarnation self_;
-  bool has_incarnation_ = false;
-  Time incarnation_since_{};
-  Time lease_valid_until_{};
-  Time authority_valid_until_{};
-  Version authority_view_;
-  std::uint64_t cache_generation_ = 0;  // counts the times that the ledger was read anew
-  Version installed_view_;
-  FencingToken base_fencing_token_;
-  Time view_installed_at_{};
-  std::optional<Time> authority_since_;
-  Time last_running_at_{},
-      resumed_after_pause_at_{};  // when this process was last seen to run, and went on
+  PeerRegistry peers_;
+  AuthorityLease authority_;
+  Ownership ownership_;
+  PeerContact peer_contact_;
+  Leadership leadership_;
+  MembershipProposals proposals_;
+  PauseDetector pauses_;
+  WorkerContactMonitor contact_monitor_;
+  OwnershipClaims ownership_claims_;
+  OwnershipTransfers transfers_;
+  // Short names for what other parts of this class read until they are classes of their own.
+  const ControllerIncarnation& self_ = authority_.self();
+  const Version& installed_view_ = ownership_.installed_view();
+  const FencingToken& base_fencing_token_ = ownership_.base_fencing_token();
+  const Time& view_installed_at_ = ownership_.view_installed_at();
+  const Time& leader_since_ = leadership_.leader_since();
   std::optional<Time> many_silent_at_;
-  std::optional<Time> unheard_since_;  // while it hears hardly any of its machines
 
-  mutable std::unordered_map<MachineId, std::size_t> owners_;  // by place in the view's members
-  mutable Version owners_view_version_;
   std::map<MachineId, Machine> machines_;
-  struct MisdirectedHeartbeats {
-    ControllerIncarnation owner;  // to whom it was sent
-    Time first{}, last{};
-    int times = 0;
-  };
-  std::map<MachineId, std::pair<MemberId, Time>> override_since_;
   struct CapacityReservation {
     JobId job;
     Time until{};
@@ -397,10 +381,7 @@
         false;  // for a job that waited too long, rather than one that displaces others
   };
   std::map<MachineId, CapacityReservation>
-      reservations_;  // kept free of other work until the job fits
-  std::map<MachineId, MisdirectedHeartbeats> misdirected_;  // sent to their owners, and back again
-  std::optional<Time>
-      claims_pending_since_;               // since when there are claims that no view follows yet
+      reservations_;                       // kept free of other work until the job fits
   std::map<MachineId, Time> owned_since_;  // for machines never heard: the base of lease proofs
   std::map<MachineId, AgentIncarnation> ended_incarnations_;
   std::map<MachineId, Time> released_;
@@ -419,13 +400,7 @@
   Time unheard_owned_at_{};
   std::map<JobId, Time> preempting_;
 
-  PeerRegistry peers_;
   StatusRevisions status_revisions_;
-  std::map<MemberId, Time> reached_;
-  std::map<MemberId, Time> member_since_;
-  std::set<MemberId> excluded_;
-  Time leader_since_{};
-  bool was_leader_ = false;
 
   std::map<MachineKind, Time> refused_;  // not to be asked for before then
   std::map<MachineKind, int> refusals_;  // in a row
