--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -13,6 +13,7 @@
 #include "coordination/fleet/boot_tracker.h"
 #include "coordination/fleet/scaling_plan.h"
 #include "coordination/membership/view.h"
+#include "coordination/scheduling/capacity_reservations.h"
 #include "coordination/scheduling/failure_tracker.h"
 #include "coordination/scheduling/job_priorities.h"
 #include "coordination/scheduling/packing.h"
@@ -398,14 +399,7 @@
     int times = 0;
   };
   std::map<MachineId, std::pair<MemberId, Time>> override_since_;
-  struct CapacityReservation {
-    JobId job;
-    Time until{};
-    bool for_starving_job =
-        false;  // for a job that waited too long, rather than one that displaces others
-  };
-  std::map<MachineId, CapacityReservation>
-      reservations_;  // kept free of other work until the job fits
+  CapacityReservations reservations_{cache_};
   std::map<MachineId, MisdirectedHeartbeats> misdirected_;  // sent to their owners, and back again
   std::optional<Time>
       claims_pending_since_;               // since when there are claims that no view follows yet
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -120,8 +120,7 @@
         (with_image && !m.has_image(spec.image))) {
       continue;
     }
-    const auto kept = reservations_.find(id);
-    if (kept != reservations_.end() && kept->second.job != spec.id) continue;
+    if (reservations_.is_reserved_for_other(id, spec.id)) continue;
     auto candidate = preemption_on(p, m, now);
     if (!candidate || (best && candidate->lost >= least.lost)) continue;
     best = &m;
@@ -131,8 +130,8 @@
   p.taken[best->last_heartbeat.machine] += spec.request;
   // What is made room here is kept for it: given away to what was stopped, it had to be made
   // again and again, and never was enough.
-  reservations_.try_emplace(best->last_heartbeat.machine,
-                            CapacityReservation{spec.id, base::after(now, kPreemptRepeat), false});
+  reservations_.reserve_preempted_capacity(best->last_heartbeat.machine, spec.id,
+                                           base::after(now, kPreemptRepeat));
   for (const TaskId& v : least.tasks) {
     spdlog::info("{}/{} on {} is stopped to make room for {}", v.job.get(), v.no,
                  best->last_heartbeat.machine.get(), spec.id.get());
--- a/src/coordination/scheduling/scheduling_round.cpp
+++ b/src/coordination/scheduling/scheduling_round.cpp
@@ -27,13 +27,10 @@
   const auto& spec = job.record.spec;
   const Machine* best = nullptr;
   // Kept free, machines do nothing: when most of what waits has waited long, only a few are.
-  const auto kept = std::count_if(reservations_.begin(), reservations_.end(),
-                                  [](const auto& g) { return g.second.for_starving_job; });
-  if (static_cast<std::size_t>(kept) > machines_.size() / kMachinesPerReservation) return;
+  if (reservations_.starving_count() > machines_.size() / kMachinesPerReservation) return;
   for (const auto& [id, m] : machines_) {
-    const auto g = reservations_.find(id);
-    if (g != reservations_.end() && g->second.job == spec.id) return;
-    if (g != reservations_.end() || m.cordoned || !is_schedulable(m, now) ||
+    if (reservations_.is_reserved_for(id, spec.id)) return;
+    if (reservations_.is_reserved(id) || m.cordoned || !is_schedulable(m, now) ||
         !may_run(spec, m.last_heartbeat.type, m.last_heartbeat.zone, m.last_heartbeat.spot)) {
       continue;
     }
@@ -50,10 +47,10 @@
     if (!best || capacity(m).free.cores() > capacity(*best).free.cores()) best = &m;
   }
   if (!best) return;
-  spdlog::info("machine {} is kept free until {} fits", best->last_heartbeat.machine.get(),
-               spec.id.get());
-  reservations_[best->last_heartbeat.machine] = {spec.id, base::after(now, kReservationDuration),
-                                                 true};
+  spdlog::info("capacity reserved for starving job: machine={} job={}",
+               best->last_heartbeat.machine.get(), spec.id.get());
+  reservations_.reserve_for_starving_job(best->last_heartbeat.machine, spec.id,
+                                         base::after(now, kReservationDuration));
 }
 
 Seconds Controller::fetch_time(const Machine& m, const protocol::JobSpec& spec) const {
@@ -287,8 +284,7 @@
                            std::optional<Seconds> start_within, bool displaces, Time now) const {
   if (!may_run(spec, m.last_heartbeat.type, m.last_heartbeat.zone, m.last_heartbeat.spot))
     return -1;
-  const auto kept = reservations_.find(m.last_heartbeat.machine);
-  if (kept != reservations_.end() && kept->second.job != spec.id) return -1;
+  if (reservations_.is_reserved_for_other(m.last_heartbeat.machine, spec.id)) return -1;
   if (failures_.avoids(spec.id, m.last_heartbeat.machine, now)) return -1;
   const bool quick = !start_within || fetch_time(m, spec) < *start_within * 0.75;
   const int image = m.has_image(spec.image)          ? 0
@@ -315,13 +311,9 @@
 void Controller::free_capacity(const std::vector<WaitingJob>& waiting, const RoundPlan& plan,
                                Time now) {
   for (const RoundPlan::Start& s : plan.starts) {
-    const auto g = reservations_.find(s.assignment.machine);
-    if (g != reservations_.end() && g->second.job == s.task.job) reservations_.erase(g);
+    reservations_.fulfil(s.assignment.machine, s.task.job);
   }
-  std::erase_if(reservations_, [&](const auto& g) {
-    const Job* job = cache_.job(g.second.job);
-    return g.second.until < now || !job || job->pending() == 0;
-  });
+  reservations_.expire(now);
   std::vector<std::pair<const Job*, std::size_t>> left;
   for (const WaitingJob& w : waiting) {
     // Nothing gives way to a job that fails everywhere.
