--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -142,7 +142,7 @@
   }
   override_since_ = std::move(overridden);
   // Shares handed to members that are gone must find a new home at once.
-  offered_.clear();
+  offer_router_.forget_offers();
   std::string names;
   for (const ControllerIncarnation& m : cache_.view()->members) {
     names +=
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -16,6 +16,8 @@
 #include "coordination/scheduling/capacity_reservations.h"
 #include "coordination/scheduling/failure_tracker.h"
 #include "coordination/scheduling/job_priorities.h"
+#include "coordination/scheduling/offer_pool.h"
+#include "coordination/scheduling/offer_router.h"
 #include "coordination/scheduling/packing.h"
 #include "coordination/scheduling/record_batch.h"
 #include "storage/machine.h"
@@ -88,9 +90,6 @@
   bool again = false;  // the status builds upon one that this node doesn't have: tell all
 };
 
-// The machines of one member as seen by routing.
-struct Partition;
-
 class Controller {
  public:
   explicit Controller(const base::Settings& settings);
@@ -150,9 +149,9 @@
   bool drop_stale_commands(CommandBatch& order, Time now) const;
 
   // --- rounds
-  void add_offers(const protocol::Offers& offers, Time now);
+  void add_offers(const protocol::Offers& offers, Time now) { offer_pool_.add(offers, now); }
   // A job was accepted here: its first offers are made here, not by its home, which may be down.
-  void accepted(const JobId& job) { accepted_.insert(job); }
+  void accepted(const JobId& job) { offer_router_.add_submitted_job(job); }
   // Offers did not reach their part: its owner is passed over until it is heard again.
   void offers_lost(const MemberId& member, const std::vector<protocol::Offers>& offers);
   // Splits waiting tasks of this node's jobs among the parts; own shares go to its own pool.
@@ -203,11 +202,6 @@
     Time last_heartbeat_at{};
   };
   using Partitions = std::vector<std::pair<MemberId, std::vector<const MachineStatus*>>>;
-  struct PoolEntry {
-    JobId job;
-    std::vector<std::pair<TaskNo, TaskNo>> ranges;
-    Time until{};
-  };
 
   // Puts on record that all controllers read this version's format, if they do and it is not yet.
   std::optional<Transaction> propose_format_upgrade() const;
@@ -308,22 +302,6 @@
   void move_service_away(Machine& m, const Partitions& known, Time now);
   void count_arrivals(Time now);
   std::map<JobId, std::size_t> timely_share(Time now, double boot) const;
-  // The steps of routing.
-  struct Routing;
-  bool is_offered(const TaskId& task, Time now) const;
-  void prune_offers(Time now);
-  std::vector<const Job*> jobs_to_route(Time now) const;
-  void sort_by_turn(std::vector<const Job*>& jobs, Time now) const;
-  bool may_displace(const Job& job, Time now) const;
-  std::vector<Partition> routing_partitions(const std::vector<const Job*>& jobs, Time now);
-  void update_candidates(Routing& r, std::size_t partition) const;
-  std::vector<TaskNo> tasks_to_offer(const Job& job, std::size_t most, Time now) const;
-  void offer(Routing& r, std::size_t partition, std::size_t n);
-  void offer_array(Routing& r);
-  std::optional<std::size_t> best_partition(const Routing& r) const;
-  void offer_to_roomiest(Routing& r);
-  void offer_to_displace(Routing& r);
-  void route_job(Routing& r, const Job& job);
   // The steps of the fleet's plan.
   std::vector<MachineId> releases_due(const Partitions& known, Time now) const;
   ScalingInput scaling_input(const Partitions& known, Time now) const;
@@ -411,12 +389,9 @@
   std::map<std::pair<TaskId, std::uint64_t>, Time> stop_sent_;
   std::map<TaskId, Time> completion_seen_at_;  // of ends that wait to be put on record with others
   std::set<MachineId> silent_machines_;        // owned, silent, and to be released for proof
-  std::deque<PoolEntry> pool_;
-  std::unordered_map<TaskId, Time> offered_;
-  Time offers_pruned_at_{};
-  std::set<JobId> accepted_;
-  std::map<JobId, std::size_t> displacing_;  // how often a part was asked to make room
+  OfferPool offer_pool_{settings_};
   FailureTracker failures_;
+  OfferRouter offer_router_{settings_, cache_, priorities_, failures_};
   std::vector<MachineId> unheard_owned_;
   Time unheard_owned_at_{};
   std::map<JobId, Time> preempting_;
--- a/src/coordination/scheduling/scheduling_round.cpp
+++ b/src/coordination/scheduling/scheduling_round.cpp
@@ -13,6 +13,7 @@
 
 namespace {
 
+constexpr Seconds kPeerCapacityFresh{4.0};  // a peer's status is relied on for this long
 constexpr Seconds kReservationDuration{60.0};
 constexpr std::size_t kMachinesPerReservation = 20;  // one machine of so many, and one more
 constexpr Seconds kStopRepeat{2.0};
@@ -95,11 +96,22 @@
   return false;
 }
 
-void Controller::add_offers(const protocol::Offers& offers, Time now) {
-  const Time until = base::after(now, settings_.tuning.round_period * 2.5);
-  for (const protocol::Offer& o : offers.offers) pool_.push_back({o.job, o.ranges, until});
-  // A home that repeats itself, or many of them, must not make this grow without bound.
-  while (pool_.size() > 4096) pool_.pop_front();
+void Controller::offers_lost(const MemberId& member, const std::vector<protocol::Offers>& offers) {
+  peers_.erase(member);
+  for (const protocol::Offers& undelivered : offers) offer_router_.forget_offers(undelivered);
+}
+
+std::map<MemberId, protocol::Offers> Controller::route(Time now) {
+  if (!has_authority(now)) return {};
+  offer_router_.expire(now);
+  const std::vector<const Job*> jobs = offer_router_.jobs_to_route(self_, now);
+  if (jobs.empty()) return {};
+  priorities_.update(now);
+  RoutingInput input{now, self_, {}, [&](const JobId& job) { return is_crash_looping(job, now); }};
+  for (auto& [member, machines] : partitions(now, kPeerCapacityFresh)) {
+    input.partitions.push_back({member, std::move(machines)});
+  }
+  return offer_router_.route(jobs, input);
 }
 
 std::optional<std::size_t> Controller::starving_tasks(const Job& job, Time now) const {
@@ -136,18 +148,18 @@
 
 std::vector<Controller::WaitingJob> Controller::waiting_jobs(WriteBudget write_budget, Time now,
                                                              const RecordBatch& batch) {
-  std::erase_if(pool_, [&](const PoolEntry& p) { return p.until < now; });
+  offer_pool_.expire(now);
   std::vector<WaitingJob> waiting;
   std::map<JobId, std::size_t> index;
-  for (const PoolEntry& p : pool_) {
-    const Job* job = cache_.job(p.job);
+  for (const PooledOffer& offer : offer_pool_.offers()) {
+    const Job* job = cache_.job(offer.job);
     if (!job || job->cancelled() || job->blocked) continue;
     if (write_budget == WriteBudget::kExhausted && !priorities_.is_urgent(*job)) continue;
-    if (!failures_.may_retry(p.job, now)) continue;
-    const auto [at, is_new] = index.try_emplace(p.job, waiting.size());
+    if (!failures_.may_retry(offer.job, now)) continue;
+    const auto [at, is_new] = index.try_emplace(offer.job, waiting.size());
     if (is_new) waiting.push_back({job, {}, {}, true});
     WaitingJob& w = waiting[at->second];
-    for (const auto& [first, count] : p.ranges) {
+    for (const auto& [first, count] : offer.ranges) {
       for (TaskNo no = first; no - first < count && no < job->record.spec.tasks; ++no) {
         if (!batch.is_assigned(*job, no) && !batch.is_done(*job, no)) w.tasks.push_back(no);
       }
