--- a/src/coordination/scheduling/scheduling_round.cpp
+++ b/src/coordination/scheduling/scheduling_round.cpp
@@ -97,7 +97,7 @@
 }
 
 void Controller::offers_lost(const MemberId& member, const std::vector<protocol::Offers>& offers) {
-  peers_.erase(member);
+  peers_.forget(member);
   for (const protocol::Offers& undelivered : offers) offer_router_.forget_offers(undelivered);
 }
 
