--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -43,7 +43,7 @@
   std::erase_if(owned_since_, [&](const auto& m) { return !in_a_row || !owns(m.first); });
   attempts_.forget_never_started();
   // Shares handed to members that are gone must find a new home at once.
-  offered_.clear();
+  offer_router_.forget_offers();
   std::string names;
   for (const ControllerIncarnation& m : cache_.view()->members) {
     names +=
--- a/src/coordination/scheduling/scheduling_round.cpp
+++ b/src/coordination/scheduling/scheduling_round.cpp
@@ -14,6 +14,7 @@
 
 namespace {
 
+constexpr Seconds kPeerCapacityFresh{4.0};  // a peer's status is relied on for this long
 constexpr Seconds kReservationDuration{60.0};
 constexpr std::size_t kMachinesPerReservation = 20;  // one machine of so many, and one more
 constexpr int kSlowFetch = 6;  // the pass of machines that can't fetch the image in time
@@ -27,13 +28,10 @@
   const auto& spec = job.record.spec;
   const Machine* best = nullptr;
   // Kept free, machines do nothing: when most of what waits has waited long, only a few are.
-  const auto kept = std::count_if(reservations_.begin(), reservations_.end(),
-                                  [](const auto& g) { return g.second.for_starving_job; });
-  if (static_cast<std::size_t>(kept) > machines_.size() / kMachinesPerReservation) return;
+  if (reservations_.starving_count() > machines_.size() / kMachinesPerReservation) return;
   for (const auto& [id, m] : machines_) {
-    const auto g = reservations_.find(id);
-    if (g != reservations_.end() && g->second.job == spec.id) return;
-    if (g != reservations_.end() || m.cordoned || !is_schedulable(m, now) ||
+    if (reservations_.is_reserved_for(id, spec.id)) return;
+    if (reservations_.is_reserved(id) || m.cordoned || !is_schedulable(m, now) ||
         !may_run(spec, m.last_heartbeat.type, m.last_heartbeat.zone, m.last_heartbeat.spot)) {
       continue;
     }
@@ -50,10 +48,10 @@
     if (!best || capacity(m).free.cores() > capacity(*best).free.cores()) best = &m;
   }
   if (!best) return;
-  spdlog::info("machine {} is kept free until {} fits", best->last_heartbeat.machine.get(),
-               spec.id.get());
-  reservations_[best->last_heartbeat.machine] = {spec.id, base::after(now, kReservationDuration),
-                                                 true};
+  spdlog::info("capacity reserved for starving job: machine={} job={}",
+               best->last_heartbeat.machine.get(), spec.id.get());
+  reservations_.reserve_for_starving_job(best->last_heartbeat.machine, spec.id,
+                                         base::after(now, kReservationDuration));
 }
 
 Seconds Controller::fetch_time(const Machine& m, const protocol::JobSpec& spec) const {
@@ -98,11 +96,22 @@
   return false;
 }
 
-void Controller::add_offers(const protocol::Offers& offers, Time now) {
-  const Time until = base::after(now, settings_.tuning.round_period * 2.5);
-  for (const protocol::Offer& o : offers.offers) pool_.push_back({o.job, o.ranges, until});
-  // A home that repeats itself, or many of them, must not make this grow without bound.
-  while (pool_.size() > 4096) pool_.pop_front();
+void Controller::offers_lost(const MemberId& member, const std::vector<protocol::Offers>& offers) {
+  peers_.forget(member);
+  for (const protocol::Offers& undelivered : offers) offer_router_.forget_offers(undelivered);
+}
+
+std::map<MemberId, protocol::Offers> Controller::route(Time now) {
+  if (!has_authority(now)) return {};
+  offer_router_.expire(now);
+  const std::vector<const Job*> jobs = offer_router_.jobs_to_route(self_, now);
+  if (jobs.empty()) return {};
+  priorities_.update(now);
+  RoutingInput input{now, self_, {}, [&](const JobId& job) { return is_crash_looping(job, now); }};
+  for (auto& [member, machines] : partitions(now, kPeerCapacityFresh)) {
+    input.partitions.push_back({member, std::move(machines)});
+  }
+  return offer_router_.route(jobs, input);
 }
 
 std::optional<std::size_t> Controller::starving_tasks(const Job& job, Time now) const {
@@ -135,18 +144,18 @@
 
 std::vector<Controller::WaitingJob> Controller::waiting_jobs(WriteBudget write_budget, Time now,
                                                              const RecordBatch& batch) {
-  std::erase_if(pool_, [&](const PoolEntry& p) { return p.until < now; });
+  offer_pool_.expire(now);
   std::vector<WaitingJob> waiting;
   std::map<JobId, std::size_t> index;
-  for (const PoolEntry& p : pool_) {
-    const Job* job = cache_.job(p.job);
+  for (const PooledOffer& offer : offer_pool_.offers()) {
+    const Job* job = cache_.job(offer.job);
     if (!job || job->cancelled() || job->blocked) continue;
     if (write_budget == WriteBudget::kExhausted && !priorities_.is_urgent(*job)) continue;
-    if (!failures_.may_retry(p.job, now)) continue;
-    const auto [at, is_new] = index.try_emplace(p.job, waiting.size());
+    if (!failures_.may_retry(offer.job, now)) continue;
+    const auto [at, is_new] = index.try_emplace(offer.job, waiting.size());
     if (is_new) waiting.push_back({job, {}, {}, true});
     WaitingJob& w = waiting[at->second];
-    for (const auto& [first, count] : p.ranges) {
+    for (const auto& [first, count] : offer.ranges) {
       for (TaskNo no = first; no - first < count && no < job->record.spec.tasks; ++no) {
         if (!batch.is_assigned(*job, no) && !batch.is_done(*job, no)) w.tasks.push_back(no);
       }
@@ -283,8 +292,7 @@
                            std::optional<Seconds> start_within, bool displaces, Time now) const {
   if (!may_run(spec, m.last_heartbeat.type, m.last_heartbeat.zone, m.last_heartbeat.spot))
     return -1;
-  const auto kept = reservations_.find(m.last_heartbeat.machine);
-  if (kept != reservations_.end() && kept->second.job != spec.id) return -1;
+  if (reservations_.is_reserved_for_other(m.last_heartbeat.machine, spec.id)) return -1;
   if (failures_.avoids(spec.id, m.last_heartbeat.machine, now)) return -1;
   const bool quick = !start_within || fetch_time(m, spec) < *start_within * 0.75;
   const int image = m.has_image(spec.image)          ? 0
@@ -311,13 +319,9 @@
 void Controller::free_capacity(const std::vector<WaitingJob>& waiting, const RoundPlan& plan,
                                Time now) {
   for (const RoundPlan::Start& s : plan.starts) {
-    const auto g = reservations_.find(s.assignment.machine);
-    if (g != reservations_.end() && g->second.job == s.task.job) reservations_.erase(g);
+    reservations_.fulfil(s.assignment.machine, s.task.job);
   }
-  std::erase_if(reservations_, [&](const auto& g) {
-    const Job* job = cache_.job(g.second.job);
-    return g.second.until < now || !job || job->pending() == 0;
-  });
+  reservations_.expire(now);
   std::vector<std::pair<const Job*, std::size_t>> left;
   for (const WaitingJob& w : waiting) {
     // Nothing gives way to a job that fails everywhere.
