--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -32,6 +32,7 @@
 #include "coordination/scheduling/offer_pool.h"
 #include "coordination/scheduling/offer_router.h"
 #include "coordination/scheduling/packing.h"
+#include "coordination/scheduling/preemption_planner.h"
 #include "coordination/scheduling/record_batch.h"
 #include "storage/machine.h"
 #include "storage/state_cache.h"
@@ -208,7 +209,6 @@
   bool is_schedulable(const Machine& m, Time now) const { return machines_.is_schedulable(m, now); }
   void record_heartbeat(const Heartbeat& heartbeat, HeartbeatSource source, Time now);
   const storage::MachineCapacity& capacity(const Machine& m) const { return capacity_.of(m); }
-  Resources being_stopped(const Machine& m) const;
   std::vector<MachineId> release_requests() const;
   std::vector<MachineId> misdirected(Time now) const { return ownership_claims_.misdirected(now); }
   // Machines of other members that this one claims.
@@ -292,37 +292,12 @@
   void add_expected_services(ScalingInput& in, Time now) const;
   void add_movable_services(ScalingInput& in) const;
   void pass_on(const ScalingPlan& plan, const Partitions& known, Time now);
-  // A waiting job that may displace other work, and what was done for it and before it.
-  struct Preemption {
-    const Job* job;
-    double cores_over_quota;                 // cores that its team must give up first
-    std::map<std::string, double> stopping;  // cores of each team that were told to stop
-    std::map<MachineId, Resources> taken;    // room that was made for the job
-  };
-  struct Victim {
-    TaskId task;
-    Resources request;
-    Seconds lost;
-  };
-  struct PreemptionCandidate {
-    std::vector<TaskId> tasks;
-    double lost = 0;  // core seconds
-  };
-  void preempt(const std::vector<std::pair<const Job*, std::size_t>>& waiting, Time now);
-  std::map<std::string, double> stopping_cores() const;
-  double cores_over_quota(const protocol::JobSpec& spec) const;
-  bool may_stop(const Preemption& p, const Job& other) const;
-  std::vector<Victim> candidates(const Preemption& p, const Machine& m, Time now) const;
-  std::optional<PreemptionCandidate> preemption_on(const Preemption& p, const Machine& m,
-                                                   Time now) const;
-  bool preempt_for_one(Preemption& p, Time now);
   // Has it waited so long that it goes before others? Then so many of its tasks do.
   std::optional<std::size_t> starving_tasks(const Job& job, Time now) const;
   void reserve_capacity(const Job& job, Time now);
   // Machines that the record has tasks on, that this node owns, and that have not reported to it.
   const std::vector<MachineId>& unheard_owned(Time now);
   Seconds fetch_time(const Machine& m, const protocol::JobSpec& spec) const;
-  bool displaces_for_image(const Job& job, Time now) const;
   // The machines of each part whose owner was heard of lately. The pointers hold until the machines
   // or the siblings' words change.
   Partitions partitions(Time now, Seconds remembered);
@@ -353,6 +328,8 @@
   MachineRegistry machines_{settings_, cache_, capacity_};
   const std::map<MachineId, Time>& released_ = machines_.released();
   CapacityReservations reservations_{cache_};
+  PreemptionPlanner preemption_{settings_, cache_,    priorities_,
+                                capacity_, machines_, reservations_};
   std::map<MachineId, Time> owned_since_;  // for machines never heard: the base of lease proofs
   std::set<MachineId> silent_machines_;    // owned, silent, and to be released for proof
   OfferPool offer_pool_{settings_};
@@ -360,7 +337,6 @@
   OfferRouter offer_router_{settings_, cache_, priorities_, failures_};
   std::vector<MachineId> unheard_owned_;
   Time unheard_owned_at_{};
-  std::map<JobId, Time> preempting_;
 
   std::map<MachineKind, Time> refused_;  // not to be asked for before then
   std::map<MachineKind, int> refusals_;  // in a row
--- a/src/coordination/scheduling/scheduling_round.cpp
+++ b/src/coordination/scheduling/scheduling_round.cpp
@@ -18,7 +18,6 @@
 constexpr Seconds kReservationDuration{60.0};
 constexpr std::size_t kMachinesPerReservation = 20;  // one machine of so many, and one more
 constexpr int kSlowFetch = 6;  // the pass of machines that can't fetch the image in time
-constexpr Seconds kDisplaceFor{1.5};
 
 }  // namespace
 
@@ -63,39 +62,6 @@
   return Seconds(spec.image_gb / type->fetch_gb_per_s * sharing);
 }
 
-// The room of tasks that were told to stop and have not ended yet.
-Resources Controller::being_stopped(const Machine& m) const {
-  Resources room;
-  const auto& assignment = cache_.assignments_on(m.last_heartbeat.machine);
-  for (const TaskId& t : m.evict) {
-    const auto h = assignment.find(t);
-    const Job* job = cache_.job(t.job);
-    if (job && h != assignment.end() && !reported_ended(m, t, h->second))
-      room += job->record.spec.request;
-  }
-  return room;
-}
-
-// Should the job rather take the place of lower work where its image is than wait for the image
-// elsewhere? For a moment only: what was stopped for it must have ended by then.
-bool Controller::displaces_for_image(const Job& job, Time now) const {
-  const auto& spec = job.record.spec;
-  if (spec.rank > Rank::kUrgent || !priorities_.start_within(spec)) return false;
-  const auto since = preempting_.find(spec.id);
-  if (since != preempting_.end() && base::between(since->second, now) > kDisplaceFor) return false;
-  for (const auto& [id, m] : machines_) {
-    if (m.cordoned || !is_schedulable(m, now) || !m.has_image(spec.image) ||
-        !may_run(spec, m.last_heartbeat.type, m.last_heartbeat.zone, m.last_heartbeat.spot)) {
-      continue;
-    }
-    Resources room = capacity(m).free;
-    room += capacity(m).preemptible;
-    room += being_stopped(m);
-    if (room.fits(spec.request)) return true;
-  }
-  return false;
-}
-
 void Controller::offers_lost(const MemberId& member, const std::vector<protocol::Offers>& offers) {
   peers_.forget(member);
   for (const protocol::Offers& undelivered : offers) offer_router_.forget_offers(undelivered);
@@ -247,7 +213,7 @@
       planned[spec.team] += spec.request;
     };
     const auto within = priorities_.start_within(spec);
-    const bool displaces = displaces_for_image(*w.job, now);
+    const bool displaces = preemption_.prefers_preemption(*w.job, now);
     g.pass = [&, this, within, displaces](std::size_t b) {
       return preference(spec, *open.machines[b], within, displaces, now);
     };
@@ -322,16 +288,16 @@
     reservations_.fulfil(s.assignment.machine, s.task.job);
   }
   reservations_.expire(now);
-  std::vector<std::pair<const Job*, std::size_t>> left;
+  std::vector<UnplacedJob> unplaced;
   for (const WaitingJob& w : waiting) {
     // Nothing gives way to a job that fails everywhere.
     if (!w.tasks.empty() && !is_crash_looping(w.job->record.spec.id, now))
-      left.emplace_back(w.job, w.tasks.size());
+      unplaced.push_back({w.job, w.tasks.size()});
   }
-  for (const auto& [job, count] : left) {
+  for (const auto& [job, tasks] : unplaced) {
     if (starving_tasks(*job, now)) reserve_capacity(*job, now);
   }
-  preempt(left, now);
+  preemption_.preempt(unplaced, now);
 }
 
 std::vector<CommandBatch> Controller::committed(const RoundPlan& plan, Version version, Time now) {
--- /dev/null
+++ b/tests/preemption_planner_test.cpp
@@ -0,0 +1,81 @@
+#include "coordination/scheduling/preemption_planner.h"
+
+#include "machine_fixture.h"
+
+namespace saddleslip::coordination {
+
+using base::FencingToken;
+using base::MachineId;
+using base::TaskId;
+using protocol::Rank;
+using protocol::TaskState;
+
+// One machine, full of four tasks of kOther that started one second after the other.
+class PreemptionPlannerTest : public MachineFixture {
+ protected:
+  PreemptionPlannerTest() {
+    registry_.install_view({FencingToken(10), at(0), true}, [](const MachineId&) { return true; });
+    add_job(kOther, Rank::kIdle);
+    assign(kOther,
+           {{0, assignment(1)}, {1, assignment(2)}, {2, assignment(3)}, {3, assignment(4)}});
+    auto last = heartbeat(0, 10);
+    for (base::TaskNo task = 0; task < 4; ++task) {
+      last.sequence = base::Sequence(task + 1);
+      report(last, {kOther, task}, task + 1, TaskState::kRunning);
+      registry_.record_heartbeat(last, HeartbeatSource::kAgent, at(task));
+    }
+  }
+  void preempt_for(Rank rank, std::size_t tasks, double seconds = 4) {
+    add_job(kJob, rank);
+    priorities_.update(at(seconds));
+    planner_.preempt({{cache_.job(kJob), tasks}}, at(seconds));
+  }
+  const std::set<TaskId>& evicted() { return registry_.at(kMachine).evict; }
+
+  JobPriorities priorities_{settings_, cache_};
+  AttemptTracker attempts_{cache_};
+  CapacityCalculator capacity_{cache_, priorities_, attempts_};
+  MachineRegistry registry_{settings_, cache_, capacity_};
+  CapacityReservations reservations_{cache_};
+  PreemptionPlanner planner_{settings_, cache_, priorities_, capacity_, registry_, reservations_};
+};
+
+TEST_F(PreemptionPlannerTest, UrgentJobPreemptsTheTaskWithTheLeastWorkLost) {
+  preempt_for(Rank::kUrgent, 1);
+  EXPECT_EQ(evicted(), (std::set{TaskId{kOther, 3}}));
+}
+
+TEST_F(PreemptionPlannerTest, EachTaskOfTheJobGetsCapacityOfItsOwn) {
+  preempt_for(Rank::kUrgent, 2);
+  EXPECT_EQ(evicted(), (std::set{TaskId{kOther, 2}, TaskId{kOther, 3}}));
+}
+
+TEST_F(PreemptionPlannerTest, FreedCapacityIsReservedForTheJob) {
+  preempt_for(Rank::kUrgent, 1);
+  EXPECT_TRUE(reservations_.is_reserved_for(kMachine, kJob));
+}
+
+TEST_F(PreemptionPlannerTest, JobThatMayNotPreemptEvictsNothing) {
+  preempt_for(Rank::kStandard, 1);
+  EXPECT_TRUE(evicted().empty());
+}
+
+TEST_F(PreemptionPlannerTest, VictimsHaveTimeToEndBeforeMoreIsEvicted) {
+  preempt_for(Rank::kUrgent, 1);
+  preempt_for(Rank::kUrgent, 2, 5);
+  EXPECT_EQ(evicted().size(), 1u);
+}
+
+TEST_F(PreemptionPlannerTest, MachineThatIsReservedForAnotherJobIsLeftAlone) {
+  reservations_.reserve_for_starving_job(kMachine, kOther, at(60));
+  preempt_for(Rank::kUrgent, 1);
+  EXPECT_TRUE(evicted().empty());
+}
+
+TEST_F(PreemptionPlannerTest, CordonedMachineIsLeftAlone) {
+  registry_.drain(kMachine);
+  preempt_for(Rank::kUrgent, 1);
+  EXPECT_TRUE(evicted().empty());
+}
+
+}  // namespace saddleslip::coordination
