--- a/src/coordination/records/maintenance.cpp
+++ b/src/coordination/records/maintenance.cpp
@@ -131,7 +131,7 @@
   silent_machines_ = std::move(next);
   evaluate_failures(now);
   watch_contact(now);
-  std::erase_if(absent_, [&](const auto& a) { return !cache_.job(a.first.job); });
+  attempts_.forget_finished_jobs();
 }
 
 }  // namespace saddleslip::coordination
