--- a/src/coordination/scheduling/job_priorities.cpp
+++ b/src/coordination/scheduling/job_priorities.cpp
@@ -171,15 +171,16 @@
   consider(spec.deadline->count());
   for (const base::Objective& o : settings_.objectives) {
     if (o.job_class != spec.job_class) continue;
-    if (o.kind == "deadline") consider(spec.deadline->count() * o.times);
-    if (o.kind == "finished") consider(o.within_s);
+    if (o.kind == base::ObjectiveKind::kDeadline) consider(spec.deadline->count() * o.times);
+    if (o.kind == base::ObjectiveKind::kFinished) consider(o.within_s);
   }
   return soonest > 0 ? soonest : kDeadlineLost + job.record.submitted;
 }
 
 std::optional<Seconds> JobPriorities::start_within(const protocol::JobSpec& spec) const {
   for (const base::Objective& o : settings_.objectives) {
-    if (o.kind == "wait" && o.job_class == spec.job_class) return Seconds(o.within_s);
+    if (o.kind == base::ObjectiveKind::kWait && o.job_class == spec.job_class)
+      return Seconds(o.within_s);
   }
   return {};
 }
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -51,6 +51,57 @@
   EXPECT_THROW(parse_settings("{"), BadSettings);
 }
 
+TEST(BadSettings, FaultInAFileNamesFileFieldAndReason) {
+  Json j = good();
+  j["settings"]["state"]["next"] = {{"txn_ops", 3}};
+  try {
+    parse_settings(j.dump());
+    ADD_FAILURE() << "accepted";
+  } catch (const BadSettings& e) {
+    EXPECT_EQ(e.file(), SettingsFile::kPlatform);
+    EXPECT_EQ(e.field(), "settings.state.next.txn_ops");
+    EXPECT_EQ(e.reason(), "must be a number of at least 4.0");
+    EXPECT_STREQ(e.what(),
+                 "settings: settings.state.next.txn_ops must be a number of at least 4.0");
+  }
+  Settings settings = parse_settings(good().dump());
+  try {
+    apply_tuning(settings, "headroom: 11");
+    ADD_FAILURE() << "accepted";
+  } catch (const BadSettings& e) {
+    EXPECT_EQ(e.file(), SettingsFile::kOperators);
+    EXPECT_EQ(e.field(), "headroom");
+    EXPECT_STREQ(e.what(), "operators' settings: headroom is out of range");
+  }
+}
+
+TEST(BadSettings, UnreadableFileNamesThePath) {
+  try {
+    load_settings("/no/such/file", {});
+    ADD_FAILURE() << "accepted";
+  } catch (const BadSettings& e) {
+    EXPECT_FALSE(e.file());
+    EXPECT_STREQ(e.what(), "cannot read /no/such/file");
+  }
+}
+
+// Kinds of a later platform are no fault.
+TEST(Settings, UnknownObjectiveKindIsKeptAsOther) {
+  Json j = good();
+  j["settings"]["objectives"] = {{{"kind", "wait"}, {"within_s", 5}},
+                                 {{"kind", "deadline"}, {"times", 2}},
+                                 {{"kind", "finished"}},
+                                 {{"kind", "guarantee"}},
+                                 {{"share", 0.5}},
+                                 "no object"};
+  const auto objectives = parse_settings(j.dump()).objectives;
+  const std::vector<ObjectiveKind> kinds = {ObjectiveKind::kWait, ObjectiveKind::kDeadline,
+                                            ObjectiveKind::kFinished, ObjectiveKind::kOther,
+                                            ObjectiveKind::kOther};
+  ASSERT_EQ(objectives.size(), kinds.size());
+  for (std::size_t i = 0; i < kinds.size(); ++i) EXPECT_EQ(objectives[i].kind, kinds[i]) << i;
+}
+
 // Authority, then a worker's lease, must fit into the time that a cancellation has: the default shrinks
 // to it, operators can't set more, and what can't fit at all is said.
 TEST(Settings, AuthorityAndLeaseFitIntoACancellation) {
