--- a/tests/user_api_test.cpp
+++ b/tests/user_api_test.cpp
@@ -1,4 +1,4 @@
-// What users are answered about jobs that need others, with a state service that the test plays.
+// What users are answered, with a state service that the test plays.
 #include "api/user_api.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 using protocol::Json;
 using protocol::StateClient;
 
-const JobId kNeed("run-000001"), kJob("run-000002"), kLast("run-000003");
+const JobId kDependency("run-000001"), kJob("run-000002"), kLast("run-000003");
 
 protocol::JobSpec spec(const JobId& id, std::vector<JobId> dependencies) {
   protocol::JobSpec s;
@@ -30,9 +30,9 @@
   return s;
 }
 
-class UsersOfPipelines : public ::testing::Test {
+class UserApiTest : public ::testing::Test {
  protected:
-  UsersOfPipelines()
+  UserApiTest()
       : settings_(base::parse_settings(
             R"({"member":"m-0","serve_on":"127.0.0.1:1","peer_listen":"127.0.0.1:2",
                 "endpoints":{"cloud":"127.0.0.1:4","state":"127.0.0.1:5"},
@@ -109,59 +109,59 @@
 
 }  // namespace
 
-TEST_F(UsersOfPipelines, OneThatWasNeverAcceptedIsRefused) {
-  EXPECT_EQ(submit(spec(kJob, {kNeed})).status, 422);
-  EXPECT_GT(reads_, 0) << "a copy that lags proves nothing";
+TEST_F(UserApiTest, SubmitWithUnknownDependencyIsRefused) {
+  EXPECT_EQ(submit(spec(kJob, {kDependency})).status, 422);
+  EXPECT_GT(reads_, 0) << "a cache that lags proves nothing";
   EXPECT_EQ(submit(spec(kJob, {kJob})).status, 422) << "itself";
 }
 
-TEST_F(UsersOfPipelines, NothingIsSaidOfNeedsWithoutTheStore) {
+TEST_F(UserApiTest, SubmitWithoutTheStoreIsToBeRepeated) {
   answers_ = false;
-  const auto reply = submit(spec(kJob, {kNeed}));
+  const auto reply = submit(spec(kJob, {kDependency}));
   EXPECT_EQ(reply.status, 503);
   EXPECT_GT(reply.retry_after_s, 0);
 }
 
-// Over long ago: the copy has dropped its final state.
-TEST_F(UsersOfPipelines, AFinalStateInTheStoreWasAccepted) {
-  store_[protocol::final_key(kNeed)] = Json{{"f", "d"}};
-  const auto reply = submit(spec(kJob, {kNeed}));
+// Final long ago: the cache has dropped its tombstone.
+TEST_F(UserApiTest, SubmitWithDependencyFinalInTheStoreIsAccepted) {
+  store_[protocol::final_key(kDependency)] = Json{{"f", "d"}};
+  const auto reply = submit(spec(kJob, {kDependency}));
   EXPECT_EQ(reply.status, 201);
   EXPECT_EQ(status_of(reply), "queued");
 }
 
-TEST_F(UsersOfPipelines, WhatNeedsACancelledJobIsAcceptedAndCancelled) {
-  store_[protocol::final_key(kNeed)] = Json{{"f", "w"}};
-  const auto reply = submit(spec(kJob, {kNeed}));
+TEST_F(UserApiTest, SubmitWithCancelledDependencyIsAcceptedAndCancelled) {
+  store_[protocol::final_key(kDependency)] = Json{{"f", "w"}};
+  const auto reply = submit(spec(kJob, {kDependency}));
   EXPECT_EQ(reply.status, 201);
   EXPECT_EQ(status_of(reply), "withdrawn");
   EXPECT_TRUE(store_.at(protocol::job_key(kJob)).value("w", false));
 }
 
-// Accepted stays accepted, whatever a repeated submission names.
-TEST_F(UsersOfPipelines, AnAcceptedJobIsNotRefusedForItsNeeds) {
+// An accepted job stays accepted, whatever a repeated submission depends on.
+TEST_F(UserApiTest, RepeatedSubmitWithUnknownDependencyIsNotRefused) {
   add_job(spec(kJob, {}));
-  EXPECT_EQ(submit(spec(kJob, {kNeed})).status, 200);
+  EXPECT_EQ(submit(spec(kJob, {kDependency})).status, 200);
   store_[protocol::final_key(kLast)] = Json{{"f", "d"}};
-  EXPECT_EQ(submit(spec(kLast, {kNeed})).status, 200);
+  EXPECT_EQ(submit(spec(kLast, {kDependency})).status, 200);
 }
 
-// Another node may have told that the job is cancelled. After a restart this one does not know how jobs ended
-// that were over before.
-TEST_F(UsersOfPipelines, ACancelledNeedIsReadBeforeTheAnswer) {
-  add_job(spec(kJob, {kNeed}));
+// Another controller may have told that the job is cancelled. After a restart this one does not know how jobs
+// ended that were final before.
+TEST_F(UserApiTest, StatusWithUnreadDependencyReadsIt) {
+  add_job(spec(kJob, {kDependency}));
   add_job(spec(kLast, {kJob}));
-  store_[protocol::final_key(kNeed)] = Json{{"f", "w"}};
+  store_[protocol::final_key(kDependency)] = Json{{"f", "w"}};
   EXPECT_EQ(status_of(users_.status(kLast)), "withdrawn");
 }
 
-TEST_F(UsersOfPipelines, WaitingForOthersIsCalledQueued) {
-  add_job(spec(kNeed, {}));
-  add_job(spec(kJob, {kNeed}));
+TEST_F(UserApiTest, StatusOfBlockedJobIsQueued) {
+  add_job(spec(kDependency, {}));
+  add_job(spec(kJob, {kDependency}));
   EXPECT_EQ(status_of(users_.status(kJob)), "queued");
 }
 
-TEST_F(UsersOfPipelines, MalformedNeeds) {
+TEST_F(UserApiTest, SubmitWithMalformedDependenciesIsRefused) {
   Json body = to_json(spec(kJob, {}));
   body["follows"] = "run-000001";
   EXPECT_EQ(users_.submit(body.dump(), base::Time{}).status, 400);
@@ -176,14 +176,15 @@
   }
 }
 
-TEST_F(UsersOfPipelines, ARepeatedNeedCountsOnce) {
-  add_job(spec(kNeed, {}));
-  EXPECT_EQ(submit(spec(kJob, {kNeed, kNeed})).status, 201);
-  EXPECT_EQ(store_.at(protocol::job_key(kJob))["s"]["follows"], Json::array({kNeed.get()}));
+TEST_F(UserApiTest, SubmitWithRepeatedDependencyKeepsItOnce) {
+  add_job(spec(kDependency, {}));
+  EXPECT_EQ(submit(spec(kJob, {kDependency, kDependency})).status, 201);
+  EXPECT_EQ(store_.at(protocol::job_key(kJob))["s"]["follows"], Json::array({kDependency.get()}));
 }
 
-// As many as a body of 64 KiB holds are kept, in values of 2 KiB, in whichever order another node reads them.
-TEST_F(UsersOfPipelines, ALongListOfNeedsIsKeptApart) {
+// As many as a body of 64 KiB holds are kept, in values of 2 KiB, in whichever order another controller reads
+// them.
+TEST_F(UserApiTest, SubmitWithManyDependenciesKeepsThemInLists) {
   std::vector<JobId> dependencies;
   for (int i = 0; i < 4500; ++i) {
     dependencies.emplace_back("run-" + std::to_string(200000 + i));
@@ -207,14 +208,14 @@
     EXPECT_EQ(other.job(kJob)->record.spec.dependencies, dependencies);
     EXPECT_EQ(other.dependency_graph().open_dependencies(kJob).size(), dependencies.size());
     EXPECT_TRUE(other.job(kJob)->blocked);
-    // All of it goes once the job is over.
+    // All of it is removed once the job is final.
     other.apply({protocol::job_key(kJob), Json(), base::Version(++version)}, base::Time{});
     EXPECT_EQ(other.orphans().size(), keys.size() - 1);
   }
 }
 
-// A node that ends before all lists are written has accepted nothing; the next try completes them.
-TEST_F(UsersOfPipelines, ListsThatAreNotAllWrittenAcceptNothing) {
+// A controller that ends before all lists are written has accepted nothing; the next try completes them.
+TEST_F(UserApiTest, SubmitWithListsNotAllWrittenAcceptsNothing) {
   std::vector<JobId> dependencies;
   for (int i = 0; i < 1000; ++i) {
     dependencies.emplace_back("run-" + std::to_string(200000 + i));
@@ -227,4 +228,45 @@
   EXPECT_EQ(submit(spec(kJob, dependencies)).status, 201);
 }
 
+TEST_F(UserApiTest, StatusOfUnknownJobIsNotFound) {
+  EXPECT_EQ(users_.status(kJob).status, 404);
+  answers_ = false;
+  EXPECT_EQ(users_.status(kJob).status, 503)
+      << "only the store can tell that it was never accepted";
+}
+
+TEST_F(UserApiTest, MalformedSubmitOfAcceptedJobTellsItsStatus) {
+  Json body = to_json(spec(kJob, {}));
+  body["strides"] = 0;
+  EXPECT_EQ(users_.submit(body.dump(), base::Time{}).status, 400);
+  add_job(spec(kJob, {}));
+  const auto reply = users_.submit(body.dump(), base::Time{});
+  EXPECT_EQ(reply.status, 200);
+  EXPECT_EQ(status_of(reply), "queued");
+  answers_ = false;
+  EXPECT_EQ(users_.submit(body.dump(), base::Time{}).status, 503);
+}
+
+TEST_F(UserApiTest, CancelOfLiveJobIsCommitted) {
+  EXPECT_EQ(submit(spec(kJob, {})).status, 201);
+  const auto reply = users_.cancel(kJob, base::Time{});
+  EXPECT_EQ(reply.status, 200);
+  EXPECT_EQ(status_of(reply), "withdrawn");
+  EXPECT_TRUE(store_.at(protocol::job_key(kJob)).value("w", false));
+}
+
+TEST_F(UserApiTest, CancelOfDoneJobTellsThatItIsDone) {
+  store_[protocol::final_key(kJob)] = Json{{"f", "d"}};
+  const auto reply = users_.cancel(kJob, base::Time{});
+  EXPECT_EQ(reply.status, 200);
+  EXPECT_EQ(status_of(reply), "done");
+}
+
+TEST_F(UserApiTest, CancelThatIsNeverConfirmedIsToBeRepeated) {
+  EXPECT_EQ(submit(spec(kJob, {})).status, 201);
+  commits_left_ = 0;
+  EXPECT_EQ(users_.cancel(kJob, base::Time{}).status, 503);
+  EXPECT_EQ(users_.cancel(kLast, base::Time{}).status, 404);
+}
+
 }  // namespace saddleslip
