--- a/src/coordination/scheduling/failure_tracker.h
+++ b/src/coordination/scheduling/failure_tracker.h
@@ -3,8 +3,8 @@
 // A failed task says little by itself: the machine may be faulty, or the job may have been submitted
 // with a mistake. Evidence against a machine counts only where the job is known to be sound, because
 // its tasks complete or run for long elsewhere, or where several unrelated jobs fail on that machine
-// alone. A job that fails on several machines and is not known to be sound is suspect: its retries
-// back off, so that it takes no room, image fetches or writes from others.
+// alone. A job that fails on several machines and is not known to be sound is crash-looping: its retries
+// back off, so that it takes no capacity, image fetches or writes from others.
 //
 // Holds state only; takes the time as an argument. Not safe for use from several threads at once.
 #pragma once
--- a/src/coordination/scheduling/job_priorities.cpp
+++ b/src/coordination/scheduling/job_priorities.cpp
@@ -12,16 +12,16 @@
 
 namespace {
 
-constexpr Seconds kUpdateEvery{0.5};      // others' progress makes room, which can wait a moment
-constexpr std::size_t kOverdueShare = 4;  // so large a part of an overdue job's tasks goes first
-constexpr double kNoDeadline = 1e15;      // due after everything with a deadline
-constexpr double kDeadlineLost = 1e14;    // due after all that can still be in time
-constexpr double kAnyMemory = 1e12;       // guarantees are of cores and GPUs only
-constexpr double kLearningRate = 0.05;    // of run times, by class
+constexpr Seconds kUpdateInterval{0.5};    // unless jobs were added or removed
+constexpr std::size_t kStarvingShare = 4;  // one in so many tasks of a starving job goes first
+constexpr double kNoDeadline = 1e15;       // due after everything with a deadline
+constexpr double kDeadlineLost = 1e14;     // due after all that can still be in time
+constexpr double kAnyMemory = 1e12;        // guarantees are of cores and GPUs only
+constexpr double kLearningRate = 0.05;     // of run times, by class
 constexpr double kLeastRatio = 0.2, kMostRatio = 5.0;
 constexpr Seconds kShortestRun{1.0};
 constexpr double kStepOverhead =
-    3.0;  // seconds between a job and the next: a round, an image, the record
+    3.0;  // seconds between a job and its dependent: a round, an image fetch, a record
 
 }  // namespace
 
@@ -34,8 +34,8 @@
 }
 
 void JobPriorities::update(Time now) {
-  // A job that comes must be known at once.
-  if (updated_for_ == cache_.job_changes() && base::between(updated_at_, now) < kUpdateEvery)
+  // A new job must be known at once.
+  if (updated_for_ == cache_.job_changes() && base::between(updated_at_, now) < kUpdateInterval)
     return;
   updated_for_ = cache_.job_changes();
   updated_at_ = now;
@@ -54,7 +54,7 @@
   }
   std::map<std::string, std::vector<const Job*>> by_team;
   for (const auto& [id, job] : cache_.jobs()) {
-    // What waits for other jobs takes no part of the guarantee yet.
+    // A blocked job takes no part of the guarantee yet.
     if (!job.cancelled() && !job.blocked) by_team[job.record.spec.team].push_back(&job);
   }
   for (auto& [name, jobs] : by_team) {
@@ -68,8 +68,8 @@
   const auto& dependency_graph = cache_.dependency_graph();
   std::map<base::JobId, std::size_t> live_dependencies;  // that are not in the order yet
   std::vector<const Job*> order;
-  for (const auto& [need, dependents] : dependency_graph.waited_for()) {
-    const Job* job = cache_.job(need);
+  for (const auto& [dependency, dependents] : dependency_graph.waited_for()) {
+    const Job* job = cache_.job(dependency);
     if (job && !job->blocked) order.push_back(job);
   }
   for (const auto& [id, dependencies] : dependency_graph.waiting()) {
@@ -90,7 +90,7 @@
   inherited_.clear();
   const auto& dependency_graph = cache_.dependency_graph();
   const std::vector<const Job*> order = jobs_in_dependency_order();
-  // Forwards: when each can be complete at the soonest.
+  // Forwards: when each can complete at the soonest.
   std::map<base::JobId, double> soonest_start, soonest_end;
   for (const Job* job : order) {
     const base::JobId& id = job->record.spec.id;
@@ -102,7 +102,7 @@
       at = std::max(at, end + kStepOverhead);
     }
   }
-  // Backwards: what each owes to those that need it.
+  // Backwards: what each inherits from its dependents.
   const std::vector<const Job*> backwards(order.rbegin(), order.rend());
   for (const Job* each : backwards) {
     const Job& job = *each;
@@ -129,9 +129,9 @@
   left.v = {team.guaranteed_cores, team.guaranteed_gpus, kAnyMemory};
   for (const Job* job : jobs) {
     const auto& spec = job->record.spec;
-    const Resources dependencies = spec.request * static_cast<double>(spec.tasks - job->done);
-    if (!left.fits(dependencies)) break;
-    left -= dependencies;
+    const Resources unfinished = spec.request * static_cast<double>(spec.tasks - job->done);
+    if (!left.fits(unfinished)) break;
+    left -= unfinished;
     guaranteed_.insert(spec.id);
   }
 }
@@ -159,14 +159,14 @@
   return own_due(job, time_of_day(now) + run_time(job.record.spec).count());
 }
 
-double JobPriorities::own_due(const Job& job, double least) const {
+double JobPriorities::own_due(const Job& job, double earliest_completion) const {
   const auto& spec = job.record.spec;
   if (!spec.deadline) return kNoDeadline + job.startable_since();
-  // The earliest of the deadline and the later ones that can still be kept.
+  // The earliest of the deadline and the later ones that can still be met.
   double soonest = 0;
   const auto consider = [&](double after_s) {
     const double at = job.record.submitted + after_s;
-    if (at > least && (soonest == 0 || at < soonest)) soonest = at;
+    if (at > earliest_completion && (soonest == 0 || at < soonest)) soonest = at;
   };
   consider(spec.deadline->count());
   for (const base::Objective& o : settings_.objectives) {
@@ -185,7 +185,7 @@
 }
 
 bool JobPriorities::may_displace(const Job& job) const {
-  // By its own rank: what it inherits makes a sweep of work go first, and stops no other work.
+  // By its own rank: an inherited one makes a job go first, but preempts nothing.
   return job.record.spec.rank <= Rank::kUrgent || is_guaranteed(job);
 }
 
@@ -200,12 +200,12 @@
 
 std::optional<std::size_t> JobPriorities::starving_tasks(const Job& job, Time now) const {
   if (job.pending() == 0) return {};
-  // What never began has waited since it was submitted, whichever process saw it.
+  // A job that never began has waited since it was submitted, whichever process saw that.
   const bool began = job.assigned > 0 || job.done > 0;
   const double waited = began ? base::between(job.last_progress_at, now).count()
                               : time_of_day(now) - job.startable_since();
   if (waited < settings_.tuning.longest_wait.count()) return {};
-  return std::max<std::size_t>(1, job.pending() / kOverdueShare);
+  return std::max<std::size_t>(1, job.pending() / kStarvingShare);
 }
 
 Seconds JobPriorities::run_time(const protocol::JobSpec& spec) const {
@@ -213,7 +213,7 @@
   return std::max(kShortestRun, spec.estimate * (ratio == run_ratio_.end() ? 1.0 : ratio->second));
 }
 
-// Estimates mislead, often all of a class in the same direction.
+// Owners' estimates are off, often for all jobs of a class in the same direction.
 void JobPriorities::learn_run_time(const protocol::JobSpec& spec, Seconds ran) {
   if (spec.estimate.count() <= 0 || ran.count() <= 0) return;
   const double ratio = std::clamp(ran / spec.estimate, kLeastRatio, kMostRatio);
--- a/src/coordination/scheduling/packing.cpp
+++ b/src/coordination/scheduling/packing.cpp
@@ -25,7 +25,8 @@
   std::vector<std::size_t> groups;
 };
 
-// A bin's best pair. Entries are not taken back when the bin is scored anew: their turn tells.
+// A bin's best pair. Entries stay in the queue when their bin is scored again: an outdated one is known
+// by its turn.
 struct Entry {
   double score;
   std::size_t bin;
@@ -44,7 +45,7 @@
   const auto rescore = [&](std::size_t c) {
     Candidate& candidate = candidates[c];
     const Resources& free = bins[candidate.bin].free;
-    // Room only shrinks, and a group that is used up stays so.
+    // Capacity only shrinks, and a group that is used up stays so.
     std::erase_if(candidate.groups, [&](std::size_t g) {
       return groups[g].count == 0 || !free.fits(groups[g].request);
     });
@@ -66,7 +67,7 @@
     queue.pop();
     if (top.turn != turns[top.candidate]) continue;
     Group& group = groups[top.group];
-    // Other placements may have used up the group, its zone or its team's limit meanwhile.
+    // Other placements may have used up the group, its zone or its team's quota meanwhile.
     const bool may = group.count > 0 && (!group.allowed || group.allowed(top.bin));
     if (may) {
       placements.push_back({top.group, top.bin, top.score});
@@ -89,9 +90,8 @@
   for (std::size_t g = 0; g < groups.size(); ++g) {
     if (groups[g].count > 0) tiers[groups[g].tier].push_back(g);
   }
-  std::vector<std::size_t> with_room;
   for (const auto& [tier, members] : tiers) {
-    // Bins that are too full for any of the tier are passed over in one go.
+    // Bins that are too full for any group of the tier are left out at once.
     Resources least = groups[members.front()].request;
     for (const std::size_t g : members) {
       for (std::size_t i = 0; i < least.v.size(); ++i) {
--- a/src/coordination/scheduling/record_batch.h
+++ b/src/coordination/scheduling/record_batch.h
@@ -1,5 +1,5 @@
-// Collects what one round changes in the tasks' records into a single transaction, within the limits
-// of the state service. The records are those of the local copy: each is guarded by its version.
+// Collects what one round changes in the records of tasks into a single transaction, within the limits
+// of the state service. The records are those of the state cache; each is guarded by its version.
 #pragma once
 
 #include <cstdint>
@@ -12,6 +12,8 @@
 
 namespace saddleslip::coordination {
 
+// Lives for one round. The settings and the cache must outlive it, and the cache must not change
+// meanwhile. Not safe for use from several threads at once.
 class RecordBatch {
  public:
   RecordBatch(const base::Settings& settings, const storage::StateCache& cache)
@@ -27,21 +29,23 @@
     base::TaskNo no = 0;
     bool done = false;
   };
-  // Would the record of these tasks fit into a value of the store, once these ends are put on it? One that
-  // was written under a larger limit may have to wait for more ends.
+  // Would the record fit into a value of the store with these completions? One that was written under a
+  // larger limit may have to wait for more of them.
   bool fits_with_completions(const storage::Job& job, std::uint32_t chunk,
                              const std::vector<TaskCompletion>& completions) const;
 
-  // A task is over, completed or to be started again. False: the transaction has no room for it.
+  // Records that an attempt is over: the task is done, or is to be started again. Returns false if the
+  // job is unknown or the transaction is full.
   bool add_completion(const base::TaskId& task, bool done);
-  // A task starts. None: the transaction has no room for it; else the attempt's number.
+  // Records the start of a task. Returns the number of the attempt; none if the job may not start, or if
+  // the transaction or the record is full.
   std::optional<base::Attempt> add_start(const base::TaskId& task, protocol::Assignment assignment);
 
-  // Was something turned away for want of room?
-  bool turned_away() const { return turned_away_; }
+  // Was a change refused since the transaction is full?
+  bool is_overfull() const { return is_overfull_; }
   bool empty() const { return edits_.empty(); }
-  // The transaction: holds only under the view of that version. A job whose last end is in the batch
-  // leaves with it.
+  // The transaction; its commit fails unless the view has that version. A job whose last completion is
+  // in the batch is finalized by it.
   protocol::Transaction build(const protocol::ControllerIncarnation& self, base::Version view,
                               double time_of_day) const;
 
@@ -59,21 +63,23 @@
 
   const Edit* find(const storage::Job& job, base::TaskNo no) const;
   Edit* edit(const storage::Job& job, base::TaskNo no);
-  std::size_t writes() const { return edits_.size() + teams_.size() + serialized_.size(); }
-  bool has_room_for_start(const storage::Job& job, base::TaskNo no,
-                          const protocol::Assignment& assignment) const;
+  std::size_t writes() const { return edits_.size() + team_keys_.size() + job_keys_.size(); }
+  bool record_fits_start(const storage::Job& job, base::TaskNo no,
+                         const protocol::Assignment& assignment) const;
   std::set<base::JobId> finalized_jobs() const;
   static void guard_whole_chunk(protocol::Transaction& txn, const storage::Job& job,
                                 std::uint32_t piece);
-  void add_rows(protocol::Transaction& txn, const protocol::ControllerIncarnation& self) const;
+  void add_serialization_keys(protocol::Transaction& txn,
+                              const protocol::ControllerIncarnation& self) const;
 
   const base::Settings& settings_;
   const storage::StateCache& cache_;
   std::map<ChunkId, Edit> edits_;
-  std::set<std::string> teams_;       // keys of the rows of teams with a limit that start tasks
-  std::set<std::string> serialized_;  // ... of jobs whose starts stand in a row
-  std::size_t bytes_ = 0;
-  bool turned_away_ = false;
+  // Keys that every transaction with such a start writes, so that no two of them commit side by side:
+  std::set<std::string> team_keys_;  // of teams with a quota
+  std::set<std::string> job_keys_;   // of jobs whose tasks share or avoid zones
+  std::size_t bytes_ = 0;            // estimated size of the transaction
+  bool is_overfull_ = false;
 };
 
 }  // namespace saddleslip::coordination
--- a/src/coordination/scheduling/scheduling_round.cpp
+++ b/src/coordination/scheduling/scheduling_round.cpp
@@ -103,7 +103,7 @@
   record_starts(batch, plan);
   record_deferred_completions(std::move(later), write_budget, now, batch, plan);
   free_capacity(waiting, plan, now);
-  plan.more = batch.turned_away();
+  plan.more = batch.is_overfull();
   if (!batch.empty()) plan.txn = batch.build(self_, installed_view_, priorities_.time_of_day(now));
   return plan;
 }
