--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -12,10 +12,27 @@
 
 #include "coordination/fleet/boot_tracker.h"
 #include "coordination/fleet/scaling_plan.h"
+#include "coordination/machines/attempt_tracker.h"
+#include "coordination/machines/capacity_calculator.h"
+#include "coordination/machines/machine_registry.h"
+#include "coordination/machines/peer_registry.h"
+#include "coordination/membership/authority_lease.h"
+#include "coordination/membership/leadership.h"
+#include "coordination/membership/membership_proposals.h"
+#include "coordination/membership/ownership.h"
+#include "coordination/membership/ownership_claims.h"
+#include "coordination/membership/ownership_transfers.h"
+#include "coordination/membership/pause_detector.h"
+#include "coordination/membership/peer_contact.h"
 #include "coordination/membership/view.h"
+#include "coordination/membership/worker_contact_monitor.h"
+#include "coordination/scheduling/capacity_reservations.h"
 #include "coordination/scheduling/failure_tracker.h"
 #include "coordination/scheduling/job_priorities.h"
+#include "coordination/scheduling/offer_pool.h"
+#include "coordination/scheduling/offer_router.h"
 #include "coordination/scheduling/packing.h"
+#include "coordination/scheduling/preemption_planner.h"
 #include "coordination/scheduling/record_batch.h"
 #include "storage/machine.h"
 #include "storage/state_cache.h"
@@ -36,9 +53,6 @@
 using storage::Machine;
 using storage::StateCache;
 
-// A sibling that was not reached for this long counts as cut off.
-inline constexpr Seconds kReachable{4.0};
-
 struct WorkerReply {
   int status = 503;
   std::string body;
@@ -87,9 +101,6 @@
   bool again = false;  // the status builds upon one that this node doesn't have: tell all
 };
 
-// The machines of one member as seen by routing.
-struct Partition;
-
 class Controller {
  public:
   explicit Controller(const base::Settings& settings);
@@ -98,32 +109,30 @@
   const StateCache& cache() const { return cache_; }
 
   // --- membership
-  // A lease was taken: a new life. Until the view names it, nothing may be done.
-  void begin_incarnation(ControllerIncarnation incarnation, Time now);
-  const ControllerIncarnation& self() const { return self_; }
-  // The lease of this life was taken by a call sent at `sent`.
-  void lease_acquired(Time sent);
-  // The lease was renewed by a call sent at `sent`, and the ledger was proved current after that: it
-  // holds all that was committed before the call, cancellations and views. `copy` is cache_generation() as
-  // of before that proof: a copy that was read anew meanwhile was not proved current.
-  void lease_renewed(Time sent, std::uint64_t cache_generation);
-  std::uint64_t cache_generation() const { return cache_generation_; }
-  void end_incarnation();
-  // The ledger was read anew, page by page: parts of it are older than what was proved before, so that
-  // nothing may be commanded until a renewal has proved it current again.
-  void cache_replaced() {
-    authority_valid_until_ = Time{};
-    ++cache_generation_;
+  // See AuthorityLease for these.
+  void begin_incarnation(ControllerIncarnation incarnation, Time now) {
+    authority_.begin_incarnation(std::move(incarnation), now);
+  }
+  void end_incarnation() { authority_.end_incarnation(); }
+  void lease_acquired(Time sent) { authority_.lease_acquired(sent); }
+  void lease_renewed(Time sent, std::uint64_t cache_generation) {
+    authority_.lease_renewed(sent, cache_generation);
   }
-  // May this process answer workers and give them orders now?
-  bool has_authority(Time now) const;
-  bool has_lease(Time now) const { return now < lease_valid_until_; }
-  bool is_leader(Time now) const;
-  // After the ledger took in changes: follows a new view.
+  void cache_replaced() { authority_.cache_replaced(); }
+  std::uint64_t cache_generation() const { return authority_.cache_generation(); }
+  const ControllerIncarnation& self() const { return authority_.self(); }
+  bool has_lease(Time now) const { return authority_.has_lease(now); }
+  // May this process answer workers and send them commands now?
+  bool has_authority(Time now) const {
+    return authority_.has_authority(now, ownership_.installed_view());
+  }
+  bool is_leader(Time now) const { return leadership_.is_leader(now); }
+  // To be called after the cache took in changes: installs a new view, notes a new leader.
   void install_view(Time now);
-  // The key by which others know of this life.
-  Transaction member_record(base::LeaseId lease, bool reaches_others) const;
-  // What leadership asks for: to take it, or to write a new view. At most one transaction.
+  // See MembershipProposals for these.
+  Transaction member_record(base::LeaseId lease, bool reaches_others) const {
+    return proposals_.member_record(lease, reaches_others);
+  }
   std::optional<Transaction> propose_membership_change(Time now, base::LeaseId lease);
 
   // --- workers
@@ -134,7 +143,7 @@
                             Time now);
   // A direct order was not answered: until the machine reports again, what it is to do goes with
   // the answer to its report. With dozens of dead machines, waiting for each held up all orders.
-  void commands_lost(const MachineId& machine);
+  void commands_lost(const MachineId& machine) { machines_.mark_commands_lost(machine); }
   void mark_released(const std::vector<MachineId>& machines, Time now);
   void cordon_idle(const std::vector<MachineId>& machines);
   void drain(const std::vector<MachineId>& machines);
@@ -149,9 +158,9 @@
   bool drop_stale_commands(CommandBatch& order, Time now) const;
 
   // --- rounds
-  void add_offers(const protocol::Offers& offers, Time now);
+  void add_offers(const protocol::Offers& offers, Time now) { offer_pool_.add(offers, now); }
   // A job was accepted here: its first offers are made here, not by its home, which may be down.
-  void accepted(const JobId& job) { accepted_.insert(job); }
+  void accepted(const JobId& job) { offer_router_.add_submitted_job(job); }
   // Offers did not reach their part: its owner is passed over until it is heard again.
   void offers_lost(const MemberId& member, const std::vector<protocol::Offers>& offers);
   // Splits waiting tasks of this node's jobs among the parts; own shares go to its own pool.
@@ -172,11 +181,11 @@
   Instructions handle_peer_status(const MemberStatus& status, Time now);
   // The sibling took in the status up to there (0: it asks for all).
   void status_acknowledged(const MemberId& by, std::uint64_t upto) {
-    acknowledged_revisions_[by] = upto;
+    machines_.acknowledge(by, upto);
   }
-  void peer_reached(const MemberId& member, Time now) { reached_[member] = now; }
+  void peer_reached(const MemberId& member, Time now) { peer_contact_.record_reached(member, now); }
   // Has another controller, heard of lately, a lease while this one has none?
-  bool peers_have_state(Time now) const;
+  bool peers_have_state(Time now) const { return peers_.any_has_state(now); }
 
   // --- fleet, for the leader
   struct ScalingActions {
@@ -191,71 +200,35 @@
   void released(const std::vector<MachineId>& machines, Time now);
 
  private:
-  struct Peer {
-    ControllerIncarnation from;
-    bool has_state = false;
-    std::uint64_t upto = 0;
-    std::map<MachineId, MachineStatus> machines;
-    std::vector<MachineId> release_requested, misdirected, ownership_claims;
-    std::set<JobId> crash_looping_jobs;
-    protocol::WorkerContact contact = protocol::WorkerContact::kUnknown;
-    Time last_heartbeat_at{};
-  };
   using Partitions = std::vector<std::pair<MemberId, std::vector<const MachineStatus*>>>;
-  struct PoolEntry {
-    JobId job;
-    std::vector<std::pair<TaskNo, TaskNo>> ranges;
-    Time until{};
-  };
 
-  // Puts on record that all controllers read this version's format, if they do and it is not yet.
-  std::optional<Transaction> propose_format_upgrade() const;
-  Time ttl_after(Time sent) const;
-  // As the view says. Asked for every machine in every round, and the same until the view changes.
-  const ControllerIncarnation* owner(const MachineId& machine) const;
-  bool owns(const MachineId& machine) const;
-  // Does it report, and hear what it is answered?
-  bool is_schedulable(const Machine& m, Time now) const;
-  bool has_recent_heartbeat(const Machine& m, Time now) const;
-  void record_heartbeat(const Heartbeat& heartbeat, Time now, bool renews_lease);
-  std::vector<Command> reconcile(const Machine& m) const;
-  std::vector<Command> stops_for(const Machine& m) const;
-  const storage::MachineCapacity& capacity(const Machine& m) const;
-  Resources being_stopped(const Machine& m) const;
-  void update_status(Machine& m, Time now);
+  const ControllerIncarnation* owner(const MachineId& machine) const {
+    return ownership_.owner(machine);
+  }
+  bool owns(const MachineId& machine) const { return ownership_.owns(machine); }
+  bool is_schedulable(const Machine& m, Time now) const { return machines_.is_schedulable(m, now); }
+  void record_heartbeat(const Heartbeat& heartbeat, HeartbeatSource source, Time now);
+  const storage::MachineCapacity& capacity(const Machine& m) const { return capacity_.of(m); }
   std::vector<MachineId> release_requests() const;
-  std::vector<MachineId> misdirected(Time now) const;
-  // A machine of that owner reported here and was sent there.
-  void record_misdirected_heartbeat(const MachineId& machine, const ControllerIncarnation& owner,
-                                    Time now);
-  // Machines that come back again and again: they reach this node, and not their owner.
+  std::vector<MachineId> misdirected(Time now) const { return ownership_claims_.misdirected(now); }
+  // Machines of other members that this one claims.
   std::vector<MachineId> ownership_claims(Time now);
-  // Notices that this process stood still, its clock running on.
-  void detect_pause(Time now);
-  Time listening_since() const;
+  void detect_pause(Time now) { pauses_.record_running(now); }
+  Time listening_since() const { return contact_monitor_.listening_since(); }
   // Does this controller hear the machines that it owns?
   protocol::WorkerContact worker_contact(Time now) const;
-  // Asked in each round: since when does it hear hardly any of them?
-  void watch_contact(Time now);
-  struct MachineCensus {
-    std::size_t owned = 0, overdue = 0;
-    bool are_lost() const;
-    bool are_heard() const;
-  };
+  void watch_contact(Time now) { contact_monitor_.update_census(count_overdue(now), now); }
   MachineCensus count_overdue(Time now) const;
   bool is_overdue(const Machine& m, Time now) const;
-  protocol::WorkerContact contact_of(const ControllerIncarnation& member, Time now) const;
-  std::vector<MachineId> silent_machines_of(const ControllerIncarnation& member, Time now) const;
-  // Adds the machines of members that have lost their workers. False: there are none.
-  bool fail_over_silent_machines(Time now, std::map<MachineId, ControllerIncarnation>& to) const;
-  // All members' claims that the leader has heard of, if it is time for a view that follows them.
-  std::map<MachineId, ControllerIncarnation> gather_ownership_claims(Time now);
-  std::string zone_of(const MachineId& machine) const;
-  static const protocol::ReportedAttempt* reported_attempt(const Machine& m, const TaskId& task,
-                                                           const protocol::Assignment& assignment);
-  // Has the machine reported the end of this attempt? Its room is free then, on record or not.
+  // The machines that this controller owns and does not hear.
+  std::vector<MachineId> silent_machines(Time now) const;
+  // What this member says of itself to the leader, if that is itself.
+  MemberReport own_report(Time now);
+  std::string zone_of(const MachineId& machine) const { return machines_.zone_of(machine); }
   static bool reported_ended(const Machine& m, const TaskId& task,
-                             const protocol::Assignment& assignment);
+                             const protocol::Assignment& assignment) {
+    return m.reported_ended(task, assignment);
+  }
   // A job that was offered to this part, and which of its tasks wait here.
   struct WaitingJob {
     const Job* job;
@@ -307,22 +280,6 @@
   void move_service_away(Machine& m, const Partitions& known, Time now);
   void count_arrivals(Time now);
   std::map<JobId, std::size_t> timely_share(Time now, double boot) const;
-  // The steps of routing.
-  struct Routing;
-  bool is_offered(const TaskId& task, Time now) const;
-  void prune_offers(Time now);
-  std::vector<const Job*> jobs_to_route(Time now) const;
-  void sort_by_turn(std::vector<const Job*>& jobs, Time now) const;
-  bool may_displace(const Job& job, Time now) const;
-  std::vector<Partition> routing_partitions(const std::vector<const Job*>& jobs, Time now);
-  void update_candidates(Routing& r, std::size_t partition) const;
-  std::vector<TaskNo> tasks_to_offer(const Job& job, std::size_t most, Time now) const;
-  void offer(Routing& r, std::size_t partition, std::size_t n);
-  void offer_array(Routing& r);
-  std::optional<std::size_t> best_partition(const Routing& r) const;
-  void offer_to_roomiest(Routing& r);
-  void offer_to_displace(Routing& r);
-  void route_job(Routing& r, const Job& job);
   // The steps of the fleet's plan.
   std::vector<MachineId> releases_due(const Partitions& known, Time now) const;
   ScalingInput scaling_input(const Partitions& known, Time now) const;
@@ -335,37 +292,12 @@
   void add_expected_services(ScalingInput& in, Time now) const;
   void add_movable_services(ScalingInput& in) const;
   void pass_on(const ScalingPlan& plan, const Partitions& known, Time now);
-  // A waiting job that may displace other work, and what was done for it and before it.
-  struct Preemption {
-    const Job* job;
-    double cores_over_quota;                 // cores that its team must give up first
-    std::map<std::string, double> stopping;  // cores of each team that were told to stop
-    std::map<MachineId, Resources> taken;    // room that was made for the job
-  };
-  struct Victim {
-    TaskId task;
-    Resources request;
-    Seconds lost;
-  };
-  struct PreemptionCandidate {
-    std::vector<TaskId> tasks;
-    double lost = 0;  // core seconds
-  };
-  void preempt(const std::vector<std::pair<const Job*, std::size_t>>& waiting, Time now);
-  std::map<std::string, double> stopping_cores() const;
-  double cores_over_quota(const protocol::JobSpec& spec) const;
-  bool may_stop(const Preemption& p, const Job& other) const;
-  std::vector<Victim> candidates(const Preemption& p, const Machine& m, Time now) const;
-  std::optional<PreemptionCandidate> preemption_on(const Preemption& p, const Machine& m,
-                                                   Time now) const;
-  bool preempt_for_one(Preemption& p, Time now);
   // Has it waited so long that it goes before others? Then so many of its tasks do.
   std::optional<std::size_t> starving_tasks(const Job& job, Time now) const;
   void reserve_capacity(const Job& job, Time now);
   // Machines that the record has tasks on, that this node owns, and that have not reported to it.
   const std::vector<MachineId>& unheard_owned(Time now);
   Seconds fetch_time(const Machine& m, const protocol::JobSpec& spec) const;
-  bool displaces_for_image(const Job& job, Time now) const;
   // The machines of each part whose owner was heard of lately. The pointers hold until the machines
   // or the siblings' words change.
   Partitions partitions(Time now, Seconds remembered);
@@ -373,70 +305,38 @@
   const base::Settings& settings_;
   StateCache cache_;
   JobPriorities priorities_;
-  ControllerIncarnation self_;
-  bool has_incarnation_ = false;
-  Time incarnation_since_{};
-  Time lease_valid_until_{};
-  Time authority_valid_until_{};
-  Version authority_view_;
-  std::uint64_t cache_generation_ = 0;  // counts the times that the ledger was read anew
-  Version installed_view_;
-  FencingToken base_fencing_token_;
-  Time view_installed_at_{};
-  std::optional<Time> authority_since_;
-  Time last_running_at_{},
-      resumed_after_pause_at_{};  // when this process was last seen to run, and went on
+  PeerRegistry peers_;
+  AuthorityLease authority_;
+  Ownership ownership_;
+  PeerContact peer_contact_;
+  Leadership leadership_;
+  MembershipProposals proposals_;
+  PauseDetector pauses_;
+  WorkerContactMonitor contact_monitor_;
+  OwnershipClaims ownership_claims_;
+  OwnershipTransfers transfers_;
+  // Short names for what other parts of this class read until they are classes of their own.
+  const ControllerIncarnation& self_ = authority_.self();
+  const Version& installed_view_ = ownership_.installed_view();
+  const FencingToken& base_fencing_token_ = ownership_.base_fencing_token();
+  const Time& view_installed_at_ = ownership_.view_installed_at();
+  const Time& leader_since_ = leadership_.leader_since();
   std::optional<Time> many_silent_at_;
-  std::optional<Time> unheard_since_;  // while it hears hardly any of its machines
 
-  mutable std::unordered_map<MachineId, std::size_t> owners_;  // by place in the view's members
-  mutable Version owners_view_version_;
-  std::map<MachineId, Machine> machines_;
-  struct MisdirectedHeartbeats {
-    ControllerIncarnation owner;  // to whom it was sent
-    Time first{}, last{};
-    int times = 0;
-  };
-  std::map<MachineId, std::pair<MemberId, Time>> override_since_;
-  struct CapacityReservation {
-    JobId job;
-    Time until{};
-    bool for_starving_job =
-        false;  // for a job that waited too long, rather than one that displaces others
-  };
-  std::map<MachineId, CapacityReservation>
-      reservations_;  // kept free of other work until the job fits
-  std::map<MachineId, MisdirectedHeartbeats> misdirected_;  // sent to their owners, and back again
-  std::optional<Time>
-      claims_pending_since_;               // since when there are claims that no view follows yet
+  AttemptTracker attempts_{cache_};
+  CapacityCalculator capacity_{cache_, priorities_, attempts_};
+  MachineRegistry machines_{settings_, cache_, capacity_};
+  const std::map<MachineId, Time>& released_ = machines_.released();
+  CapacityReservations reservations_{cache_};
+  PreemptionPlanner preemption_{settings_, cache_,    priorities_,
+                                capacity_, machines_, reservations_};
   std::map<MachineId, Time> owned_since_;  // for machines never heard: the base of lease proofs
-  std::map<MachineId, AgentIncarnation> ended_incarnations_;
-  std::map<MachineId, Time> released_;
-  std::map<TaskId, base::Attempt> absent_;  // cancelled, and certainly never to start
-  std::map<MachineId, std::string> zones_;
-  std::map<std::pair<TaskId, std::uint64_t>, Time> stop_sent_;
-  std::map<TaskId, Time> completion_seen_at_;  // of ends that wait to be put on record with others
-  std::set<MachineId> silent_machines_;        // owned, silent, and to be released for proof
-  std::deque<PoolEntry> pool_;
-  std::unordered_map<TaskId, Time> offered_;
-  Time offers_pruned_at_{};
-  std::set<JobId> accepted_;
-  std::map<JobId, std::size_t> displacing_;  // how often a part was asked to make room
+  std::set<MachineId> silent_machines_;    // owned, silent, and to be released for proof
+  OfferPool offer_pool_{settings_};
   FailureTracker failures_;
+  OfferRouter offer_router_{settings_, cache_, priorities_, failures_};
   std::vector<MachineId> unheard_owned_;
   Time unheard_owned_at_{};
-  std::map<JobId, Time> preempting_;
-
-  std::map<MemberId, Peer> peers_;
-  std::uint64_t status_revision_ = 0;        // counts changes of what siblings are told
-  std::map<MachineId, std::uint64_t> left_;  // machines no longer owned, by that count
-  std::map<MemberId, std::uint64_t>
-      acknowledged_revisions_;  // what each sibling has, by that count
-  std::map<MemberId, Time> reached_;
-  std::map<MemberId, Time> member_since_;
-  std::set<MemberId> excluded_;
-  Time leader_since_{};
-  bool was_leader_ = false;
 
   std::map<MachineKind, Time> refused_;  // not to be asked for before then
   std::map<MachineKind, int> refusals_;  // in a row
--- a/src/coordination/records/maintenance.cpp
+++ b/src/coordination/records/maintenance.cpp
@@ -12,7 +12,6 @@
 
 namespace {
 
-constexpr Seconds kCrashLoopingReportFresh{5.0};  // a sibling's word that a job fails everywhere
 constexpr Seconds kUnheardFor{0.3};
 constexpr Seconds kLostReply{6.0};
 constexpr Seconds kRoomToMove{1.5};
@@ -56,10 +55,7 @@
   if (failures_.is_crash_looping(id)) return true;
   const Job* job = cache_.job(id);
   if (job && job->done > 0) return false;
-  return std::any_of(peers_.begin(), peers_.end(), [&](const auto& s) {
-    return base::between(s.second.last_heartbeat_at, now) < kCrashLoopingReportFresh &&
-           s.second.crash_looping_jobs.contains(id);
-  });
+  return peers_.any_sees_crash_loop(id, now);
 }
 
 const std::vector<MachineId>& Controller::unheard_owned(Time now) {
@@ -175,11 +171,11 @@
   silent_machines_ = std::move(next);
   evaluate_failures(now);
   watch_contact(now);
-  std::erase_if(absent_, [&](const auto& a) { return !cache_.job(a.first.job); });
+  attempts_.forget_finished_jobs();
 }
 
 std::optional<Transaction> Controller::finalize_one_job(Time now) {
-  if (!has_incarnation_ || !cache_.view()) return {};
+  if (!authority_.has_incarnation() || !cache_.view()) return {};
   for (const auto& [id, job] : cache_.jobs()) {
     if (!may_finalize(job)) continue;
     const ControllerIncarnation* home = home_of(*cache_.view(), id);
@@ -200,7 +196,7 @@
 }
 
 std::optional<Transaction> Controller::collect_garbage() {
-  if (!has_incarnation_ || !cache_.view() || cache_.orphans().empty()) return {};
+  if (!authority_.has_incarnation() || !cache_.view() || cache_.orphans().empty()) return {};
   Transaction txn;
   for (const auto& [key, version] : cache_.orphans()) {
     const ControllerIncarnation* home = home_of(*cache_.view(), JobId(key));
--- a/src/coordination/scheduling/scheduling_round.cpp
+++ b/src/coordination/scheduling/scheduling_round.cpp
@@ -4,6 +4,7 @@
 
 #include "base/log.h"
 #include "coordination/controller.h"
+#include "coordination/machines/commands_due.h"
 
 namespace saddleslip::coordination {
 
@@ -13,11 +14,10 @@
 
 namespace {
 
+constexpr Seconds kPeerCapacityFresh{4.0};  // a peer's status is relied on for this long
 constexpr Seconds kReservationDuration{60.0};
 constexpr std::size_t kMachinesPerReservation = 20;  // one machine of so many, and one more
-constexpr Seconds kStopRepeat{2.0};
 constexpr int kSlowFetch = 6;  // the pass of machines that can't fetch the image in time
-constexpr Seconds kDisplaceFor{1.5};
 
 }  // namespace
 
@@ -27,13 +27,10 @@
   const auto& spec = job.record.spec;
   const Machine* best = nullptr;
   // Kept free, machines do nothing: when most of what waits has waited long, only a few are.
-  const auto kept = std::count_if(reservations_.begin(), reservations_.end(),
-                                  [](const auto& g) { return g.second.for_starving_job; });
-  if (static_cast<std::size_t>(kept) > machines_.size() / kMachinesPerReservation) return;
+  if (reservations_.starving_count() > machines_.size() / kMachinesPerReservation) return;
   for (const auto& [id, m] : machines_) {
-    const auto g = reservations_.find(id);
-    if (g != reservations_.end() && g->second.job == spec.id) return;
-    if (g != reservations_.end() || m.cordoned || !is_schedulable(m, now) ||
+    if (reservations_.is_reserved_for(id, spec.id)) return;
+    if (reservations_.is_reserved(id) || m.cordoned || !is_schedulable(m, now) ||
         !may_run(spec, m.last_heartbeat.type, m.last_heartbeat.zone, m.last_heartbeat.spot)) {
       continue;
     }
@@ -50,10 +47,10 @@
     if (!best || capacity(m).free.cores() > capacity(*best).free.cores()) best = &m;
   }
   if (!best) return;
-  spdlog::info("machine {} is kept free until {} fits", best->last_heartbeat.machine.get(),
-               spec.id.get());
-  reservations_[best->last_heartbeat.machine] = {spec.id, base::after(now, kReservationDuration),
-                                                 true};
+  spdlog::info("capacity reserved for starving job: machine={} job={}",
+               best->last_heartbeat.machine.get(), spec.id.get());
+  reservations_.reserve_for_starving_job(best->last_heartbeat.machine, spec.id,
+                                         base::after(now, kReservationDuration));
 }
 
 Seconds Controller::fetch_time(const Machine& m, const protocol::JobSpec& spec) const {
@@ -65,44 +62,22 @@
   return Seconds(spec.image_gb / type->fetch_gb_per_s * sharing);
 }
 
-// The room of tasks that were told to stop and have not ended yet.
-Resources Controller::being_stopped(const Machine& m) const {
-  Resources room;
-  const auto& assignment = cache_.assignments_on(m.last_heartbeat.machine);
-  for (const TaskId& t : m.evict) {
-    const auto h = assignment.find(t);
-    const Job* job = cache_.job(t.job);
-    if (job && h != assignment.end() && !reported_ended(m, t, h->second))
-      room += job->record.spec.request;
-  }
-  return room;
+void Controller::offers_lost(const MemberId& member, const std::vector<protocol::Offers>& offers) {
+  peers_.forget(member);
+  for (const protocol::Offers& undelivered : offers) offer_router_.forget_offers(undelivered);
 }
 
-// Should the job rather take the place of lower work where its image is than wait for the image
-// elsewhere? For a moment only: what was stopped for it must have ended by then.
-bool Controller::displaces_for_image(const Job& job, Time now) const {
-  const auto& spec = job.record.spec;
-  if (spec.rank > Rank::kUrgent || !priorities_.start_within(spec)) return false;
-  const auto since = preempting_.find(spec.id);
-  if (since != preempting_.end() && base::between(since->second, now) > kDisplaceFor) return false;
-  for (const auto& [id, m] : machines_) {
-    if (m.cordoned || !is_schedulable(m, now) || !m.has_image(spec.image) ||
-        !may_run(spec, m.last_heartbeat.type, m.last_heartbeat.zone, m.last_heartbeat.spot)) {
-      continue;
-    }
-    Resources room = capacity(m).free;
-    room += capacity(m).preemptible;
-    room += being_stopped(m);
-    if (room.fits(spec.request)) return true;
+std::map<MemberId, protocol::Offers> Controller::route(Time now) {
+  if (!has_authority(now)) return {};
+  offer_router_.expire(now);
+  const std::vector<const Job*> jobs = offer_router_.jobs_to_route(self_, now);
+  if (jobs.empty()) return {};
+  priorities_.update(now);
+  RoutingInput input{now, self_, {}, [&](const JobId& job) { return is_crash_looping(job, now); }};
+  for (auto& [member, machines] : partitions(now, kPeerCapacityFresh)) {
+    input.partitions.push_back({member, std::move(machines)});
   }
-  return false;
-}
-
-void Controller::add_offers(const protocol::Offers& offers, Time now) {
-  const Time until = base::after(now, settings_.tuning.round_period * 2.5);
-  for (const protocol::Offer& o : offers.offers) pool_.push_back({o.job, o.ranges, until});
-  // A home that repeats itself, or many of them, must not make this grow without bound.
-  while (pool_.size() > 4096) pool_.pop_front();
+  return offer_router_.route(jobs, input);
 }
 
 std::optional<std::size_t> Controller::starving_tasks(const Job& job, Time now) const {
@@ -113,12 +88,8 @@
 RoundPlan Controller::plan(Time now, WriteBudget write_budget) {
   detect_pause(now);
   RoundPlan plan;
-  if (!has_authority(now)) {
-    authority_since_.reset();
-    unheard_since_.reset();
-    return plan;
-  }
-  if (!authority_since_) authority_since_ = now;
+  contact_monitor_.update_authority(has_authority(now), now);
+  if (!has_authority(now)) return plan;
   housekeeping(now);
   priorities_.update(now);
 
@@ -132,25 +103,25 @@
   record_starts(batch, plan);
   record_deferred_completions(std::move(later), write_budget, now, batch, plan);
   free_capacity(waiting, plan, now);
-  plan.more = batch.turned_away();
+  plan.more = batch.is_overfull();
   if (!batch.empty()) plan.txn = batch.build(self_, installed_view_, priorities_.time_of_day(now));
   return plan;
 }
 
 std::vector<Controller::WaitingJob> Controller::waiting_jobs(WriteBudget write_budget, Time now,
                                                              const RecordBatch& batch) {
-  std::erase_if(pool_, [&](const PoolEntry& p) { return p.until < now; });
+  offer_pool_.expire(now);
   std::vector<WaitingJob> waiting;
   std::map<JobId, std::size_t> index;
-  for (const PoolEntry& p : pool_) {
-    const Job* job = cache_.job(p.job);
+  for (const PooledOffer& offer : offer_pool_.offers()) {
+    const Job* job = cache_.job(offer.job);
     if (!job || job->cancelled() || job->blocked) continue;
     if (write_budget == WriteBudget::kExhausted && !priorities_.is_urgent(*job)) continue;
-    if (!failures_.may_retry(p.job, now)) continue;
-    const auto [at, is_new] = index.try_emplace(p.job, waiting.size());
+    if (!failures_.may_retry(offer.job, now)) continue;
+    const auto [at, is_new] = index.try_emplace(offer.job, waiting.size());
     if (is_new) waiting.push_back({job, {}, {}, true});
     WaitingJob& w = waiting[at->second];
-    for (const auto& [first, count] : p.ranges) {
+    for (const auto& [first, count] : offer.ranges) {
       for (TaskNo no = first; no - first < count && no < job->record.spec.tasks; ++no) {
         if (!batch.is_assigned(*job, no) && !batch.is_done(*job, no)) w.tasks.push_back(no);
       }
@@ -242,7 +213,7 @@
       planned[spec.team] += spec.request;
     };
     const auto within = priorities_.start_within(spec);
-    const bool displaces = displaces_for_image(*w.job, now);
+    const bool displaces = preemption_.prefers_preemption(*w.job, now);
     g.pass = [&, this, within, displaces](std::size_t b) {
       return preference(spec, *open.machines[b], within, displaces, now);
     };
@@ -287,8 +258,7 @@
                            std::optional<Seconds> start_within, bool displaces, Time now) const {
   if (!may_run(spec, m.last_heartbeat.type, m.last_heartbeat.zone, m.last_heartbeat.spot))
     return -1;
-  const auto kept = reservations_.find(m.last_heartbeat.machine);
-  if (kept != reservations_.end() && kept->second.job != spec.id) return -1;
+  if (reservations_.is_reserved_for_other(m.last_heartbeat.machine, spec.id)) return -1;
   if (failures_.avoids(spec.id, m.last_heartbeat.machine, now)) return -1;
   const bool quick = !start_within || fetch_time(m, spec) < *start_within * 0.75;
   const int image = m.has_image(spec.image)          ? 0
@@ -315,23 +285,19 @@
 void Controller::free_capacity(const std::vector<WaitingJob>& waiting, const RoundPlan& plan,
                                Time now) {
   for (const RoundPlan::Start& s : plan.starts) {
-    const auto g = reservations_.find(s.assignment.machine);
-    if (g != reservations_.end() && g->second.job == s.task.job) reservations_.erase(g);
+    reservations_.fulfil(s.assignment.machine, s.task.job);
   }
-  std::erase_if(reservations_, [&](const auto& g) {
-    const Job* job = cache_.job(g.second.job);
-    return g.second.until < now || !job || job->pending() == 0;
-  });
-  std::vector<std::pair<const Job*, std::size_t>> left;
+  reservations_.expire(now);
+  std::vector<UnplacedJob> unplaced;
   for (const WaitingJob& w : waiting) {
     // Nothing gives way to a job that fails everywhere.
     if (!w.tasks.empty() && !is_crash_looping(w.job->record.spec.id, now))
-      left.emplace_back(w.job, w.tasks.size());
+      unplaced.push_back({w.job, w.tasks.size()});
   }
-  for (const auto& [job, count] : left) {
+  for (const auto& [job, tasks] : unplaced) {
     if (starving_tasks(*job, now)) reserve_capacity(*job, now);
   }
-  preempt(left, now);
+  preemption_.preempt(unplaced, now);
 }
 
 std::vector<CommandBatch> Controller::committed(const RoundPlan& plan, Version version, Time now) {
@@ -341,8 +307,7 @@
   }
   cache_.apply(plan.txn, base::Revision(version.get()), now);
   for (const RoundPlan::Completion& end : plan.completions) {
-    absent_.erase(end.task);
-    completion_seen_at_.erase(end.task);
+    attempts_.forget(end.task);
     spdlog::debug("{}/{} on {} is over: {}", end.task.job.get(), end.task.no, end.machine.get(),
                   end.why);
     if (end.done) {
@@ -385,14 +350,13 @@
 std::vector<CommandBatch> Controller::stops(Time now) {
   std::vector<CommandBatch> orders;
   if (!has_authority(now)) return orders;
-  std::erase_if(stop_sent_,
-                [&](const auto& s) { return base::between(s.second, now) > kStopRepeat; });
+  attempts_.expire_kills(now);
   for (const auto& [id, m] : machines_) {
     if (!capacity(m).stops || m.commands_lost || !is_schedulable(m, now)) continue;
     CommandBatch o{
         id, m.last_heartbeat.address, m.fencing_token, m.last_heartbeat.agent_incarnation, {}};
-    for (const Command& c : stops_for(m)) {
-      if (stop_sent_.try_emplace({c.task, c.attempt.get()}, now).second) {
+    for (const Command& c : kills_due(m, cache_)) {
+      if (attempts_.may_send_kill(c.task, c.attempt, now)) {
         o.commands.push_back(c);
       }
     }
--- a/tests/daemon_test.cpp
+++ b/tests/daemon_test.cpp
@@ -1,4 +1,6 @@
 // The daemon's building blocks: wake-up events, the write rate limiter and the read barrier.
+#include "daemon/daemon.h"
+
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -7,6 +9,7 @@
 #include <thread>
 #include <vector>
 
+#include "base/log.h"
 #include "daemon/read_barrier.h"
 #include "daemon/wakeup_event.h"
 #include "daemon/write_rate_limiter.h"
@@ -84,7 +87,7 @@
 // A barrier whose catch-up is a function of its number, counted from one.
 class CountedBarrier {
  public:
-  explicit CountedBarrier(std::function<bool(int)> catch_up)
+  explicit CountedBarrier(const std::function<bool(int)>& catch_up)
       : barrier_({Seconds(0), kLong}, [this, catch_up] { return catch_up(++catch_ups_); }) {}
   ReadBarrier& barrier() { return barrier_; }
   int catch_ups() const { return catch_ups_; }
@@ -120,6 +123,20 @@
   EXPECT_EQ(counted.catch_ups(), 2);
 }
 
+// With a state service and a peer that refuse connections: port 1 is not listened on.
+TEST(Daemon, StopRequestedAllThreadsEnd) {
+  spdlog::set_level(spdlog::level::off);
+  base::Settings settings;
+  settings.member = base::MemberId("m-0");
+  settings.listen = settings.peer_listen = {"127.0.0.1", 0};
+  settings.state = settings.cloud = {"127.0.0.1", 1};
+  settings.peers.push_back({base::MemberId("m-1"), "z", {"127.0.0.1", 1}});
+  Daemon daemon(settings);
+  daemon.start();
+  daemon.request_stop();
+  daemon.wait();
+}
+
 }  // namespace
 
 }  // namespace saddleslip
