--- a/bench/versions/check.sh
+++ b/bench/versions/check.sh
@@ -9,18 +9,22 @@
 trap 'git worktree remove --force "$work/production" 2>/dev/null || true; rm -rf "$work"' EXIT
 git worktree add --quiet --detach "$work/production" "$production"
 
-# build SOURCES NAME FLAGS...: the library of that version, and the tool with it.
+# The last commit whose identifiers are those of production: its tool is the one that compiles against it.
+production_tool_commit=a7cc6ab
+git show "$production_tool_commit:bench/versions/records_tool.cpp" >"$work/production_tool.cpp"
+
+# build SOURCES NAME TOOL FLAGS...: the library of that version, and the tool with it.
 build() {
-  local sources=$1 name=$2
-  shift 2
+  local sources=$1 name=$2 tool=$3
+  shift 3
   cmake -S "$sources" -B "$work/build-$name" -DCMAKE_BUILD_TYPE=Release -DSADDLESLIP_TESTS=OFF >/dev/null
   cmake --build "$work/build-$name" -j"$(nproc)" --target saddleslip_core >/dev/null
   # shellcheck disable=SC2046
-  g++ -std=c++20 -O1 "$@" -I"$sources/src" bench/versions/records_tool.cpp -o "$work/$name" \
+  g++ -std=c++20 -O1 "$@" -I"$sources/src" "$tool" -o "$work/$name" \
     "$work/build-$name/libsaddleslip_core.a" $(pkg-config --cflags --libs cpp-httplib spdlog yaml-cpp) -lpthread
 }
-build "$work/production" old -DSADDLESLIP_BEFORE_PIPELINES
-build . new
+build "$work/production" old "$work/production_tool.cpp" -DSADDLESLIP_BEFORE_PIPELINES
+build . new bench/versions/records_tool.cpp
 
 "$work/old" write >"$work/old.records"
 "$work/new" write >"$work/new.records"
