--- a/src/storage/state_cache.cpp
+++ b/src/storage/state_cache.cpp
@@ -111,7 +111,7 @@
   }
 }
 
-void StateCache::add_job(const JobId& id, JobRecord record, Version version, Time now) {
+void StateCache::add_job(const JobId& id, JobRecord&& record, Version version, Time now) {
   Job& job = jobs_.try_emplace(id, std::move(record), version, now).first->second;
   job_index_[id] = &job;
   for (const std::string& key : job.task_record_keys()) orphans_.remove(key);
--- a/src/storage/state_cache.h
+++ b/src/storage/state_cache.h
@@ -121,7 +121,7 @@
   void apply_ownership_claim(const Item& item);
   void apply_system_record(const Item& item);
 
-  void add_job(const JobId& id, JobRecord record, Version version, Time now);
+  void add_job(const JobId& id, JobRecord&& record, Version version, Time now);
   void update_job(Job& job, JobRecord record, Version version, Time now);
   void remove_job(const JobId& id);
   // What the store keeps of the job besides its own record is to be removed now that it is over.
--- a/tests/job_test.cpp
+++ b/tests/job_test.cpp
@@ -19,7 +19,7 @@
   return out;
 }
 
-Chunk chunk(TaskNo count, std::vector<TaskNo> done, std::vector<TaskNo> assigned) {
+Chunk chunk(TaskNo count, const std::vector<TaskNo>& done, const std::vector<TaskNo>& assigned) {
   Chunk out{{}, Version(2)};
   out.record.done.assign(count, false);
   for (const TaskNo offset : done) out.record.done[offset] = true;
--- a/tests/simulation/simulated_controllers.cpp
+++ b/tests/simulation/simulated_controllers.cpp
@@ -92,7 +92,7 @@
 coordination::WorkerReply SimulatedControllers::handle_heartbeat(
     std::size_t controller, const protocol::Heartbeat& heartbeat) {
   ControllerProcess& process = processes_[controller];
-  const auto reply = process.controller->handle_heartbeat(heartbeat, clock_.now());
+  coordination::WorkerReply reply = process.controller->handle_heartbeat(heartbeat, clock_.now());
   process.is_round_due = true;
   return reply;
 }
