--- a/bench/versions/records_tool.cpp
+++ b/bench/versions/records_tool.cpp
@@ -67,7 +67,7 @@
   std::cout << key << '\t' << value.dump() << '\n';
 }
 
-void write() {
+void write_jobs() {
   const auto few = job_spec("run-000001", 3);
   auto many = job_spec("run-000002", 600);
   many.one_zone = true;
@@ -93,8 +93,14 @@
   print(protocol::final_key(base::JobId("run-000004")), final_state(protocol::JobStatus::kDone));
   print(protocol::final_key(base::JobId("run-000005")),
         final_state(protocol::JobStatus::kCancelled));
-  const protocol::ControllerIncarnation incarnation{base::MemberId("stall-1"),
-                                                    base::Incarnation(42)};
+}
+
+protocol::ControllerIncarnation first_incarnation() {
+  return {base::MemberId("stall-1"), base::Incarnation(42)};
+}
+
+void write_cluster() {
+  const protocol::ControllerIncarnation incarnation = first_incarnation();
   print(protocol::member_key(incarnation.member), to_json(protocol::Member{incarnation, true}));
   print(protocol::kLeadKey, to_json(incarnation));
   protocol::View view;
@@ -112,8 +118,11 @@
   type.price = 0.5;
   type.zones = {"a", "b"};
   print(protocol::kCatalogueKey, to_json(std::vector{type}));
+}
+
+void write_peer_messages() {
   protocol::MemberStatus status;
-  status.from = incarnation;
+  status.from = first_incarnation();
   status.has_state = true;
   status.upto = 3;
   protocol::MachineStatus room;
@@ -128,12 +137,18 @@
   status.contact = protocol::WorkerContact::kLost;
   print("message/status", to_json(status, base::Time{}));
   protocol::Offers offers;
-  offers.from = incarnation;
-  offers.epoch = view.epoch;
-  offers.offers = {{few.id, {{0, 2}}}};
+  offers.from = first_incarnation();
+  offers.epoch = base::Epoch(9);
+  offers.offers = {{base::JobId("run-000001"), {{0, 2}}}};
   print("message/offers", to_json(offers));
 }
 
+void write() {
+  write_jobs();
+  write_cluster();
+  write_peer_messages();
+}
+
 void write_job_variants() {
   auto dependent = job_spec("run-000010", 4);
   dependent.kind = protocol::Kind::kGang;
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -202,7 +202,7 @@
   return coordination::accepted_record(spec, context);
 }
 
-std::optional<Version> UserApi::name_dependency_lists(const protocol::JobRecord& record) {
+std::optional<Version> UserApi::name_dependency_lists(const protocol::JobRecord& record) const {
   const std::string key = protocol::dependency_lists_key(record.spec.id);
   const auto got = store_.get(key);
   if (!got.answered) return {};
--- a/src/api/user_api.h
+++ b/src/api/user_api.h
@@ -102,7 +102,7 @@
   // Commits the lists of a job's dependencies, before the record that makes it accepted. Returns the
   // version of the record that names them; none: they are not all written.
   std::optional<base::Version> write_dependency_lists(const protocol::JobRecord& record);
-  std::optional<base::Version> name_dependency_lists(const protocol::JobRecord& record);
+  std::optional<base::Version> name_dependency_lists(const protocol::JobRecord& record) const;
 
   // None: another commit came between, or the outcome is unknown; try again.
   std::optional<transport::Reply> try_cancel(const base::JobId& id, base::Time now);
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -264,6 +264,8 @@
   static void record_starts(RecordBatch& batch, RoundPlan& plan);
   void free_capacity(const std::vector<WaitingJob>& waiting, const RoundPlan& plan, Time now);
   void collect_completions(Time now, std::vector<RoundPlan::Completion>& completions);
+  void collect_completions_on(const MachineId& machine, Machine* m, Time now,
+                              std::vector<RoundPlan::Completion>& completions);
   bool can_defer(const RoundPlan::Completion& end, const std::set<TaskId>& ended, Time now);
   // Decides which jobs with failures are sound, and closes the machines that turn out to be faulty.
   void evaluate_failures(Time now);
@@ -275,6 +277,19 @@
   Seconds run_before_end(const RoundPlan::Completion& end) const;
   void learn_run_time(const RoundPlan::Completion& end);
   void housekeeping(Time now);
+  // How long a machine may be unheard, or heard without showing a response, before it counts as silent.
+  struct SilenceLimits {
+    Seconds unheard, unanswered;
+  };
+  struct SilenceCensus {
+    std::set<MachineId> silent;
+    std::size_t owned = 0, overdue = 0;
+  };
+  SilenceLimits silence_limits() const;
+  void progress_drains(Time now);
+  SilenceCensus take_silence_census(Time now);
+  bool may_release_silent(const SilenceCensus& census, Time now);
+  void update_silent_machines(const SilenceCensus& census, Time now);
   void move_service_away(Machine& m, const Partitions& known, Time now);
   // What the autoscaler is told about the fleet.
   FleetStatus fleet_status(Time now, double wall_now);
--- a/src/coordination/records/maintenance.cpp
+++ b/src/coordination/records/maintenance.cpp
@@ -13,6 +13,10 @@
 
 constexpr Seconds kUnheardFor{0.3};
 constexpr Seconds kLostReply{6.0};
+constexpr Seconds kFindsOwner{6.0};  // beyond an interval, for an agent whose controller has ended
+constexpr double kLeastLeaseShare = 0.35;   // of a worker lease, before silence counts
+constexpr std::size_t kFewSilentShare = 5;  // one machine of so many may be silent by itself
+constexpr double kReleasedAnyway = 6.0;     // worker leases of silence
 constexpr Seconds kRoomToMove{1.5};
 constexpr Seconds kSettled{35.0};  // a start that is undone sooner was none
 
@@ -62,73 +66,92 @@
   }
 }
 
-void Controller::housekeeping(Time now) {
-  const Seconds set = settings_.tuning.silent_release;
-  const auto patience = [&](double reports, Seconds more) {
-    if (set.count() > 0) return set;
-    return std::max(settings_.heartbeat_interval * reports + more, settings_.worker_lease * 0.35);
+Controller::SilenceLimits Controller::silence_limits() const {
+  const Seconds configured = settings_.tuning.silent_release;
+  if (configured.count() > 0) return {configured, configured};
+  const auto patience = [&](double heartbeats, Seconds more) {
+    return std::max(settings_.heartbeat_interval * heartbeats + more,
+                    settings_.worker_lease * kLeastLeaseShare);
   };
-  // One whose answer was lost waits for it, tries the next node and is sent back here.
-  const Seconds quiet = std::max(patience(1.75, Seconds(1.0)), set.count() > 0 ? set : kLostReply);
-  // One that hears nothing comes by less often, since it goes from node to node.
-  const Seconds unanswered = patience(2.5, Seconds(2.0));
-  std::set<MachineId> silent_machines;
-  std::size_t owned = machines_.size(), late = 0;
+  // An agent whose response was lost waits for it, tries the next controller and is redirected here.
+  const Seconds unheard = std::max(patience(1.75, Seconds(1.0)), kLostReply);
+  // One that gets no responses sends less often, since it goes from controller to controller.
+  return {unheard, patience(2.5, Seconds(2.0))};
+}
+
+// Requests the release of cordoned machines that are empty, and moves services off draining ones.
+void Controller::progress_drains(Time now) {
   std::optional<Partitions> known;
   for (auto& [id, m] : machines_) {
     m.release_requested = m.cordoned && cache_.assignments_on(id).empty() && !capacity(m).active;
-    if (m.draining && is_schedulable(m, now)) {
-      if (!known) known = partitions(now, kRoomToMove);
-      move_service_away(m, *known, now);
-    }
-    const bool overdue = m.taken_at && now > *m.taken_at;
-    // While this node might not answer, workers went from node to node: that is no silence.
-    const Time heard = std::max(m.last_heartbeat_at, listening_since());
-    const bool silent =
-        base::between(heard, now) > (overdue ? settings_.heartbeat_interval * 2.0 : quiet);
-    // Reports that arrive while no answer does, or late copies of a dead machine's.
+    if (!m.draining || !is_schedulable(m, now)) continue;
+    if (!known) known = partitions(now, kRoomToMove);
+    move_service_away(m, *known, now);
+  }
+}
+
+Controller::SilenceCensus Controller::take_silence_census(Time now) {
+  const SilenceLimits limits = silence_limits();
+  const Seconds interval = settings_.heartbeat_interval;
+  SilenceCensus census;
+  census.owned = machines_.size();
+  for (auto& [id, m] : machines_) {
+    const bool is_past_notice = m.taken_at && now > *m.taken_at;
+    // While this controller had no authority, agents went from one to the next: that is no silence.
+    const Seconds unheard = base::between(std::max(m.last_heartbeat_at, listening_since()), now);
+    const bool is_silent = unheard > (is_past_notice ? interval * 2.0 : limits.unheard);
+    // Heartbeats that arrive while no response does, or late copies of a dead machine's.
     const bool is_half_open =
         m.is_half_open() &&
-        base::between(std::max(*m.half_open_since, listening_since()), now) > unanswered;
-    if (silent || is_half_open) silent_machines.insert(id);
-    if (silent || is_half_open ||
-        base::between(heard, now) > settings_.heartbeat_interval * storage::kOverdue)
-      ++late;
+        base::between(std::max(*m.half_open_since, listening_since()), now) > limits.unanswered;
+    if (is_silent || is_half_open) census.silent.insert(id);
+    if (is_silent || is_half_open || unheard > interval * storage::kOverdue) ++census.overdue;
   }
   for (const MachineId& id : unheard_owned(now)) {
     if (machines_.contains(id) || released_.contains(id) || cache_.assignments_on(id).empty())
       continue;
-    ++owned;
+    ++census.owned;
     const Time since = owned_since_.try_emplace(id, now).first->second;
-    // Workers whose node is gone need a while to find their new one.
-    const Seconds missed = base::between(std::max(since, listening_since()), now);
-    const Seconds on_its_way = settings_.heartbeat_interval + Seconds(6.0);
-    if (missed > std::max(quiet, on_its_way)) silent_machines.insert(id);
-    if (missed > on_its_way) ++late;
+    const Seconds unheard = base::between(std::max(since, listening_since()), now);
+    // Agents whose controller has ended need a while to find their new one.
+    const Seconds finding_owner = interval + kFindsOwner;
+    if (unheard > std::max(limits.unheard, finding_owner)) census.silent.insert(id);
+    if (unheard > finding_owner) ++census.overdue;
   }
-  // One silent machine is most likely dead, and its release is the quickest proof. When many fall
-  // silent at once the network is: they may all be well, and come back.
-  // And when the network heals, they don't all come back in the same instant.
-  // Counted with those that are overdue: machines do not fall silent in the same instant, and the
-  // first fifth of a zone that is cut off must not go back to the cloud before the rest is missed.
-  if (late > std::max<std::size_t>(1, owned / 5)) many_silent_at_ = now;
-  const bool few =
-      !many_silent_at_ || base::between(*many_silent_at_, now) >
-                              settings_.worker_lease * 0.5 + settings_.heartbeat_interval * 4.0;
+  return census;
+}
+
+// One silent machine is most likely dead, and its release is the fastest proof. When many fall silent
+// at once the network is at fault: they may all be well, and come back, not all in the same instant.
+// Overdue machines count as well: they do not fall silent at the same time, and the first fifth of a
+// zone that is cut off must not be released before the rest is missed.
+bool Controller::may_release_silent(const SilenceCensus& census, Time now) {
+  const std::size_t few = std::max<std::size_t>(1, census.owned / kFewSilentShare);
+  if (census.overdue > few) many_silent_at_ = now;
+  return !many_silent_at_ || base::between(*many_silent_at_, now) >
+                                 settings_.worker_lease * 0.5 + settings_.heartbeat_interval * 4.0;
+}
+
+void Controller::update_silent_machines(const SilenceCensus& census, Time now) {
+  const bool may_release = may_release_silent(census, now);
   std::set<MachineId> next;
-  for (const MachineId& id : silent_machines) {
+  for (const MachineId& id : census.silent) {
     const auto at = machines_.find(id);
     const Time since = at == machines_.end()        ? owned_since_[id]
                        : at->second.half_open_since ? *at->second.half_open_since
                                                     : at->second.last_heartbeat_at;
-    if (few || silent_machines_.contains(id) ||
-        base::between(since, now) > settings_.worker_lease * 6.0) {
-      if (!silent_machines_.contains(id))
-        spdlog::info("machine {} is silent: to be released", id.get());
-      next.insert(id);
-    }
+    const bool is_known = silent_machines_.contains(id);
+    const bool is_long = base::between(since, now) > settings_.worker_lease * kReleasedAnyway;
+    if (!may_release && !is_known && !is_long) continue;
+    if (!is_known) spdlog::info("silent machine to be released machine={}", id.get());
+    next.insert(id);
   }
   silent_machines_ = std::move(next);
+}
+
+void Controller::housekeeping(Time now) {
+  progress_drains(now);
+  update_silent_machines(take_silence_census(now), now);
   evaluate_failures(now);
   watch_contact(now);
   attempts_.forget_finished_jobs();
--- a/src/coordination/scheduling/completions.cpp
+++ b/src/coordination/scheduling/completions.cpp
@@ -11,48 +11,50 @@
 
 namespace {
 
-constexpr double kNearLimit = 0.8;  // of a team's limit: ends are recorded at once from here on
-constexpr int kLastTier = 99;       // of what is known no more
+constexpr Seconds kLeaseMargin{0.2};  // beyond drift, before a worker lease counts as expired
+constexpr double kNearLimit = 0.8;    // of a team's limit: ends are recorded at once from here on
+constexpr int kLastTier = 99;         // of what is known no more
 
 }  // namespace
 
-void Controller::collect_completions(Time now, std::vector<RoundPlan::Completion>& completions) {
-  const Seconds lease = settings_.worker_lease * (1.0 + base::kDrift) + Seconds(0.2);
-  const auto collect = [&](const MachineId& machine, Machine* m) {
-    const auto& tasks = cache_.assignments_on(machine);
-    if (tasks.empty()) return;
-    if (released_.contains(machine)) {
-      for (const auto& [task, assignment] : tasks)
-        completions.push_back({task, machine, "machine released", false});
-      return;
-    }
-    const Time since = owned_since_.try_emplace(machine, now).first->second;
-    Time last_answer = base::after(since, settings_.tuning.member_ttl);
-    if (m) last_answer = std::max(last_answer, m->last_answered_at);
-    const bool expired = now > base::after(last_answer, lease);
-    std::set<TaskId> told;
-    if (m) {
-      for (const auto& ended : capacity(*m).ended_attempts) {
-        completions.push_back({ended.task, machine, ended.why, ended.done});
-        if (expired) told.insert(ended.task);
-      }
-    }
-    if (!expired) return;
-    for (const auto& [task, assignment] : tasks) {
-      if (!told.contains(task)) {
-        completions.push_back({task, machine, "worker's lease is certainly gone", false});
-      }
-    }
-    // The session is over even if the worker's own word for it comes later: old reports of it
-    // must not bring its tasks back.
-    if (m) {
-      machines_.end_agent_incarnation(*m);
+// Adds what is certainly over on that machine; `m` is null if it has not sent a heartbeat to this owner.
+void Controller::collect_completions_on(const MachineId& machine, Machine* m, Time now,
+                                        std::vector<RoundPlan::Completion>& completions) {
+  const auto& tasks = cache_.assignments_on(machine);
+  if (tasks.empty()) return;
+  if (released_.contains(machine)) {
+    for (const auto& [task, assignment] : tasks)
+      completions.push_back({task, machine, "machine released", false});
+    return;
+  }
+  const Seconds lease = settings_.worker_lease * (1.0 + base::kDrift) + kLeaseMargin;
+  const Time since = owned_since_.try_emplace(machine, now).first->second;
+  Time last_answer = base::after(since, settings_.tuning.member_ttl);
+  if (m) last_answer = std::max(last_answer, m->last_answered_at);
+  const bool expired = now > base::after(last_answer, lease);
+  std::set<TaskId> reported;
+  if (m) {
+    for (const auto& ended : capacity(*m).ended_attempts) {
+      completions.push_back({ended.task, machine, ended.why, ended.done});
+      if (expired) reported.insert(ended.task);
     }
-  };
-  // What reports here is owned: a new view sorts out the rest.
-  for (auto& [machine, m] : machines_) collect(machine, &m);
+  }
+  if (!expired) return;
+  for (const auto& [task, assignment] : tasks) {
+    if (reported.contains(task)) continue;
+    completions.push_back({task, machine, "worker's lease is certainly gone", false});
+  }
+  // The agent's incarnation is over even if its own word comes later: old heartbeats of it must not
+  // bring its tasks back.
+  if (m) machines_.end_agent_incarnation(*m);
+}
+
+void Controller::collect_completions(Time now, std::vector<RoundPlan::Completion>& completions) {
+  // Machines that send heartbeats here are owned: a new view sorts out the rest.
+  for (auto& [machine, m] : machines_) collect_completions_on(machine, &m, now, completions);
   for (const MachineId& machine : unheard_owned(now)) {
-    if (!machines_.contains(machine) && owns(machine)) collect(machine, nullptr);
+    if (!machines_.contains(machine) && owns(machine))
+      collect_completions_on(machine, nullptr, now, completions);
   }
 }
 
--- a/src/coordination/scheduling/packing.cpp
+++ b/src/coordination/scheduling/packing.cpp
@@ -81,6 +81,37 @@
   }
 }
 
+// The least that any of these groups requests of each resource: a bin without that much free fits none.
+Resources least_request(const std::vector<Group>& groups, const std::vector<std::size_t>& members) {
+  Resources least = groups[members.front()].request;
+  for (const std::size_t g : members) {
+    for (std::size_t i = 0; i < least.v.size(); ++i) {
+      least.v[i] = std::min(least.v[i], groups[g].request.v[i]);
+    }
+  }
+  return least;
+}
+
+// The bins that may take a task of these groups, by pass.
+std::map<int, std::vector<Candidate>> candidates_by_pass(const std::vector<Group>& groups,
+                                                         const std::vector<std::size_t>& members,
+                                                         const std::vector<Bin>& bins) {
+  const Resources least = least_request(groups, members);
+  std::map<int, std::vector<Candidate>> passes;
+  for (std::size_t b = 0; b < bins.size(); ++b) {
+    if (!bins[b].free.fits(least)) continue;
+    for (const std::size_t g : members) {
+      if (!bins[b].free.fits(groups[g].request)) continue;
+      const int pass = groups[g].pass ? groups[g].pass(b) : 0;
+      if (pass < 0) continue;
+      auto& candidates = passes[pass];
+      if (candidates.empty() || candidates.back().bin != b) candidates.push_back({b, {}});
+      candidates.back().groups.push_back(g);
+    }
+  }
+  return passes;
+}
+
 }  // namespace
 
 std::vector<Placement> pack(std::vector<Group>& groups, std::vector<Bin>& bins,
@@ -91,30 +122,10 @@
     if (groups[g].count > 0) tiers[groups[g].tier].push_back(g);
   }
   for (const auto& [tier, members] : tiers) {
-    // Bins that are too full for any group of the tier are left out at once.
-    Resources least = groups[members.front()].request;
-    for (const std::size_t g : members) {
-      for (std::size_t i = 0; i < least.v.size(); ++i) {
-        least.v[i] = std::min(least.v[i], groups[g].request.v[i]);
-      }
-    }
-    std::map<int, std::vector<Candidate>> passes;
-    for (std::size_t b = 0; b < bins.size(); ++b) {
-      if (!bins[b].free.fits(least)) continue;
-      for (const std::size_t g : members) {
-        if (!bins[b].free.fits(groups[g].request)) continue;
-        const int pass = groups[g].pass ? groups[g].pass(b) : 0;
-        if (pass < 0) continue;
-        auto& list = passes[pass];
-        if (list.empty() || list.back().bin != b) list.push_back({b, {}});
-        list.back().groups.push_back(g);
-      }
-    }
+    const auto is_placed = [&groups](std::size_t g) { return groups[g].count == 0; };
+    auto passes = candidates_by_pass(groups, members, bins);
     for (auto& [pass, candidates] : passes) {
-      if (std::all_of(members.begin(), members.end(),
-                      [&](std::size_t g) { return groups[g].count == 0; })) {
-        break;
-      }
+      if (std::all_of(members.begin(), members.end(), is_placed)) break;
       pack_pass(groups, bins, scale, candidates, placements);
     }
   }
--- a/src/daemon/shared_controller.h
+++ b/src/daemon/shared_controller.h
@@ -17,6 +17,7 @@
  public:
   // The settings must outlive it.
   explicit SharedController(const base::Settings& settings) : controller_(settings) {}
+  ~SharedController() = default;
   SharedController(const SharedController&) = delete;
   SharedController& operator=(const SharedController&) = delete;
 
--- a/src/transport/file_descriptor.h
+++ b/src/transport/file_descriptor.h
@@ -32,7 +32,7 @@
  private:
   static constexpr int kNone = -1;
 
-  void close() {
+  void close() const {
     if (is_open()) ::close(descriptor_);
   }
 
--- a/tests/fleet_demand_test.cpp
+++ b/tests/fleet_demand_test.cpp
@@ -29,8 +29,8 @@
   static JobRecord job(const std::string& id, Kind kind, base::TaskNo tasks) {
     JobRecord record;
     record.spec.id = JobId(id);
-    record.spec.job_class = "c";
-    record.spec.team = "t";
+    record.spec.job_class = std::string("c");
+    record.spec.team = std::string("t");
     record.spec.kind = kind;
     record.spec.tasks = tasks;
     record.spec.request.v = {2, 0, 1};
--- a/tests/simulation/simulated_cluster.h
+++ b/tests/simulation/simulated_cluster.h
@@ -24,6 +24,7 @@
 // Connects the parts, each of which owns its state. A part refers to parts that stand before it.
 struct SimulatedCluster {
   SimulatedCluster() = default;
+  ~SimulatedCluster() = default;
   SimulatedCluster(const SimulatedCluster&) = delete;
   SimulatedCluster& operator=(const SimulatedCluster&) = delete;
 
