--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-constexpr Seconds kReleaseRequestFresh{5.0};  // a peer's request for a release holds for this long
-// A member that is out of reach counts with the machines that it told of for this long.
-constexpr Seconds kFleetRemembered{60.0};
-constexpr std::size_t kMaxCrashLoopingJobs = 256;  // named in one status
+constexpr Seconds kReleaseRequestMaxAge{5.0};  // older release requests of peers are ignored
+// The machines in a peer's last status count as part of the fleet for this long.
+constexpr Seconds kFleetStatusMaxAge{60.0};
+constexpr std::size_t kMaxReportedCrashLoopingJobs = 256;  // in one status message
 
 }  // namespace
 
@@ -40,31 +40,32 @@
     proposals_.include_all_members();
     autoscaler_.become_leader(now);
   }
-  const auto installed = ownership_.install_view(now);
-  if (!installed) return;
-  const FencingToken base = installed->base_fencing_token;
-  const bool in_a_row = installed->follows_previous;
-  machines_.install_view({base, now, in_a_row}, [this](const MachineId& id) { return owns(id); });
-  std::erase_if(owned_since_, [&](const auto& m) { return !in_a_row || !owns(m.first); });
+  const auto installation = ownership_.install_view(now);
+  if (!installation) return;
+  const FencingToken base = installation->base_fencing_token;
+  const bool follows_previous = installation->follows_previous;
+  machines_.install_view({base, now, follows_previous},
+                         [this](const MachineId& id) { return owns(id); });
+  std::erase_if(owned_since_, [&](const auto& m) { return !follows_previous || !owns(m.first); });
   attempts_.forget_never_started();
-  // Shares handed to members that are gone must find a new home at once.
+  // Tasks offered to members that have left must be offered to others at once.
   offer_router_.forget_offers();
   std::string names;
   for (const ControllerIncarnation& m : cache_.view()->members) {
     names +=
         (names.empty() ? "" : ", ") + m.member.get() + "#" + std::to_string(m.incarnation.get());
   }
-  spdlog::info("view {} of [{}], {}", cache_.view()->epoch.get(), names,
-               has_member(*cache_.view(), self_) ? "a member" : "not a member");
+  spdlog::info("view installed: view={} members=[{}] this_process={}", cache_.view()->epoch.get(),
+               names, has_member(*cache_.view(), self_) ? "a member" : "not a member");
 }
 
 std::optional<Transaction> Controller::propose_membership_change(Time now, base::LeaseId lease) {
-  if (auto txn = proposals_.propose(now, lease)) return txn;
+  if (auto transaction = proposals_.propose(now, lease)) return transaction;
   if (!is_leader(now)) return {};
   proposals_.exclude_lost_members(now);
   const auto is_released = [this](const MachineId& id) { return released_.contains(id); };
-  const auto transfers = transfers_.due(own_report(now), is_released, now);
-  return proposals_.propose_view(transfers, is_released);
+  const auto new_owners = transfers_.due(own_report(now), is_released, now);
+  return proposals_.propose_view(new_owners, is_released);
 }
 
 // --- workers
@@ -74,10 +75,10 @@
   if (!cache_.view() || cache_.view()->members.empty()) {
     return {503, protocol::error_body("no view yet")};
   }
-  const ControllerIncarnation* of = owner(heartbeat.machine);
-  if (of->member != self_.member) {
-    ownership_claims_.record_misdirected(heartbeat.machine, *of, now);
-    return {421, protocol::redirect(of->member)};
+  const ControllerIncarnation* owner_incarnation = owner(heartbeat.machine);
+  if (owner_incarnation->member != self_.member) {
+    ownership_claims_.record_redirection(heartbeat.machine, *owner_incarnation, now);
+    return {421, protocol::redirect(owner_incarnation->member)};
   }
   if (!has_authority(now)) return {503, protocol::error_body("not entitled to act now")};
   if (released_.contains(heartbeat.machine)) return {503, protocol::error_body("released")};
@@ -98,19 +99,19 @@
   if (machine && source == HeartbeatSource::kAgent) attempts_.note_heartbeat(*machine);
 }
 
-bool Controller::drop_stale_commands(CommandBatch& order, Time now) const {
+bool Controller::drop_stale_commands(CommandBatch& batch, Time now) const {
   if (!has_authority(now)) return false;
-  std::erase_if(order.commands, [this](const Command& c) {
-    const Job* job = cache_.job(c.task.job);
-    return c.op == Command::Op::kRun && (!job || job->cancelled());
+  std::erase_if(batch.commands, [this](const Command& command) {
+    const Job* job = cache_.job(command.task.job);
+    return command.op == Command::Op::kRun && (!job || job->cancelled());
   });
-  return !order.commands.empty();
+  return !batch.commands.empty();
 }
 
 void Controller::mark_released(const std::vector<MachineId>& machines, Time now) {
   for (const MachineId& id : machines) {
     if (!machines_.mark_released(id, now)) continue;
-    unheard_owned_at_ = Time{};  // its tasks are over: at once
+    unheard_owned_at_ = Time{};  // recompute the list, so that its tasks are recorded as ended now
     silent_machines_.erase(id);
     failures_.forget_machine(id);
   }
@@ -125,76 +126,78 @@
   for (const MachineId& id : machines) machines_.drain(id);
 }
 
-// --- siblings
+// --- peers
 
 std::vector<MachineId> Controller::release_requests() const {
-  std::vector<MachineId> out;
-  for (const auto& [id, m] : machines_) {
-    if (m.release_requested) out.push_back(id);
+  std::vector<MachineId> requested;
+  for (const auto& [id, machine] : machines_) {
+    if (machine.release_requested) requested.push_back(id);
   }
   for (const MachineId& id : silent_machines_) {
     const auto at = machines_.find(id);
-    if (at == machines_.end() || !at->second.release_requested) out.push_back(id);
+    if (at == machines_.end() || !at->second.release_requested) requested.push_back(id);
   }
-  return out;
+  return requested;
 }
 
-MemberStatus Controller::status(const MemberId& to, Time now) {
+MemberStatus Controller::status(const MemberId& peer, Time now) {
   detect_pause(now);
-  MemberStatus s;
-  s.from = self_;
-  s.has_state = has_lease(now);
-  machines_.add_changes(to, now, s);
-  s.release_requested = release_requests();
-  s.misdirected = misdirected(now);
-  s.contact = worker_contact(now);
-  s.crash_looping_jobs = failures_.crash_looping_jobs();
-  if (s.crash_looping_jobs.size() > kMaxCrashLoopingJobs)
-    s.crash_looping_jobs.resize(kMaxCrashLoopingJobs);
-  if (cache_.leader() && cache_.leader()->member == to) s.ownership_claims = ownership_claims(now);
-  return s;
+  MemberStatus report;
+  report.from = self_;
+  report.has_state = has_lease(now);
+  machines_.add_changes(peer, now, report);
+  report.release_requested = release_requests();
+  report.misdirected = misdirected(now);
+  report.contact = worker_contact(now);
+  report.crash_looping_jobs = failures_.crash_looping_jobs();
+  if (report.crash_looping_jobs.size() > kMaxReportedCrashLoopingJobs)
+    report.crash_looping_jobs.resize(kMaxReportedCrashLoopingJobs);
+  if (cache_.leader() && cache_.leader()->member == peer)
+    report.ownership_claims = ownership_claims(now);
+  return report;
 }
 
-Instructions Controller::handle_peer_status(const MemberStatus& status, Time now) {
-  Instructions out;
+MemberInstructions Controller::handle_peer_status(const MemberStatus& status, Time now) {
+  MemberInstructions instructions;
   if (!peers_.update(status, now)) {
-    out.again = true;
-    return out;
+    instructions.again = true;
+    return instructions;
   }
-  for (const MachineStatus& m : status.machines) {
-    if (!released_.contains(m.id)) machines_.set_zone(m.id, m.zone);
+  for (const MachineStatus& machine : status.machines) {
+    if (!released_.contains(machine.id)) machines_.set_zone(machine.id, machine.zone);
   }
   for (const MachineId& id : status.release_requested) {
-    if (released_.contains(id)) out.released.push_back(id);
+    if (released_.contains(id)) instructions.released.push_back(id);
   }
   if (is_leader(now)) {
     MachineRequests requests = autoscaler_.take_requests(status.from.member);
-    out.cordon = std::move(requests.cordon);
-    out.drain = std::move(requests.drain);
+    instructions.cordon = std::move(requests.cordon);
+    instructions.drain = std::move(requests.drain);
   }
-  return out;
+  return instructions;
 }
 
-Controller::Partitions Controller::partitions(Time now, Seconds remembered) {
-  Partitions out;
-  out.emplace_back(self_.member, std::vector<const MachineStatus*>{});
-  out.back().second.reserve(machines_.size());
-  for (auto& [id, m] : machines_) {
-    machines_.update_status(m, now);
-    out.back().second.push_back(&m.status);
+Controller::Partitions Controller::partitions(Time now, Seconds max_age) {
+  Partitions by_member;
+  by_member.emplace_back(self_.member, std::vector<const MachineStatus*>{});
+  by_member.back().second.reserve(machines_.size());
+  for (auto& [id, machine] : machines_) {
+    machines_.update_status(machine, now);
+    by_member.back().second.push_back(&machine.status);
   }
-  if (!cache_.view()) return out;
+  if (!cache_.view()) return by_member;
   for (const ControllerIncarnation& member : cache_.view()->members) {
-    const auto s = peers_.find(member.member);
-    if (member == self_ || s == peers_.end() || s->second.from != member ||
-        base::between(s->second.last_heartbeat_at, now) > remembered) {
+    const auto peer = peers_.find(member.member);
+    if (member == self_ || peer == peers_.end() || peer->second.from != member ||
+        base::between(peer->second.last_heartbeat_at, now) > max_age) {
       continue;
     }
-    out.emplace_back(member.member, std::vector<const MachineStatus*>{});
-    out.back().second.reserve(s->second.machines.size());
-    for (const auto& [id, room] : s->second.machines) out.back().second.push_back(&room);
+    by_member.emplace_back(member.member, std::vector<const MachineStatus*>{});
+    by_member.back().second.reserve(peer->second.machines.size());
+    for (const auto& [id, machine_status] : peer->second.machines)
+      by_member.back().second.push_back(&machine_status);
   }
-  return out;
+  return by_member;
 }
 
 // --- records
@@ -222,7 +225,7 @@
   fleet.wall_now = wall_now;
   fleet.self = self_.member;
   fleet.view_installed_at = view_installed_at_;
-  for (auto& [member, machines] : partitions(now, kFleetRemembered)) {
+  for (auto& [member, machines] : partitions(now, kFleetStatusMaxAge)) {
     fleet.partitions.push_back({member, std::move(machines)});
   }
   fleet.is_released = [this](const MachineId& id) { return released_.contains(id); };
@@ -230,21 +233,21 @@
 }
 
 ReleaseRequests Controller::fleet_release_requests(Time now) const {
-  ReleaseRequests out;
-  const auto add = [&out](const std::vector<MachineId>& requested,
-                          const std::vector<MachineId>& misdirected_machines) {
-    out.requested.insert(requested.begin(), requested.end());
-    out.misdirected.insert(misdirected_machines.begin(), misdirected_machines.end());
+  ReleaseRequests requests;
+  const auto add = [&requests](const std::vector<MachineId>& requested,
+                               const std::vector<MachineId>& misdirected_machines) {
+    requests.requested.insert(requested.begin(), requested.end());
+    requests.misdirected.insert(misdirected_machines.begin(), misdirected_machines.end());
   };
   add(release_requests(), misdirected(now));
   for (const auto& [member, peer] : peers_) {
-    if (base::between(peer.last_heartbeat_at, now) > kReleaseRequestFresh ||
+    if (base::between(peer.last_heartbeat_at, now) > kReleaseRequestMaxAge ||
         !has_member(*cache_.view(), peer.from)) {
       continue;
     }
     add(peer.release_requested, peer.misdirected);
   }
-  return out;
+  return requests;
 }
 
 ScalingActions Controller::plan_scaling(Time now, double wall_now) {
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -1,5 +1,7 @@
-// The decisions of one controller: state and `now` in, actions out. No socket, clock or thread.
-// Not safe for use from several threads at once: the owner locks.
+// The decisions of one controller process. Each call takes the current time as an argument and
+// returns the actions to carry out; the class itself uses no sockets, clocks or threads.
+//
+// Not safe for use from several threads at once: the caller must hold a lock.
 #pragma once
 
 #include <deque>
@@ -52,12 +54,13 @@
 using storage::Machine;
 using storage::StateCache;
 
+// The HTTP response to a worker's heartbeat.
 struct WorkerReply {
   int status = 503;
   std::string body;
 };
 
-// A direct order to a worker.
+// Commands that are sent to a worker's agent directly, rather than in the response to a heartbeat.
 struct CommandBatch {
   MachineId machine;
   std::string address;
@@ -66,40 +69,48 @@
   std::vector<Command> commands;
 };
 
-// One batched record: committed first, acted upon after.
+// The result of one scheduling round: a transaction to commit, and the starts and completions that
+// take effect once it is committed.
 struct RoundPlan {
   Transaction txn;
+  // An attempt that the transaction assigns to a machine.
   struct Start {
     TaskId task;
     protocol::Assignment assignment;
   };
   std::vector<Start> starts;
+  // An attempt that the transaction records as ended.
   struct Completion {
     TaskId task;
     MachineId machine;
-    std::string why;
-    bool done = false;
+    std::string why;    // the cause, for the log
+    bool done = false;  // whether the task succeeded and is not started again
   };
   std::vector<Completion> completions;
-  bool more = false;  // there was more than one record can hold
+  bool more = false;  // changes are left over that did not fit into one transaction
   bool empty() const { return txn.writes.empty(); }
 };
 
-// How much of the store's write rate a round may use.
+// How much of the state service's write rate a round may use.
 enum class WriteBudget {
-  kExhausted,  // more than its share is used up: only what users wait for
+  kExhausted,  // the rate limit is used up: only urgent work is recorded
   kNormal,
-  kSurplus,  // also records that could wait
+  kSurplus,  // writes are plentiful: deferrable completions are recorded too
 };
 
-// The leader's word to a member that told its status.
-struct Instructions {
-  std::vector<MachineId> released;  // released: they and all on them are gone
-  std::vector<MachineId> cordon;    // to be closed and given back if nothing is on them
-  std::vector<MachineId> drain;     // to be emptied by moving services, then given back
-  bool again = false;  // the status builds upon one that this node doesn't have: tell all
+// Instructions to a member, sent in reply to its status report. Only the leader sends `cordon` and
+// `drain`.
+struct MemberInstructions {
+  std::vector<MachineId> released;  // the cloud has released these: their tasks have ended
+  std::vector<MachineId> cordon;  // to be cordoned if no tasks are assigned to them, then released
+  std::vector<MachineId> drain;   // to be cordoned and emptied by moving services, then released
+  // The status was a delta to a revision that this controller does not have: a full status is
+  // needed.
+  bool again = false;
 };
 
+// Owns the state of one controller and combines its parts: membership, heartbeats, scheduling
+// rounds, exchange of status with peers and, while it is the leader, the autoscaling of the fleet.
 class Controller {
  public:
   explicit Controller(const base::Settings& settings);
@@ -108,7 +119,8 @@
   const StateCache& cache() const { return cache_; }
 
   // --- membership
-  // See AuthorityLease for these.
+  // Starts a new incarnation of this controller; it has no authority yet. This function and those down
+  // to has_lease() forward to AuthorityLease, which documents them.
   void begin_incarnation(ControllerIncarnation incarnation, Time now) {
     authority_.begin_incarnation(std::move(incarnation), now);
   }
@@ -121,83 +133,114 @@
   std::uint64_t cache_generation() const { return authority_.cache_generation(); }
   const ControllerIncarnation& self() const { return authority_.self(); }
   bool has_lease(Time now) const { return authority_.has_lease(now); }
-  // May this process answer workers and send them commands now?
+  // Returns whether this process may answer workers and send them commands now.
   bool has_authority(Time now) const {
     return authority_.has_authority(now, ownership_.installed_view());
   }
   bool is_leader(Time now) const { return leadership_.is_leader(now); }
-  // To be called after the cache took in changes: installs a new view, notes a new leader.
+  // Installs a new view and detects changes of the leader. Must be called after each change to the
+  // cache.
   void install_view(Time now);
-  // See MembershipProposals for these.
+  // Returns the transaction that writes this member's own record under its lease.
   Transaction member_record(base::LeaseId lease, bool reaches_others) const {
     return proposals_.member_record(lease, reaches_others);
   }
+  // Returns the next change to propose to the membership records or, as the leader, to the view;
+  // none if no change is needed.
   std::optional<Transaction> propose_membership_change(Time now, base::LeaseId lease);
 
   // --- workers
+  // Records a heartbeat and returns the response: commands if this controller owns the machine, a
+  // redirect to the owner or an error otherwise.
   WorkerReply handle_heartbeat(const Heartbeat& heartbeat, Time now);
-  // Claims, by way of the store, for when the leader is out of reach.
+  // Returns a transaction that stores this member's ownership claims in the state service, which is
+  // done only while the leader cannot be reached; otherwise claims are sent with the status.
   std::optional<Transaction> propose_ownership_claims(Time now);
+  // Records the heartbeat that an agent includes in its reply to a command, if it is present.
   void handle_command_reply(const MachineId& machine, const std::optional<Heartbeat>& heartbeat,
                             Time now);
-  // A direct order was not answered: until the machine reports again, what it is to do goes with
-  // the answer to its report. With dozens of dead machines, waiting for each held up all orders.
+  // Marks that a command batch was not answered. Until its next heartbeat the machine gets commands
+  // in heartbeat responses only: with dozens of dead machines, waiting for each one's timeout
+  // delayed the commands to all others.
   void commands_lost(const MachineId& machine) { machines_.mark_commands_lost(machine); }
+  // Marks that the cloud has released these machines: their tasks have ended.
   void mark_released(const std::vector<MachineId>& machines, Time now);
+  // Cordons those of these machines that have no assigned tasks.
   void cordon_idle(const std::vector<MachineId>& machines);
+  // Cordons these machines and starts moving their services to others.
   void drain(const std::vector<MachineId>& machines);
 
+  // Sets which wall-clock time (seconds since 1970) corresponds to `now`.
   void tell_time(Time now, double wall_now) { priorities_.set_time_of_day(now, wall_now); }
 
-  // Another controller's word that this job's cancellation is committed, ahead of the watch, which may
-  // be silent here: the state service may refuse this node alone, and its authority, that lasts for a
-  // moment yet, must not be used to start the job's tasks.
+  // Records another controller's notification that the job's cancellation is committed. The watch
+  // may not deliver it: if the state service refuses this controller alone, its authority lasts for
+  // a moment longer and must not be used to start the job's tasks.
   void notify_cancelled(const JobId& id) { cache_.notify_cancelled(id); }
-  // May the order still go out? Takes out the starts of what was cancelled since it was made.
-  bool drop_stale_commands(CommandBatch& order, Time now) const;
+  // Removes the starts of jobs that were cancelled after the batch was built. Returns whether the
+  // batch may still be sent: commands are left, and this process has authority.
+  bool drop_stale_commands(CommandBatch& batch, Time now) const;
 
   // --- rounds
+  // Adds offered tasks to the pool from which this member's own machines are filled.
   void add_offers(const protocol::Offers& offers, Time now) { offer_pool_.add(offers, now); }
-  // A job was accepted here: its first offers are made here, not by its home, which may be down.
+  // Registers a job whose submission this controller accepted: this controller makes the job's
+  // first offers, since the job's home may be down.
   void accepted(const JobId& job) { offer_router_.add_submitted_job(job); }
-  // Offers did not reach their part: its owner is passed over until it is heard again.
+  // Marks that offers could not be delivered to a member: it gets no offers until its next full
+  // status.
   void offers_lost(const MemberId& member, const std::vector<protocol::Offers>& offers);
-  // Splits waiting tasks of this node's jobs among the parts; own shares go to its own pool.
+  // Distributes the waiting tasks of this member's jobs among the members by the free capacity of
+  // their machines. Returns the offers by member.
   std::map<MemberId, protocol::Offers> route(Time now);
+  // Runs one scheduling round: collects completions, places waiting tasks on machines, and chooses
+  // tasks to preempt. Returns the transaction to commit, with the starts and completions that it
+  // records.
   RoundPlan plan(Time now, WriteBudget write_budget);
-  // The plan was committed at this version: the starts to send at once.
+  // Applies a plan that was committed at this version. Returns the start commands to send at once.
   std::vector<CommandBatch> committed(const RoundPlan& plan, Version version, Time now);
-  // Stops for tasks that are to go, to be sent at once rather than with the next report's answer.
+  // Returns the kill commands to send at once instead of with the next heartbeat responses.
   std::vector<CommandBatch> stops(Time now);
-  // The upkeep of records, for which this member is the home: at most one transaction to commit.
+  // Returns a transaction that finalizes one ended job whose home is this member; none if there is
+  // none.
   std::optional<Transaction> finalize_one_job(Time now);
+  // Returns a transaction that splits one oversized task record of a job whose home is this member;
+  // none if there is none.
   std::optional<Transaction> split_one_record(Time now);
+  // Returns a transaction that removes records whose jobs no longer exist; none if there are none.
   std::optional<Transaction> collect_garbage();
 
-  // --- siblings
-  // What `to` is to be told: what changed since what it has, as far as it has said so.
-  MemberStatus status(const MemberId& to, Time now);
-  Instructions handle_peer_status(const MemberStatus& status, Time now);
-  // The sibling took in the status up to there (0: it asks for all).
-  void status_acknowledged(const MemberId& by, std::uint64_t upto) {
-    machines_.acknowledge(by, upto);
+  // --- peers
+  // Returns this member's status for a peer: the changes since the revision that the peer acknowledged.
+  MemberStatus status(const MemberId& peer, Time now);
+  // Applies a peer's status and returns the instructions to send in reply.
+  MemberInstructions handle_peer_status(const MemberStatus& status, Time now);
+  // Records that the peer has applied the status up to this revision; 0 requests a full status.
+  void status_acknowledged(const MemberId& peer, std::uint64_t revision) {
+    machines_.acknowledge(peer, revision);
   }
+  // Records that a call to the member was answered.
   void peer_reached(const MemberId& member, Time now) { peer_contact_.record_reached(member, now); }
-  // Has another controller, heard of lately, a lease while this one has none?
+  // Returns whether a peer reported a few seconds ago that it holds a lease in the state service.
   bool peers_have_state(Time now) const { return peers_.any_has_state(now); }
 
   // --- fleet, for the leader
-  // The autoscaler's plan; what it asks of this member's own machines is done already.
+  // Returns the leader's scaling actions; none if this process is not the leader. Drains and cordons of
+  // this member's own machines are carried out before it returns.
   ScalingActions plan_scaling(Time now, double wall_now);
-  // The cloud listed these machines.
+  // Handles the cloud's list of rented machines.
   void listed(const std::vector<protocol::CloudMachine>& machines, Time now, double wall_now);
+  // Records that the cloud had fewer machines of this kind than were requested.
   void refused(const MachineKind& kind, Time now) { autoscaler_.record_out_of_capacity(kind, now); }
+  // Records that the cloud has rented these machines to the cluster.
   void rented(const MachineKind& kind, const std::vector<MachineId>& machines, double wall_now);
+  // Returns the transaction that records which machines are booting, for the next leader.
   std::optional<Transaction> fleet_record() const { return autoscaler_.booting_record(); }
-  // The cloud released these machines.
+  // Records that the cloud has released these machines.
   void released(const std::vector<MachineId>& machines, Time now);
 
  private:
+  // The machines by the member that owns them; each member's share is called its partition.
   using Partitions = std::vector<std::pair<MemberId, std::vector<const MachineStatus*>>>;
 
   const ControllerIncarnation* owner(const MachineId& machine) const {
@@ -207,102 +250,144 @@
   bool is_schedulable(const Machine& m, Time now) const { return machines_.is_schedulable(m, now); }
   void record_heartbeat(const Heartbeat& heartbeat, HeartbeatSource source, Time now);
   const storage::MachineCapacity& capacity(const Machine& m) const { return capacity_.of(m); }
+  // Returns the machines of this member that the leader should release: drained ones and silent
+  // ones.
   std::vector<MachineId> release_requests() const;
   std::vector<MachineId> misdirected(Time now) const { return ownership_claims_.misdirected(now); }
-  // Machines of other members that this one claims.
+  // Returns the machines of other members that this member claims.
   std::vector<MachineId> ownership_claims(Time now);
-  void detect_pause(Time now) { pauses_.record_running(now); }
+  void detect_pause(Time now) { pauses_.record_activity(now); }
   Time listening_since() const { return contact_monitor_.listening_since(); }
-  // Does this controller hear the machines that it owns?
+  // Returns whether this controller receives the heartbeats of the machines that it owns.
   protocol::WorkerContact worker_contact(Time now) const;
-  void watch_contact(Time now) { contact_monitor_.update_census(count_overdue(now), now); }
-  MachineCensus count_overdue(Time now) const;
+  void watch_contact(Time now) { contact_monitor_.update_counts(count_overdue(now), now); }
+  OverdueCounts count_overdue(Time now) const;
   bool is_overdue(const Machine& m, Time now) const;
-  // The machines that this controller owns and does not hear.
+  // Returns the machines that this controller owns and whose heartbeats are overdue or never
+  // arrived.
   std::vector<MachineId> silent_machines(Time now) const;
-  // What this member says of itself to the leader, if that is itself.
+  // Returns this member's own report, used in place of a status message when it is the leader
+  // itself.
   MemberReport own_report(Time now);
   std::string zone_of(const MachineId& machine) const { return machines_.zone_of(machine); }
   static bool reported_ended(const Machine& m, const TaskId& task,
                              const protocol::Assignment& assignment) {
     return m.reported_ended(task, assignment);
   }
-  // A job that was offered to this part, and which of its tasks wait here.
+  // A job that was offered to this member, with those of its tasks that wait for a machine here.
   struct WaitingJob {
     const Job* job;
     std::vector<TaskNo> tasks;
-    std::map<std::string, TaskNo> zones;  // where its tasks are, for one_zone and spread
-    bool zones_known = true;
+    std::map<std::string, TaskNo> zones;  // assigned tasks by zone, if one_zone or spread is set
+    bool zones_known = true;              // false if the zone of an assigned task is unknown
   };
-  // The machines that take new tasks, with their bins for packing.
+  // The machines that accept new tasks, with their bins for packing. `scale` holds the largest
+  // capacity of a machine in each resource, by which the packing normalizes.
   struct OpenMachines {
     std::vector<Bin> bins;
     std::vector<Machine*> machines;
     Resources scale;
   };
-  // The steps of a round's plan.
-  static void record_completion(RoundPlan::Completion end, RecordBatch& batch, RoundPlan& plan);
-  // Records what must be on record now; returns the ends that can wait.
+  // Adds a completion to the batch and, if the batch takes it, to the plan.
+  static void record_completion(RoundPlan::Completion completion, RecordBatch& batch,
+                                RoundPlan& plan);
+  // Records the completions that must be recorded in this round; returns those that can be
+  // deferred.
   std::vector<RoundPlan::Completion> record_completions(
       std::vector<RoundPlan::Completion> completions, WriteBudget write_budget, Time now,
       RecordBatch& batch, RoundPlan& plan);
+  // Handles records above the size limit, which may be rewritten only once enough of their tasks
+  // have ended: drops completions that must wait for more, and returns those to record together.
   std::set<TaskId> settle_large_records(std::vector<RoundPlan::Completion>& completions,
                                         const RecordBatch& batch) const;
+  // Records deferred completions whose record is written anyway, or all of them while writes are
+  // plentiful.
   void record_deferred_completions(std::vector<RoundPlan::Completion> completions,
                                    WriteBudget write_budget, Time now, RecordBatch& batch,
                                    RoundPlan& plan);
+  // Returns the offered jobs that have tasks waiting and may start them in this round.
   std::vector<WaitingJob> waiting_jobs(WriteBudget write_budget, Time now,
                                        const RecordBatch& batch);
+  // Fills in the zones of the job's assigned tasks.
   void find_zones(WaitingJob& w) const;
   OpenMachines open_machines(Time now);
+  // Returns the jobs' order by due time if the waiting tasks exceed the free capacity; otherwise
+  // all zeros.
   std::vector<int> order_by_due(const std::vector<WaitingJob>& waiting,
                                 const std::vector<Bin>& bins, Time now) const;
+  // Places waiting tasks on machines and adds the starts to the plan.
   void place(std::vector<WaitingJob>& waiting, Time now, RoundPlan& plan);
-  bool may_start(const WaitingJob& w, const Heartbeat& r, const Resources& planned) const;
+  // Returns whether another task of the job may start on the machine. `planned`: the resources that
+  // this round already gives to the job's team.
+  bool may_start(const WaitingJob& w, const Heartbeat& heartbeat, const Resources& planned) const;
+  // Returns how well the machine suits the job: lower is better, negative means never.
   int preference(const protocol::JobSpec& spec, const Machine& m,
                  std::optional<Seconds> start_within, bool displaces, Time now) const;
+  // Adds the plan's starts to the batch and drops those that the batch cannot take.
   static void record_starts(RecordBatch& batch, RoundPlan& plan);
+  // Reserves machines or preempts lower-ranked tasks for the tasks that were not placed.
   void free_capacity(const std::vector<WaitingJob>& waiting, const RoundPlan& plan, Time now);
+  // Collects the attempts that have certainly ended on the machines of this member.
   void collect_completions(Time now, std::vector<RoundPlan::Completion>& completions);
+  // Collects the attempts that have certainly ended on one machine. `m` is null if the machine has
+  // not sent a heartbeat to this controller.
   void collect_completions_on(const MachineId& machine, Machine* m, Time now,
                               std::vector<RoundPlan::Completion>& completions);
-  bool can_defer(const RoundPlan::Completion& end, const std::set<TaskId>& ended, Time now);
-  // Decides which jobs with failures are sound, and closes the machines that turn out to be faulty.
+  // Returns whether the completion can be recorded later, together with others of the same record.
+  bool can_defer(const RoundPlan::Completion& completion, const std::set<TaskId>& ended, Time now);
+  // Decides which jobs with failed attempts are sound, and cordons the machines that are faulty.
   void evaluate_failures(Time now);
-  // Has a task of the job been running here for so long, on a machine where none of it failed?
+  // Returns whether a task of the job has run long enough here to show that the job is sound.
+  // Machines on which one of its tasks failed lately do not count.
   bool runs_for_long(const Job& job, Time now) const;
-  // Does the job fail on every machine, as far as this controller or a sibling has seen?
+  // Returns whether the job fails on every machine, as seen by this controller or reported by a
+  // peer.
   bool is_crash_looping(const JobId& job, Time now) const;
-  // How long an attempt ran that is over, as far as this controller saw.
-  Seconds run_before_end(const RoundPlan::Completion& end) const;
-  void learn_run_time(const RoundPlan::Completion& end);
+  // Returns how long the ended attempt ran, as observed by this controller; 0 if it is unknown.
+  Seconds run_before_end(const RoundPlan::Completion& completion) const;
+  // Feeds the run time of an ended attempt into the run time estimates.
+  void learn_run_time(const RoundPlan::Completion& completion);
+  // Runs the periodic checks of a round: drains, silent machines, failed attempts, worker contact.
   void housekeeping(Time now);
-  // How long a machine may be unheard, or heard without showing a response, before it counts as silent.
+  // How long a machine may send no heartbeats (`unheard`), or send heartbeats that show that no
+  // response arrives (`unanswered`), before it counts as silent.
   struct SilenceLimits {
     Seconds unheard, unanswered;
   };
+  // The silent machines of this member, and how many of its machines have overdue heartbeats.
   struct SilenceCensus {
     std::set<MachineId> silent;
     std::size_t owned = 0, overdue = 0;
   };
   SilenceLimits silence_limits() const;
+  // Requests the release of empty cordoned machines, and moves services off draining machines.
   void progress_drains(Time now);
   SilenceCensus take_silence_census(Time now);
+  // Returns false while or shortly after many machines are silent at once: then the network is
+  // probably at fault, and the machines must not be released.
   bool may_release_silent(const SilenceCensus& census, Time now);
+  // Updates the set of silent machines whose release is requested.
   void update_silent_machines(const SilenceCensus& census, Time now);
+  // Stops one service on a draining machine if another machine can take it now.
   void move_service_away(Machine& m, const Partitions& known, Time now);
-  // What the autoscaler is told about the fleet.
+  // Returns the autoscaler's input: the machines of all members that reported within the last
+  // minute.
   FleetStatus fleet_status(Time now, double wall_now);
+  // Returns the release requests of this member and of the peers that reported recently.
   ReleaseRequests fleet_release_requests(Time now) const;
-  // Has it waited so long that it goes before others? Then so many of its tasks do.
+  // Returns how many tasks of a starving job go ahead of all other work; none if it is not
+  // starving.
   std::optional<std::size_t> starving_tasks(const Job& job, Time now) const;
+  // Reserves a machine for a starving job, so that smaller tasks do not take its capacity first.
   void reserve_capacity(const Job& job, Time now);
-  // Machines that the record has tasks on, that this node owns, and that have not reported to it.
+  // Returns the machines that have recorded assignments, are owned by this member, and have sent it
+  // no heartbeat since it became the owner.
   const std::vector<MachineId>& unheard_owned(Time now);
+  // Returns the time that the machine needs to fetch the job's image; 0 if the image is there.
   Seconds fetch_time(const Machine& m, const protocol::JobSpec& spec) const;
-  // The machines of each part whose owner was heard of lately. The pointers hold until the machines
-  // or the siblings' words change.
-  Partitions partitions(Time now, Seconds remembered);
+  // Returns the machines of this member and of each peer whose last status is at most `max_age`
+  // old. The pointers are valid until the machines or the peers' statuses change.
+  Partitions partitions(Time now, Seconds max_age);
 
   const base::Settings& settings_;
   StateCache cache_;
@@ -317,12 +402,12 @@
   WorkerContactMonitor contact_monitor_;
   OwnershipClaims ownership_claims_;
   OwnershipTransfers transfers_;
-  // Short names for what other parts of this class read until they are classes of their own.
+  // Aliases for frequently read members of the parts above.
   const ControllerIncarnation& self_ = authority_.self();
   const Version& installed_view_ = ownership_.installed_view();
   const FencingToken& base_fencing_token_ = ownership_.base_fencing_token();
   const Time& view_installed_at_ = ownership_.view_installed_at();
-  std::optional<Time> many_silent_at_;
+  std::optional<Time> many_silent_at_;  // when too many machines were last silent at once
 
   AttemptTracker attempts_{cache_};
   CapacityCalculator capacity_{cache_, priorities_, attempts_};
@@ -331,13 +416,17 @@
   CapacityReservations reservations_{cache_};
   PreemptionPlanner preemption_{settings_, cache_,    priorities_,
                                 capacity_, machines_, reservations_};
-  std::map<MachineId, Time> owned_since_;  // for machines never heard: the base of lease proofs
-  std::set<MachineId> silent_machines_;    // owned, silent, and to be released for proof
+  // Since when this member has owned a machine. Bounds the lease of machines that have sent no
+  // heartbeat: an earlier owner may have renewed it until then, and for one more member TTL.
+  std::map<MachineId, Time> owned_since_;
+  // Silent machines of this member whose release is requested; a release proves that their tasks
+  // ended.
+  std::set<MachineId> silent_machines_;
   OfferPool offer_pool_{settings_};
   FailureTracker failures_;
   OfferRouter offer_router_{settings_, cache_, priorities_, failures_};
-  std::vector<MachineId> unheard_owned_;
-  Time unheard_owned_at_{};
+  std::vector<MachineId> unheard_owned_;  // the cached result of unheard_owned()
+  Time unheard_owned_at_{};               // when it was computed
 
   Autoscaler autoscaler_;
 };
--- a/src/coordination/membership/authority_lease.cpp
+++ b/src/coordination/membership/authority_lease.cpp
@@ -29,7 +29,7 @@
 void AuthorityLease::lease_renewed(base::Time sent_at, std::uint64_t cache_generation) {
   if (cache_generation != cache_generation_) return;
   authority_valid_until_ = valid_until(sent_at);
-  proved_view_ = cache_.version(protocol::kViewKey);
+  verified_view_ = cache_.version(protocol::kViewKey);
 }
 
 void AuthorityLease::cache_replaced() {
@@ -39,12 +39,14 @@
 
 bool AuthorityLease::has_authority(base::Time now, base::Version installed_view) const {
   return has_incarnation_ && now < authority_valid_until_ && cache_.view() &&
-         installed_view.get() != 0 && proved_view_ == installed_view &&
+         installed_view.get() != 0 && verified_view_ == installed_view &&
          installed_view == cache_.version(protocol::kViewKey) && has_member(*cache_.view(), self_);
 }
 
-// Counted from when the call was sent, on a clock that may run slower than the state service's. The
-// state service extends all leases after an outage of its own; that is not relied upon.
+// Returns when a lease expires at the latest that was acquired or renewed by a call sent at
+// `sent_at`. The TTL counts from the sending of the call and is shortened, since this clock may run
+// slower than the state service's. That the state service extends all leases after its own outage
+// is not relied upon.
 base::Time AuthorityLease::valid_until(base::Time sent_at) const {
   return base::after(sent_at, settings_.tuning.member_ttl * (1.0 - base::kDrift));
 }
--- a/src/coordination/membership/authority_lease.h
+++ b/src/coordination/membership/authority_lease.h
@@ -1,5 +1,5 @@
-// The right of this process to act as a controller: its incarnation, its lease in the state service,
-// and until when it may answer workers and send them commands (its authority).
+// The right of this process to act as a controller: its incarnation, its lease in the state
+// service, and its authority, which is the right to answer workers and send them commands.
 //
 // Holds state only; takes the time as an argument. Not safe for use from several threads at once.
 #pragma once
@@ -10,28 +10,30 @@
 
 namespace saddleslip::coordination {
 
+// Tracks the lease and the authority of the current incarnation. Both expire by the local clock.
 class AuthorityLease {
  public:
-  // Reads the lease's time to live from the settings, and the view from the cache. Both must outlive
-  // this object.
+  // Reads the lease's time to live from the settings, and the view from the cache. Both must
+  // outlive this object.
   AuthorityLease(const base::Settings& settings, const storage::StateCache& cache)
       : settings_(settings), cache_(cache) {}
 
-  // A lease was taken by a new incarnation. It has no authority until a view names it and a renewal
-  // has proved the cache current.
+  // Starts a new incarnation, which has acquired a lease. It has no authority until a view names it
+  // and a renewal has verified that the cache is current.
   void begin_incarnation(protocol::ControllerIncarnation incarnation, base::Time now);
-  // The lease is lost or given up. self() still names the incarnation that ended.
+  // Ends the incarnation, because its lease is lost or given up. self() still returns it
+  // afterwards.
   void end_incarnation();
 
-  // The lease of this incarnation was taken by a call that was sent then.
+  // Records that a call sent at `sent_at` acquired the lease of this incarnation.
   void lease_acquired(base::Time sent_at);
-  // The lease was renewed by a call that was sent then, and after that the cache was proved current:
-  // it holds all that was committed before the call, cancellations and views included.
-  // `cache_generation` is the generation from before the proof: a cache that was reloaded since was
-  // not proved current, and the renewal is ignored.
+  // Records that a call sent at `sent_at` renewed the lease, and that the cache was verified
+  // afterwards: it holds everything that was committed before the call, including cancellations and
+  // views. `cache_generation` is the generation read before the verification. If the cache was
+  // reloaded since, it is not verified, and the renewal is ignored.
   void lease_renewed(base::Time sent_at, std::uint64_t cache_generation);
-  // The cache was reloaded page by page: some of it is older than what was proved current before.
-  // Authority ends until the next renewal.
+  // Records that the cache was reloaded page by page. Parts of it may be older than the verified
+  // state, so authority is suspended until the next renewal.
   void cache_replaced();
 
   const protocol::ControllerIncarnation& self() const { return self_; }
@@ -40,9 +42,9 @@
   std::uint64_t cache_generation() const { return cache_generation_; }
 
   bool has_lease(base::Time now) const { return now < lease_valid_until_; }
-  // May this process answer workers and command them? Only while the view that it installed is the
-  // one that the cache holds, names this incarnation, and was covered by the latest proof.
-  // `installed_view`: 0 if none was installed yet.
+  // Returns whether this process may answer workers and send them commands. Requires that the
+  // installed view is the one in the cache, names this incarnation, and was covered by the latest
+  // verification. `installed_view` is 0 if no view was installed yet.
   bool has_authority(base::Time now, base::Version installed_view) const;
 
  private:
@@ -55,8 +57,8 @@
   base::Time incarnation_began_at_{};
   base::Time lease_valid_until_{};
   base::Time authority_valid_until_{};
-  base::Version proved_view_;           // the view that the cache held at the latest proof
-  std::uint64_t cache_generation_ = 0;  // how often the cache was reloaded
+  base::Version verified_view_;         // the cache's view at the latest verification
+  std::uint64_t cache_generation_ = 0;  // the number of reloads of the cache
 };
 
 }  // namespace saddleslip::coordination
--- a/src/coordination/membership/leadership.cpp
+++ b/src/coordination/membership/leadership.cpp
@@ -10,10 +10,10 @@
 }
 
 LeadershipChange Leadership::update(base::Time now) {
-  const bool leads = is_leader(now);
-  if (leads == was_leader_) return LeadershipChange::kNone;
-  was_leader_ = leads;
-  if (!leads) {
+  const bool is_leader_now = is_leader(now);
+  if (is_leader_now == was_leader_) return LeadershipChange::kNone;
+  was_leader_ = is_leader_now;
+  if (!is_leader_now) {
     spdlog::info("leadership lost");
     return LeadershipChange::kLost;
   }
--- a/src/coordination/membership/ownership.cpp
+++ b/src/coordination/membership/ownership.cpp
@@ -54,7 +54,8 @@
   return entry->second.since;
 }
 
-// An override that names the same member as before keeps its time.
+// Updates the overrides from the installed view. An override that names the same member as before
+// keeps its start time.
 void Ownership::update_overrides(base::Time now) {
   std::map<base::MachineId, Override> next;
   for (const auto& [machine, member] : cache_.view()->overrides) {
--- a/src/coordination/membership/ownership.h
+++ b/src/coordination/membership/ownership.h
@@ -1,8 +1,8 @@
-// Which controller owns which machine, and the view that this process has installed.
+// Which controller owns each machine, and which view this process has installed.
 //
-// owner() and owns() go by the newest view in the cache, which may be ahead of the installed one.
-// Holds state only; takes the time as an argument. Not safe for use from several threads at once, the
-// const functions included: they keep a cache of owners.
+// owner() and owns() use the newest view in the cache, which may be newer than the installed one.
+// The class holds state only; calls take the time as an argument. Not safe for use from several
+// threads at once, including the const functions, which update an index of owners.
 #pragma once
 
 #include <map>
@@ -14,36 +14,38 @@
 
 namespace saddleslip::coordination {
 
-// A view that was installed just now.
+// The result of installing a view.
 struct ViewInstallation {
   base::FencingToken base_fencing_token;  // the first of the view's epoch
-  // Does it follow directly on the view that was installed before? Views that were skipped may have
-  // had other owners, who may have answered machines until lately.
+  // Whether its epoch directly follows that of the previously installed view. If views were
+  // skipped, other controllers may have owned machines in them and have answered these until
+  // recently.
   bool follows_previous = false;
 };
 
+// Looks up the owners of machines and installs views.
 class Ownership {
  public:
   // Both must outlive this object.
   Ownership(const storage::StateCache& cache, const AuthorityLease& authority)
       : cache_(cache), authority_(authority) {}
 
-  // The owner of the machine; null if there is no view yet or it has no members. The pointer holds
-  // until the view in the cache changes.
+  // Returns the owner of the machine; null if there is no view yet or it has no members. The
+  // pointer is valid until the view in the cache changes.
   const protocol::ControllerIncarnation* owner(const base::MachineId& machine) const;
-  // Is this incarnation the owner? False if it has ended.
+  // Returns whether this incarnation owns the machine; false if the incarnation has ended.
   bool owns(const base::MachineId& machine) const;
 
-  // Installs the view in the cache. Nothing happens if it is installed already, or if the watch has
-  // not yet brought all that was committed before it: a new owner needs that.
+  // Installs the view in the cache. Does nothing and returns none if it is already installed, or if
+  // the watch has not yet delivered everything committed before it, which a new owner needs.
   std::optional<ViewInstallation> install_view(base::Time now);
 
-  // The version of the installed view; 0: none.
+  // Returns the version of the installed view; 0 if none is installed.
   const base::Version& installed_view() const { return installed_view_; }
   const base::Time& view_installed_at() const { return view_installed_at_; }
   const base::FencingToken& base_fencing_token() const { return base_fencing_token_; }
-  // Since when the installed view has given the machine to the member that it names for it by an
-  // ownership override; none if it has no override.
+  // Returns since when an ownership override has assigned the machine to its current member, by the
+  // installed views; none if the machine has no override.
   std::optional<base::Time> overridden_since(const base::MachineId& machine) const;
 
  private:
@@ -60,8 +62,8 @@
   base::Time view_installed_at_{};
   base::FencingToken base_fencing_token_;
   std::map<base::MachineId, Override> overrides_;
-  // Owners by their index in the members of one view. Every round asks for every machine's owner,
-  // which stays the same until the view changes.
+  // The owner of each machine, as an index into the members of the view `owner_index_view_`. Every
+  // round looks up the owner of every machine, which is constant until the view changes.
   mutable std::unordered_map<base::MachineId, std::size_t> owner_index_;
   mutable base::Version owner_index_view_;
 };
--- a/src/coordination/membership/ownership_claims.h
+++ b/src/coordination/membership/ownership_claims.h
@@ -1,8 +1,9 @@
-// Machines of other controllers that come to this one because they can't reach their owner.
+// Claims to machines of other controllers that send heartbeats here because they cannot reach their
+// owner.
 //
-// A machine that gets no answer from its owner tries the other controllers, each of which redirects it
-// to the owner. One that comes back again and again is claimed: the leader then gives it to this
-// controller by an ownership override.
+// A machine that gets no response from its owner tries the other controllers, each of which
+// redirects it to the owner. If it keeps coming back, this controller claims it, and the leader
+// assigns it to this controller by an ownership override.
 //
 // Holds state only; takes the time as an argument. Not safe for use from several threads at once.
 #pragma once
@@ -15,9 +16,10 @@
 
 namespace saddleslip::coordination {
 
-// A peer's status that is older says nothing of what the peer receives now.
-inline constexpr base::Seconds kPeerStatusFresh{2.5};
+// A peer's status that is older than this does not show what the peer receives now.
+inline constexpr base::Seconds kPeerStatusMaxAge{2.5};
 
+// Tracks redirected heartbeats and decides which machines this controller claims.
 class OwnershipClaims {
  public:
   // All of these must outlive this object.
@@ -25,13 +27,14 @@
                   const PeerRegistry& peers)
       : settings_(settings), ownership_(ownership), peers_(peers) {}
 
-  // The machine reported here and was redirected to its owner.
-  void record_misdirected(const base::MachineId& machine,
+  // Records that the machine sent a heartbeat here and was redirected to its owner.
+  void record_redirection(const base::MachineId& machine,
                           const protocol::ControllerIncarnation& owner, base::Time now);
-  // The machines that were redirected lately.
+  // Returns the machines that were redirected recently.
   std::vector<base::MachineId> misdirected(base::Time now) const;
 
-  // The machines that this controller claims. Forgets old redirections; without authority, all.
+  // Returns the machines that this controller claims; none without authority. Also drops expired
+  // redirections, and all of them without authority.
   std::vector<base::MachineId> claims(bool has_authority, base::Time now);
 
  private:
@@ -42,11 +45,11 @@
     int count = 0;
   };
 
-  bool is_claimed(const base::MachineId& machine, const Redirections& redirections,
-                  base::Time now) const;
-  bool was_moved_lately(const base::MachineId& machine, base::Time now) const;
-  // The owner's status, if it is fresh.
-  const Peer* fresh_status(const protocol::ControllerIncarnation& owner, base::Time now) const;
+  bool should_claim(const base::MachineId& machine, const Redirections& redirections,
+                    base::Time now) const;
+  bool was_recently_moved(const base::MachineId& machine, base::Time now) const;
+  // Returns the owner's latest status if it is recent, otherwise null.
+  const Peer* recent_status(const protocol::ControllerIncarnation& owner, base::Time now) const;
 
   const base::Settings& settings_;
   const Ownership& ownership_;
--- a/src/coordination/membership/ownership_transfers.cpp
+++ b/src/coordination/membership/ownership_transfers.cpp
@@ -18,9 +18,10 @@
     return {};
   }
   if (!pending_since_) pending_since_ = now;
-  const base::Seconds collected_for = in_.settings.heartbeat_interval * 0.5 + base::Seconds(1.0);
-  const bool is_complete = !in_.cache.ownership_claims().empty() || has_failovers;
-  if (!is_complete && base::between(*pending_since_, now) < collected_for) return {};
+  const base::Seconds collection_time =
+      inputs_.settings.heartbeat_interval * 0.5 + base::Seconds(1.0);
+  const bool is_complete = !inputs_.cache.ownership_claims().empty() || has_failovers;
+  if (!is_complete && base::between(*pending_since_, now) < collection_time) return {};
   pending_since_.reset();
   spdlog::info("machines can't reach their owners, moved to other members: count={}",
                transfers.size());
@@ -30,19 +31,19 @@
 OwnershipTransfers::NewOwners OwnershipTransfers::claims(
     const MemberReport& own, const std::function<bool(const base::MachineId&)>& is_released,
     base::Time now) const {
-  NewOwners all = in_.cache.ownership_claims();
-  const auto& view = in_.cache.view();
+  NewOwners all = inputs_.cache.ownership_claims();
+  const auto& view = inputs_.cache.view();
   if (!view) return all;
   const auto add = [&](const ControllerIncarnation& member,
                        const std::vector<base::MachineId>& machines) {
     for (const base::MachineId& machine : machines) {
-      const ControllerIncarnation* owner = in_.ownership.owner(machine);
+      const ControllerIncarnation* owner = inputs_.ownership.owner(machine);
       if (owner && *owner != member && !is_released(machine)) all.try_emplace(machine, member);
     }
   };
-  add(in_.authority.self(), own.claims);
-  for (const auto& [id, peer] : in_.peers) {
-    if (has_member(*view, peer.from) && is_fresh(peer, now)) add(peer.from, peer.ownership_claims);
+  add(inputs_.authority.self(), own.claims);
+  for (const auto& [id, peer] : inputs_.peers) {
+    if (has_member(*view, peer.from) && is_recent(peer, now)) add(peer.from, peer.ownership_claims);
   }
   return all;
 }
@@ -50,54 +51,55 @@
 bool OwnershipTransfers::add_failovers(
     const MemberReport& own, const std::function<bool(const base::MachineId&)>& is_released,
     base::Time now, NewOwners& transfers) const {
-  if (!in_.cache.view()) return false;
-  View successors;  // the members that may take over
+  if (!inputs_.cache.view()) return false;
+  View successors;  // the members that may take over machines
   std::vector<ControllerIncarnation> lost;
-  for (const ControllerIncarnation& member : in_.cache.view()->members) {
+  for (const ControllerIncarnation& member : inputs_.cache.view()->members) {
     const WorkerContact contact = contact_of(member, own, now);
     if (contact == WorkerContact::kGood) successors.members.push_back(member);
     if (contact == WorkerContact::kLost) lost.push_back(member);
   }
   if (successors.members.empty()) return false;
-  bool is_any_added = false;
+  bool any_added = false;
   for (const ControllerIncarnation& member : lost) {
     for (const base::MachineId& machine : silent_machines_of(member, own)) {
       if (is_released(machine)) continue;
       const bool is_added = transfers.try_emplace(machine, *owner_of(successors, machine)).second;
-      is_any_added = is_any_added || is_added;
+      any_added = any_added || is_added;
     }
   }
-  return is_any_added;
+  return any_added;
 }
 
 WorkerContact OwnershipTransfers::contact_of(const ControllerIncarnation& member,
                                              const MemberReport& own, base::Time now) const {
-  if (member == in_.authority.self()) return own.contact;
-  const auto peer = in_.peers.find(member.member);
+  if (member == inputs_.authority.self()) return own.contact;
+  const auto peer = inputs_.peers.find(member.member);
   const bool is_known =
-      peer != in_.peers.end() && peer->second.from == member && is_fresh(peer->second, now);
+      peer != inputs_.peers.end() && peer->second.from == member && is_recent(peer->second, now);
   return is_known ? peer->second.contact : WorkerContact::kUnknown;
 }
 
-// The member must be this one, or a peer that is known.
+// Returns the member's machines whose heartbeats are overdue or never arrived. The member must be
+// this one or a known peer.
 std::vector<base::MachineId> OwnershipTransfers::silent_machines_of(
     const ControllerIncarnation& member, const MemberReport& own) const {
-  if (member == in_.authority.self()) return own.silent;
-  const Peer& peer = in_.peers.at(member.member);
+  if (member == inputs_.authority.self()) return own.silent;
+  const Peer& peer = inputs_.peers.at(member.member);
   std::vector<base::MachineId> silent;
   for (const auto& [machine, status] : peer.machines) {
     if (status.late) silent.push_back(machine);
   }
-  // Machines with tasks on record that have never reported to it.
-  for (const auto& [machine, assignments] : in_.cache.assigned()) {
-    const ControllerIncarnation* owner = in_.ownership.owner(machine);
+  // Machines that have recorded assignments but have never sent a heartbeat to the member.
+  for (const auto& [machine, assignments] : inputs_.cache.assigned()) {
+    const ControllerIncarnation* owner = inputs_.ownership.owner(machine);
     if (owner && *owner == member && !peer.machines.contains(machine)) silent.push_back(machine);
   }
   return silent;
 }
 
-bool OwnershipTransfers::is_fresh(const Peer& peer, base::Time now) const {
-  return base::between(peer.last_heartbeat_at, now) < kPeerStatusFresh;
+bool OwnershipTransfers::is_recent(const Peer& peer, base::Time now) const {
+  return base::between(peer.last_heartbeat_at, now) < kPeerStatusMaxAge;
 }
 
 }  // namespace saddleslip::coordination
--- a/src/coordination/membership/ownership_transfers.h
+++ b/src/coordination/membership/ownership_transfers.h
@@ -1,7 +1,8 @@
-// For the leader: which machines the next view gives to other members, because they can't reach their
-// owners.
+// Decides, on the leader, which machines the next view assigns to other members because they cannot
+// reach their owners.
 //
-// Holds state only; takes the time as an argument. Not safe for use from several threads at once.
+// Holds state only; calls take the time as an argument. Not safe for use from several threads at
+// once.
 #pragma once
 
 #include <functional>
@@ -14,18 +15,20 @@
 
 namespace saddleslip::coordination {
 
-// What a member says of itself, as far as transfers depend on it.
+// The leader's own claims and contact with its workers. For other members, the same data comes from
+// their status messages.
 struct MemberReport {
-  std::vector<base::MachineId> claims;  // machines of others that it claims
+  std::vector<base::MachineId> claims;  // machines of other members that it claims
   protocol::WorkerContact contact = protocol::WorkerContact::kUnknown;
-  std::vector<base::MachineId> silent;  // machines of its own that it does not hear
+  std::vector<base::MachineId> silent;  // its own machines whose heartbeats are overdue
 };
 
+// Collects claims and lost contacts, and decides when to transfer machines to new owners.
 class OwnershipTransfers {
  public:
   using NewOwners = std::map<base::MachineId, protocol::ControllerIncarnation>;
 
-  // What transfers are decided by; all of it must outlive this object.
+  // The data that the decisions use; all of it must outlive this object.
   struct Inputs {
     const base::Settings& settings;
     const storage::StateCache& cache;
@@ -33,21 +36,22 @@
     const Ownership& ownership;
     const PeerRegistry& peers;
   };
-  explicit OwnershipTransfers(const Inputs& inputs) : in_(inputs) {}
+  explicit OwnershipTransfers(const Inputs& inputs) : inputs_(inputs) {}
 
-  // The transfers that are due, `own` being the report of this member. Each new view fences all
-  // commands that are under way, so claims are collected for a moment before any is followed: a
-  // member that loses its workers loses all of them. Claims on record and members that have lost
-  // contact are not waited for.
+  // Returns the transfers that are due; `own` is the report of this member. Each new view fences
+  // all commands in flight, and a member that loses contact loses it to all its workers. So claims
+  // are collected for a moment and then applied in one view. Transfers are due at once if there are
+  // stored claims or if a member has reported that it lost contact.
   NewOwners due(const MemberReport& own,
                 const std::function<bool(const base::MachineId&)>& is_released, base::Time now);
 
  private:
-  // The claims of all members, on record or reported.
+  // Returns the claims of all members, stored or reported.
   NewOwners claims(const MemberReport& own,
                    const std::function<bool(const base::MachineId&)>& is_released,
                    base::Time now) const;
-  // Adds the silent machines of members that have lost contact with their workers. False: none.
+  // Adds the silent machines of members that have lost contact with their workers, and assigns them
+  // to members with good contact. Returns whether any were added.
   bool add_failovers(const MemberReport& own,
                      const std::function<bool(const base::MachineId&)>& is_released, base::Time now,
                      NewOwners& transfers) const;
@@ -57,8 +61,8 @@
                                                   const MemberReport& own) const;
   bool is_fresh(const Peer& peer, base::Time now) const;
 
-  Inputs in_;
-  std::optional<base::Time> pending_since_;  // since when there are transfers that no view follows
+  Inputs inputs_;
+  std::optional<base::Time> pending_since_;  // since when transfers wait to become due
 };
 
 }  // namespace saddleslip::coordination
--- a/src/coordination/membership/pause_detector.cpp
+++ b/src/coordination/membership/pause_detector.cpp
@@ -12,13 +12,13 @@
 
 }  // namespace
 
-void PauseDetector::record_running(base::Time now) {
-  const base::Seconds gap = base::between(last_running_at_, now);
-  if (last_running_at_ != base::Time{} && gap > kMinPause) {
+void PauseDetector::record_activity(base::Time now) {
+  const base::Seconds gap = base::between(last_activity_at_, now);
+  if (last_activity_at_ != base::Time{} && gap > kMinPause) {
     spdlog::warn("process was paused: seconds={:.1f}", gap.count());
     resumed_at_ = now;
   }
-  last_running_at_ = std::max(last_running_at_, now);
+  last_activity_at_ = std::max(last_activity_at_, now);
 }
 
 }  // namespace saddleslip::coordination
--- a/src/coordination/membership/peer_contact.h
+++ b/src/coordination/membership/peer_contact.h
@@ -1,6 +1,7 @@
-// Which other members this process can reach by calls of its own.
+// Which other members answer the calls of this process.
 //
-// Holds state only; takes the time as an argument. Not safe for use from several threads at once.
+// Holds state only; calls take the time as an argument. Not safe for use from several threads at
+// once.
 #pragma once
 
 #include <map>
@@ -9,19 +10,21 @@
 
 namespace saddleslip::coordination {
 
-// A member that no call has reached for this long counts as unreachable.
+// A member that has answered no call for this long counts as unreachable.
 inline constexpr base::Seconds kPeerContactTimeout{4.0};
 
+// Records when each member was last reached and when it joined.
 class PeerContact {
  public:
-  // A call to the member was answered.
+  // Records that the member answered a call.
   void record_reached(const base::MemberId& member, base::Time now);
-  // To be called when the members' records change: notes who is new and forgets who left.
+  // Adds new members and drops those that left. Must be called when the member records change.
   void update_members(const std::map<base::MemberId, protocol::Member>& members, base::Time now);
 
+  // Returns whether the member was reached within kPeerContactTimeout.
   bool is_reachable(const base::MemberId& member, base::Time now) const;
-  // Not reached for too long, though it has been a member for as long: one that has just come is
-  // given the time to be reached.
+  // Returns whether the member was not reached for longer than kPeerContactTimeout and joined
+  // before that. A new member is not lost until it has had that time to be reached.
   bool is_lost(const base::MemberId& member, base::Time now) const;
 
  private:
--- a/src/coordination/membership/reachability.cpp
+++ b/src/coordination/membership/reachability.cpp
@@ -1,13 +1,15 @@
-// Which machines can't reach their owners, as this controller sees it.
+// The parts of Controller that find machines which cannot reach their owners.
 #include "coordination/controller.h"
 
 namespace saddleslip::coordination {
 
 namespace {
 
-constexpr double kOverdueIntervals = 2.0;  // heartbeat intervals without a heartbeat
-// Machines whose controller does not answer need this long, and a heartbeat interval, to find the next.
-constexpr Seconds kWorkerRetry{6.0};
+// A heartbeat is overdue after this many heartbeat intervals.
+constexpr double kOverdueIntervals = 2.0;
+// A machine whose controller does not respond needs a heartbeat interval and this time to find its
+// new owner.
+constexpr Seconds kWorkerFailoverTime{6.0};
 
 }  // namespace
 
@@ -16,7 +18,7 @@
 }
 
 std::optional<Transaction> Controller::propose_ownership_claims(Time now) {
-  if (!proposals_.needs_claims_on_record(now)) return {};
+  if (!proposals_.needs_stored_claims(now)) return {};
   return proposals_.propose_claims(ownership_claims(now), ownership_.installed_view());
 }
 
@@ -24,25 +26,25 @@
   return contact_monitor_.contact(count_overdue(now), has_authority(now), now);
 }
 
-MachineCensus Controller::count_overdue(Time now) const {
-  MachineCensus census;
-  census.owned = machines_.size();
+OverdueCounts Controller::count_overdue(Time now) const {
+  OverdueCounts counts;
+  counts.owned = machines_.size();
   for (const auto& [id, m] : machines_) {
-    if (is_overdue(m, now)) ++census.overdue;
+    if (is_overdue(m, now)) ++counts.overdue;
   }
   for (const auto& [id, since] : owned_since_) {
     if (machines_.contains(id) || released_.contains(id) || cache_.assignments_on(id).empty())
       continue;
-    ++census.owned;
-    const Seconds missed = base::between(std::max(since, listening_since()), now);
-    if (missed > settings_.heartbeat_interval + kWorkerRetry) ++census.overdue;
+    ++counts.owned;
+    const Seconds silence = base::between(std::max(since, listening_since()), now);
+    if (silence > settings_.heartbeat_interval + kWorkerFailoverTime) ++counts.overdue;
   }
-  return census;
+  return counts;
 }
 
 bool Controller::is_overdue(const Machine& m, Time now) const {
-  const Time last_heard_at = std::max(m.last_heartbeat_at, listening_since());
-  return base::between(last_heard_at, now) > settings_.heartbeat_interval * kOverdueIntervals;
+  const Time last_contact_at = std::max(m.last_heartbeat_at, listening_since());
+  return base::between(last_contact_at, now) > settings_.heartbeat_interval * kOverdueIntervals;
 }
 
 std::vector<MachineId> Controller::silent_machines(Time now) const {
--- a/src/coordination/membership/view.cpp
+++ b/src/coordination/membership/view.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// FNV-1a, with a finisher that spreads the last bytes over the whole value. All controllers must agree
-// on it: it must never change.
+// Hashes two strings with FNV-1a, then mixes the bits so that the last bytes affect the whole
+// value. The function must never change, since all controllers must compute the same owners.
 std::uint64_t hash(const std::string& a, const std::string& b) {
   std::uint64_t h = 1469598103934665603ull;
   const auto mix = [&h](const std::string& s) {
@@ -28,7 +28,7 @@
   return h;
 }
 
-// The member with the highest hash together with the name.
+// Returns the member whose hash together with `name` is the highest; null if there are no members.
 const ControllerIncarnation* highest_ranked(const View& view, const std::string& name) {
   const ControllerIncarnation* best = nullptr;
   std::uint64_t best_rank = 0;
@@ -42,9 +42,9 @@
   return best;
 }
 
-// Estimates of the size of a stored view, for keeping within the size of a value.
+// Estimates of the encoded size of a view, which must fit into one value of the state service.
 constexpr std::size_t kBytesPerMember = 100;
-constexpr std::size_t kBytesPerOverride = 3;  // besides the machine's id
+constexpr std::size_t kBytesPerOverride = 3;  // in addition to the machine's id
 
 }  // namespace
 
@@ -62,7 +62,7 @@
 }
 
 std::optional<View> next_view(const std::map<MemberId, protocol::Member>& members,
-                              const std::optional<View>& present,
+                              const std::optional<View>& current,
                               const std::set<MemberId>& excluded,
                               const std::map<MachineId, ControllerIncarnation>& claims,
                               const std::function<bool(const MachineId&)>& is_released,
@@ -77,23 +77,24 @@
   };
   std::size_t bytes = kBytesPerMember * (next.members.size() + 1);
   const auto add_override = [&](const MachineId& machine, const MemberId& member) {
-    const std::size_t more = machine.get().size() + kBytesPerOverride;
-    if (bytes + more > max_bytes || is_released(machine)) return;
-    if (next.overrides.emplace(machine, member).second) bytes += more;
+    const std::size_t entry_bytes = machine.get().size() + kBytesPerOverride;
+    if (bytes + entry_bytes > max_bytes || is_released(machine)) return;
+    if (next.overrides.emplace(machine, member).second) bytes += entry_bytes;
   };
   for (const auto& [machine, incarnation] : claims) {
     if (has_member(next, incarnation)) add_override(machine, incarnation.member);
   }
-  if (present) {
-    for (const auto& [machine, member] : present->overrides) {
+  if (current) {
+    for (const auto& [machine, member] : current->overrides) {
       if (is_member(member)) add_override(machine, member);
     }
   }
   if (next.members.empty()) return {};
-  if (present) {
-    next.epoch = present->epoch;
-    // Released machines are no reason for a new view: they are dropped with the next one.
-    View without_released = *present;
+  if (current) {
+    next.epoch = current->epoch;
+    // Overrides of released machines alone do not cause a new view: they are dropped with the next
+    // one.
+    View without_released = *current;
     std::erase_if(without_released.overrides,
                   [&](const auto& entry) { return is_released(entry.first); });
     if (next == without_released) return {};
--- a/src/coordination/membership/view.h
+++ b/src/coordination/membership/view.h
@@ -1,5 +1,5 @@
-// The membership view: which member owns a machine, which one is a job's home, and which view comes
-// next. Functions without state.
+// Functions on the membership view: the owner of a machine, the home of a job, and the next view.
+// They have no state.
 #pragma once
 
 #include <functional>
@@ -19,31 +19,33 @@
 using protocol::ControllerIncarnation;
 using protocol::View;
 
-// The job's home: the member that routes its tasks and finalizes it; null if the view has no members.
-// By rendezvous hash: a change of the members moves only what belongs to those who came or went.
+// Returns the job's home, the member that routes its tasks and finalizes it; null if the view has
+// no members. Chosen by rendezvous hashing, so that a change of members moves only the jobs of the
+// members that joined or left.
 const ControllerIncarnation* home_of(const View& view, const JobId& job);
-// The member that owns the machine: the one that an ownership override names, otherwise by rendezvous
-// hash. Null if the view has no members.
+// Returns the member that owns the machine: the one named by an ownership override, otherwise the
+// one chosen by rendezvous hashing. Null if the view has no members.
 const ControllerIncarnation* owner_of(const View& view, const MachineId& machine);
 
-// The first fencing token of an epoch. Above it there is room for a token for each command batch.
-inline constexpr int kEpochBits = 24;
+// The number of low bits of a fencing token that count the command batches within one epoch.
+inline constexpr int kTokenBitsPerEpoch = 24;
+// Returns the lowest fencing token of an epoch.
 inline FencingToken first_fencing_token(Epoch epoch) {
-  return FencingToken(epoch.get() << kEpochBits);
+  return FencingToken(epoch.get() << kTokenBitsPerEpoch);
 }
 
-// The view that follows from the members' records, or none if `present` is as it should be. Excluded
-// members are left out. Claims by members become ownership overrides, ahead of those of the present
-// view; overrides of released machines are dropped, and so are those that don't fit into a value of
-// `max_bytes`.
+// Returns the view that the member records lead to; none if `current` needs no change. Excluded
+// members are left out. Claims by members become ownership overrides and take precedence over those
+// of the current view. Overrides of released machines are dropped, and so are those that do not fit
+// into a value of `max_bytes`.
 std::optional<View> next_view(const std::map<MemberId, protocol::Member>& members,
-                              const std::optional<View>& present,
+                              const std::optional<View>& current,
                               const std::set<MemberId>& excluded,
                               const std::map<MachineId, ControllerIncarnation>& claims,
                               const std::function<bool(const MachineId&)>& is_released,
                               std::size_t max_bytes);
 
-// Is this incarnation, not just its member, in the view?
+// Returns whether the view contains this incarnation, not just its member.
 bool has_member(const View& view, const ControllerIncarnation& incarnation);
 
 }  // namespace saddleslip::coordination
--- a/tests/membership_proposals_test.cpp
+++ b/tests/membership_proposals_test.cpp
@@ -190,13 +190,13 @@
 }
 
 TEST_F(MembershipProposalsTest, ClaimsGoOnRecordOnlyWhileTheLeaderIsOutOfReach) {
-  EXPECT_FALSE(proposals_.needs_claims_on_record(at(1)));  // no leader
+  EXPECT_FALSE(proposals_.needs_stored_claims(at(1)));  // no leader
   store_leader(other_);
-  EXPECT_TRUE(proposals_.needs_claims_on_record(at(1)));
+  EXPECT_TRUE(proposals_.needs_stored_claims(at(1)));
   contact_.record_reached(other_.member, at(1));
-  EXPECT_FALSE(proposals_.needs_claims_on_record(at(2)));
+  EXPECT_FALSE(proposals_.needs_stored_claims(at(2)));
   store_leader(self_);
-  EXPECT_FALSE(proposals_.needs_claims_on_record(at(10)));
+  EXPECT_FALSE(proposals_.needs_stored_claims(at(10)));
 }
 
 TEST_F(MembershipProposalsTest, ClaimThatIsOnRecordIsNotProposedAgain) {
--- a/tests/ownership_claims_test.cpp
+++ b/tests/ownership_claims_test.cpp
@@ -29,7 +29,7 @@
     status.machines = {machine};
     ASSERT_TRUE(peers_.update(status, at(seconds)));
   }
-  void redirect(double seconds) { claims_.record_misdirected(machine_, other_, at(seconds)); }
+  void redirect(double seconds) { claims_.record_redirection(machine_, other_, at(seconds)); }
   bool is_claimed(double seconds) { return !claims_.claims(true, at(seconds)).empty(); }
   // Times are counted from when the override has been in place for long enough.
   base::Time at(double seconds) const { return base::after(start_, base::Seconds(100 + seconds)); }
@@ -72,8 +72,8 @@
 
 TEST_F(OwnershipClaimsTest, RedirectionToAnEarlierIncarnationDoesNotCount) {
   const ControllerIncarnation earlier{other_.member, base::Incarnation(5)};
-  claims_.record_misdirected(machine_, earlier, at(0));
-  claims_.record_misdirected(machine_, earlier, at(2));
+  claims_.record_redirection(machine_, earlier, at(0));
+  claims_.record_redirection(machine_, earlier, at(2));
   report_status(true, 3);
   EXPECT_FALSE(is_claimed(3.5));
 }
--- a/tests/pause_detector_test.cpp
+++ b/tests/pause_detector_test.cpp
@@ -15,24 +15,24 @@
 
 TEST(PauseDetector, ShortGapIsNoPause) {
   PauseDetector detector;
-  detector.record_running(at(0));
-  detector.record_running(at(2.4));
+  detector.record_activity(at(0));
+  detector.record_activity(at(2.4));
   EXPECT_EQ(base::Time{}, detector.resumed_at());
 }
 
 TEST(PauseDetector, LongGapIsAPauseThatEndsNow) {
   PauseDetector detector;
-  detector.record_running(at(0));
-  detector.record_running(at(3));
-  detector.record_running(at(4));
+  detector.record_activity(at(0));
+  detector.record_activity(at(3));
+  detector.record_activity(at(4));
   EXPECT_EQ(at(3), detector.resumed_at());
 }
 
 TEST(PauseDetector, EarlierTimeDoesNotMakeAPause) {
   PauseDetector detector;
-  detector.record_running(at(2));
-  detector.record_running(at(0));
-  detector.record_running(at(4));
+  detector.record_activity(at(2));
+  detector.record_activity(at(0));
+  detector.record_activity(at(4));
   EXPECT_EQ(base::Time{}, detector.resumed_at());
 }
 
--- a/tests/worker_contact_monitor_test.cpp
+++ b/tests/worker_contact_monitor_test.cpp
@@ -10,12 +10,12 @@
 class WorkerContactMonitorTest : public ::testing::Test {
  protected:
   // A round with authority.
-  void round(const MachineCensus& census, double seconds) {
+  void round(const OverdueCounts& counts, double seconds) {
     monitor_.update_authority(true, at(seconds));
-    monitor_.update_census(census, at(seconds));
+    monitor_.update_counts(counts, at(seconds));
   }
-  WorkerContact contact(const MachineCensus& census, double seconds) const {
-    return monitor_.contact(census, true, at(seconds));
+  WorkerContact contact(const OverdueCounts& counts, double seconds) const {
+    return monitor_.contact(counts, true, at(seconds));
   }
   base::Time at(double seconds) const {
     return base::after(base::Time(std::chrono::seconds(1000)), base::Seconds(seconds));
@@ -65,8 +65,8 @@
   monitor_.update_authority(true, at(1));
   monitor_.update_authority(true, at(2));
   EXPECT_EQ(at(1), monitor_.listening_since());
-  pauses_.record_running(at(2));
-  pauses_.record_running(at(10));
+  pauses_.record_activity(at(2));
+  pauses_.record_activity(at(10));
   EXPECT_EQ(at(10), monitor_.listening_since());
 }
 
