--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -83,7 +83,7 @@
   if (!has_authority(now)) return {503, protocol::error_body("not entitled to act now")};
   if (released_.contains(heartbeat.machine)) return {503, protocol::error_body("released")};
   record_heartbeat(heartbeat, HeartbeatSource::kAgent, now);
-  auto response = machines_.respond(heartbeat, now);
+  auto response = machines_.response_to(heartbeat, now);
   if (!response) return {503, protocol::error_body("an old report")};
   return {200, std::move(*response)};
 }
@@ -96,7 +96,7 @@
 
 void Controller::record_heartbeat(const Heartbeat& heartbeat, HeartbeatSource source, Time now) {
   const Machine* machine = machines_.record_heartbeat(heartbeat, source, now);
-  if (machine && source == HeartbeatSource::kAgent) attempts_.note_heartbeat(*machine);
+  if (machine && source == HeartbeatSource::kAgent) attempts_.mark_never_started(*machine);
 }
 
 bool Controller::drop_stale_commands(CommandBatch& batch, Time now) const {
@@ -145,7 +145,7 @@
   MemberStatus report;
   report.from = self_;
   report.has_state = has_lease(now);
-  machines_.add_changes(peer, now, report);
+  machines_.add_status_changes(peer, now, report);
   report.release_requested = release_requests();
   report.misdirected = misdirected(now);
   report.contact = worker_contact(now);
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -119,8 +119,8 @@
   const StateCache& cache() const { return cache_; }
 
   // --- membership
-  // Starts a new incarnation of this controller; it has no authority yet. This function and those down
-  // to has_lease() forward to AuthorityLease, which documents them.
+  // Starts a new incarnation of this controller; it has no authority yet. This function and those
+  // down to has_lease() forward to AuthorityLease, which documents them.
   void begin_incarnation(ControllerIncarnation incarnation, Time now) {
     authority_.begin_incarnation(std::move(incarnation), now);
   }
@@ -211,7 +211,8 @@
   std::optional<Transaction> collect_garbage();
 
   // --- peers
-  // Returns this member's status for a peer: the changes since the revision that the peer acknowledged.
+  // Returns this member's status for a peer: the changes since the revision that the peer
+  // acknowledged.
   MemberStatus status(const MemberId& peer, Time now);
   // Applies a peer's status and returns the instructions to send in reply.
   MemberInstructions handle_peer_status(const MemberStatus& status, Time now);
@@ -222,11 +223,11 @@
   // Records that a call to the member was answered.
   void peer_reached(const MemberId& member, Time now) { peer_contact_.record_reached(member, now); }
   // Returns whether a peer reported a few seconds ago that it holds a lease in the state service.
-  bool peers_have_state(Time now) const { return peers_.any_has_state(now); }
+  bool peers_have_state(Time now) const { return peers_.any_has_lease(now); }
 
   // --- fleet, for the leader
-  // Returns the leader's scaling actions; none if this process is not the leader. Drains and cordons of
-  // this member's own machines are carried out before it returns.
+  // Returns the leader's scaling actions; none if this process is not the leader. Drains and
+  // cordons of this member's own machines are carried out before it returns.
   ScalingActions plan_scaling(Time now, double wall_now);
   // Handles the cloud's list of rented machines.
   void listed(const std::vector<protocol::CloudMachine>& machines, Time now, double wall_now);
--- a/src/coordination/machines/attempt_tracker.cpp
+++ b/src/coordination/machines/attempt_tracker.cpp
@@ -4,15 +4,16 @@
 
 namespace {
 
-constexpr base::Seconds kKillRepeat{2.0};
+constexpr base::Seconds kKillRetryInterval{2.0};
 
 }  // namespace
 
-// A start that the agent hasn't heard of can't reach it any more once the machine is fenced: every
-// response that carried it was taken or dropped before this heartbeat was sent, and command batches are
-// fenced by their token. Nor is it sent again, since the task is not wanted, or was evicted before it
-// began. Unmarked, the latter would stay assigned to a machine that has never heard of it.
-void AttemptTracker::note_heartbeat(const storage::Machine& machine) {
+// Once the machine is fenced, a start command that the agent has not received can no longer reach
+// it: every heartbeat response that carried the command was received or dropped before this
+// heartbeat was sent, and command batches are fenced by their token. The start is not sent again
+// either, because the job is cancelled or the task is evicted. An evicted attempt that was not
+// marked here would stay assigned to a machine whose agent never reports it.
+void AttemptTracker::mark_never_started(const storage::Machine& machine) {
   if (!machine.is_fenced()) return;
   const protocol::Heartbeat& heartbeat = machine.last_heartbeat;
   for (const auto& [task, assignment] : cache_.assignments_on(heartbeat.machine)) {
@@ -36,8 +37,9 @@
 }
 
 void AttemptTracker::expire_kills(base::Time now) {
-  std::erase_if(kill_sent_at_,
-                [&](const auto& entry) { return base::between(entry.second, now) > kKillRepeat; });
+  std::erase_if(kill_sent_at_, [&](const auto& entry) {
+    return base::between(entry.second, now) > kKillRetryInterval;
+  });
 }
 
 base::Time AttemptTracker::note_completion(const base::TaskId& task, base::Time now) {
--- a/src/coordination/machines/capacity_calculator.cpp
+++ b/src/coordination/machines/capacity_calculator.cpp
@@ -52,7 +52,7 @@
     if (!job) continue;
     const auto& spec = job->record.spec;
     if (assignment.agent_incarnation < machine.last_heartbeat.agent_incarnation) {
-      capacity.ended_attempts.push_back({task, "worker began a new session", false});
+      capacity.ended_attempts.push_back({task, "agent restarted", false});
       continue;
     }
     const auto* reported = machine.reported_attempt(task, assignment);
@@ -92,7 +92,7 @@
     }
   }
   for (double& amount : capacity.free.v) amount = std::max(amount, 0.0);
-  // It is being stopped, and nobody knows how much it takes.
+  // The attempt is being stopped, and its request is unknown because its job is.
   if (runs_unknown_job) capacity.free = {};
 }
 
--- a/src/coordination/machines/capacity_calculator.h
+++ b/src/coordination/machines/capacity_calculator.h
@@ -1,4 +1,4 @@
-// What machines can still take, by their heartbeats and by the records.
+// Computes the free capacity of machines from their heartbeats and from the recorded assignments.
 #pragma once
 
 #include "coordination/machines/attempt_tracker.h"
@@ -8,23 +8,25 @@
 
 namespace saddleslip::coordination {
 
-// Not safe for use from several threads at once: the result is kept in the machine.
+// Computes and caches the capacity of machines. Not safe for use from several threads at once,
+// since the result is cached in the machine.
 class CapacityCalculator {
  public:
   CapacityCalculator(const storage::StateCache& cache, const JobPriorities& priorities,
                      const AttemptTracker& attempts)
       : cache_(cache), priorities_(priorities), attempts_(attempts) {}
 
-  // Computed anew only when the machine's heartbeat, its assignments or its evictions have changed. The
-  // reference holds as long as the machine.
+  // Returns the machine's capacity, which is recomputed only if its last heartbeat, its assignments
+  // or its evictions have changed. The reference is valid as long as the machine.
   const storage::MachineCapacity& of(const storage::Machine& machine) const;
 
  private:
   bool is_current(const storage::Machine& machine) const;
   storage::MachineCapacity compute(const storage::Machine& machine) const;
-  // Takes what is assigned to the machine off its free capacity, and finds the attempts that are over.
+  // Subtracts the tasks assigned to the machine from its free capacity, and finds the ended
+  // attempts.
   void add_assignments(const storage::Machine& machine, storage::MachineCapacity& capacity) const;
-  // Takes the attempts that it reports, and that are not assigned to it, off its free capacity.
+  // Subtracts the attempts that the machine reports but that are not assigned to it.
   void add_unassigned_attempts(const storage::Machine& machine,
                                storage::MachineCapacity& capacity) const;
 
--- a/src/coordination/machines/commands_due.cpp
+++ b/src/coordination/machines/commands_due.cpp
@@ -15,16 +15,18 @@
 using storage::Machine;
 using storage::StateCache;
 
-constexpr Seconds kSaveMargin{1.0};  // beyond the time that the job asks for
+constexpr Seconds kCheckpointSaveMargin{1.0};  // added to the save time that the job requests
 
+// Returns whether the reported attempt is the one that is assigned for the task.
 bool is_assigned(const std::map<TaskId, Assignment>& assignments, const TaskId& task,
                  const ReportedAttempt& reported) {
   const auto at = assignments.find(task);
   return at != assignments.end() && at->second.attempt == reported.attempt;
 }
 
-// Attempts that are over are forgotten only once their end is on record and no copy of their start can
-// arrive any more: the agent would run them again.
+// Adds commands by which the agent removes ended attempts from its reports. An attempt may be
+// removed only once its end is recorded and no copy of its start command can still arrive: the
+// agent would run it again.
 void add_forgets(const Machine& machine, const std::map<TaskId, Assignment>& assignments,
                  std::vector<Command>& commands) {
   if (!machine.is_fenced()) return;
@@ -37,10 +39,12 @@
   }
 }
 
-bool has_heard_of(const Machine& machine, const TaskId& task, const Assignment& assignment) {
+// Returns whether the machine's last heartbeat contains the assigned attempt.
+bool has_reported(const Machine& machine, const TaskId& task, const Assignment& assignment) {
   return machine.reported_attempt(task, assignment) != nullptr;
 }
 
+// Adds start commands for the assigned attempts that the machine has not reported.
 void add_starts(const Machine& machine, const std::map<TaskId, Assignment>& assignments,
                 const StateCache& cache, std::vector<Command>& commands) {
   for (const auto& [task, assignment] : assignments) {
@@ -49,7 +53,7 @@
       continue;
     }
     const storage::Job* job = cache.job(task.job);
-    if (!job || job->cancelled() || has_heard_of(machine, task, assignment)) continue;
+    if (!job || job->cancelled() || has_reported(machine, task, assignment)) continue;
     commands.push_back({Command::Op::kRun, task, assignment.attempt, {}});
   }
 }
@@ -63,12 +67,12 @@
     const storage::Job* job = cache.job(task.job);
     for (const ReportedAttempt& reported : attempts) {
       if (reported.state == TaskState::kEnded) continue;
-      const bool job_wants_it =
-          job && !job->cancelled() && is_assigned(assignments, task, reported);
-      if (job_wants_it && !machine.evict.contains(task)) continue;
-      const bool saves = job_wants_it && job->record.spec.checkpoint.count() > 0;
-      if (saves && reported.state == TaskState::kSaving) continue;
-      const Seconds grace = saves ? job->record.spec.save + kSaveMargin : Seconds(0);
+      const bool is_wanted = job && !job->cancelled() && is_assigned(assignments, task, reported);
+      if (is_wanted && !machine.evict.contains(task)) continue;
+      const bool saves_checkpoint = is_wanted && job->record.spec.checkpoint.count() > 0;
+      if (saves_checkpoint && reported.state == TaskState::kSaving) continue;
+      const Seconds grace =
+          saves_checkpoint ? job->record.spec.save + kCheckpointSaveMargin : Seconds(0);
       kills.push_back({Command::Op::kKill, task, reported.attempt, grace});
     }
   }
--- a/src/coordination/machines/commands_due.h
+++ b/src/coordination/machines/commands_due.h
@@ -1,4 +1,4 @@
-// The commands that bring what a machine runs in line with the records of its assignments.
+// Derives the commands that make the attempts on a machine match its recorded assignments.
 #pragma once
 
 #include <vector>
@@ -9,13 +9,14 @@
 
 namespace saddleslip::coordination {
 
-// Kills for the attempts that the machine reports and is not to run. A task that was evicted is given
-// the time to save its checkpoint.
+// Returns kill commands for the attempts that the machine reports but must not run. An evicted task
+// that writes checkpoints is given time to save one.
 std::vector<protocol::Command> kills_due(const storage::Machine& machine,
                                          const storage::StateCache& cache);
 
-// All commands for the response to the machine's last heartbeat: kills, attempts to forget, and starts
-// that it has not heard of. `has_kills`: whether kills_due() names any, as the machine's capacity says.
+// Returns all commands for the response to the machine's last heartbeat: kills, removals of ended
+// attempts, and starts of assigned attempts that the machine has not reported. `has_kills`: whether
+// kills_due() returns any, which the caller has cached in the machine's capacity.
 std::vector<protocol::Command> commands_due(const storage::Machine& machine, bool has_kills,
                                             const storage::StateCache& cache);
 
--- a/src/coordination/machines/machine_registry.cpp
+++ b/src/coordination/machines/machine_registry.cpp
@@ -22,32 +22,37 @@
 using storage::Machine;
 using storage::MachineCapacity;
 
-constexpr Seconds kReleasedKept{600.0};
-// Agents report a new token at most this often, as a share of their lease.
-constexpr double kFencingTokenRenewal = 0.5;
-// Without a heartbeat for so many intervals a machine takes no tasks.
-constexpr double kRecentIntervals = 2.5;
-// A half-open machine goes from controller to controller, and comes by within this time.
-constexpr Seconds kHalfOpenRound{20.0};
-
-bool names_same_images(const MachineStatus& status, const Machine& machine) {
+// How long released machines are remembered, so that late heartbeats of theirs are ignored.
+constexpr Seconds kReleasedRetention{600.0};
+// A heartbeat response carries a new fencing token if the current one is older than this share of
+// the worker lease.
+constexpr double kTokenRenewalLeaseShare = 0.5;
+// A machine is not schedulable after this many heartbeat intervals without a heartbeat.
+constexpr double kRecentHeartbeatIntervals = 2.5;
+// A half-open machine tries the controllers in turn, and sends its next heartbeat here within this
+// time.
+constexpr Seconds kHalfOpenRetryPeriod{20.0};
+
+// Returns whether the status lists the machine's current images.
+bool lists_same_images(const MachineStatus& status, const Machine& machine) {
   return std::equal(status.images.begin(), status.images.end(), machine.images.begin(),
                     machine.images.end(),
                     [](const std::string& a, const auto& b) { return a == b.first; });
 }
 
-std::pair<AgentIncarnation, base::Sequence> heartbeat_number(const Machine& machine) {
+// Returns what identifies the machine's last heartbeat.
+std::pair<AgentIncarnation, base::Sequence> heartbeat_id(const Machine& machine) {
   return {machine.last_heartbeat.agent_incarnation, machine.last_heartbeat.sequence};
 }
 
 }  // namespace
 
-void MachineRegistry::install_view(const FencingBase& view,
+void MachineRegistry::install_view(const InstalledView& view,
                                    const std::function<bool(const MachineId&)>& owns) {
   view_ = view;
   std::erase_if(machines_, [&](const auto& entry) {
     if (owns(entry.first)) return false;
-    status_revisions_.machine_left(entry.first);
+    status_revisions_.record_departure(entry.first);
     return true;
   });
   const Time others_answered_until = base::after(view.installed_at, settings_.tuning.member_ttl);
@@ -83,9 +88,9 @@
   machine.last_heartbeat = heartbeat;
   if (is_from_agent || is_new) machine.last_heartbeat_at = now;
   machine.commands_lost = false;
-  note_notice(machine, now);
-  note_images(machine);
-  note_run_times(machine, now);
+  record_reclaim_notice(machine, now);
+  record_images(machine);
+  record_run_times(machine, now);
   if (is_busy(machine)) machine.idle_since = now;
   std::erase_if(machine.evict, [&](const TaskId& task) {
     return !cache_.assignments_on(heartbeat.machine).contains(task);
@@ -94,7 +99,7 @@
 }
 
 Machine& MachineRegistry::add_machine(const Heartbeat& heartbeat, Time now) {
-  status_revisions_.machine_joined(heartbeat.machine);
+  status_revisions_.record_arrival(heartbeat.machine);
   Machine& machine = machines_[heartbeat.machine];
   machine.idle_since = now;
   machine.start_fencing(view_.first_token);
@@ -106,16 +111,16 @@
   return machine;
 }
 
-void MachineRegistry::note_notice(Machine& machine, Time now) {
+void MachineRegistry::record_reclaim_notice(Machine& machine, Time now) {
   const auto& notice = machine.last_heartbeat.notice;
   if (!notice || machine.taken_at) return;
   machine.taken_at = base::after(now, *notice);
   machine.cordoned = true;
-  spdlog::info("the cloud will take the machine: machine={} in_s={:.1f}",
+  spdlog::info("cloud will reclaim the machine: machine={} in_s={:.1f}",
                machine.last_heartbeat.machine.get(), notice->count());
 }
 
-void MachineRegistry::note_images(Machine& machine) const {
+void MachineRegistry::record_images(Machine& machine) const {
   machine.pulling.clear();
   const auto* type = cache_.type(machine.last_heartbeat.type);
   if (!type) return;
@@ -134,7 +139,7 @@
   }
 }
 
-void MachineRegistry::note_run_times(Machine& machine, Time now) {
+void MachineRegistry::record_run_times(Machine& machine, Time now) {
   const Heartbeat& heartbeat = machine.last_heartbeat;
   std::map<TaskId, Time> running;
   for (const auto& [task, attempts] : heartbeat.tasks) {
@@ -144,7 +149,7 @@
       const bool has_just_begun = before == machine.ran.end();
       running[task] = has_just_begun ? now : before->second;
       if (has_just_begun) {
-        spdlog::debug("task runs: task={}/{} machine={}", task.job.get(), task.no,
+        spdlog::debug("task is running: task={}/{} machine={}", task.job.get(), task.no,
                       heartbeat.machine.get());
       }
     }
@@ -166,7 +171,7 @@
   });
 }
 
-std::optional<std::string> MachineRegistry::respond(const Heartbeat& heartbeat, Time now) {
+std::optional<std::string> MachineRegistry::response_to(const Heartbeat& heartbeat, Time now) {
   const auto at = machines_.find(heartbeat.machine);
   if (at == machines_.end()) return {};
   Machine& machine = at->second;
@@ -175,7 +180,8 @@
     return {};
   }
   machine.last_answered_at = now;
-  const auto token = machine.token_for_response(settings_.worker_lease * kFencingTokenRenewal, now);
+  const auto token =
+      machine.token_for_response(settings_.worker_lease * kTokenRenewalLeaseShare, now);
   const auto commands = commands_due(machine, capacity_.of(machine).stops, cache_);
   return protocol::heartbeat_response(token, commands);
 }
@@ -208,7 +214,7 @@
 
 bool MachineRegistry::mark_released(const MachineId& machine, Time now) {
   if (!released_.emplace(machine, now).second) return false;
-  if (machines_.erase(machine) > 0) status_revisions_.machine_left(machine);
+  if (machines_.erase(machine) > 0) status_revisions_.record_departure(machine);
   zones_.erase(machine);
   spdlog::info("machine released: machine={}", machine.get());
   return true;
@@ -216,7 +222,7 @@
 
 void MachineRegistry::expire_released(Time now) {
   std::erase_if(released_, [&](const auto& entry) {
-    return base::between(entry.second, now) > kReleasedKept &&
+    return base::between(entry.second, now) > kReleasedRetention &&
            !cache_.assigned().contains(entry.first);
   });
 }
@@ -232,24 +238,24 @@
 
 bool MachineRegistry::has_recent_heartbeat(const Machine& machine, Time now) const {
   return base::between(machine.last_heartbeat_at, now) <
-         settings_.heartbeat_interval * kRecentIntervals;
+         settings_.heartbeat_interval * kRecentHeartbeatIntervals;
 }
 
 MachineRegistry::Condition MachineRegistry::condition_of(const Machine& machine,
                                                          const MachineCapacity& capacity,
                                                          Time now) const {
   const Seconds since_heartbeat = base::between(machine.last_heartbeat_at, now);
-  Condition out;
-  out.silent = !is_schedulable(machine, now);
-  // No reason yet to leave the machine alone, but together with its misdirected heartbeats a sign that
-  // it can't reach this controller.
-  out.late = since_heartbeat > settings_.heartbeat_interval * storage::kOverdue;
-  out.soon = !machine.cordoned && !machine.is_confirmed() && !machine.is_half_open() &&
-             has_recent_heartbeat(machine, now);
-  out.unsure = machine.unacknowledged_replies > 0 && since_heartbeat < kHalfOpenRound;
-  out.open = !machine.cordoned && !out.silent;
-  out.idle_since = capacity.assigned > 0 ? Time{} : machine.idle_since;
-  return out;
+  Condition condition;
+  condition.silent = !is_schedulable(machine, now);
+  // A late heartbeat does not make the machine unschedulable yet. Together with heartbeats that
+  // arrive at other controllers it shows that the machine cannot reach this one.
+  condition.late = since_heartbeat > settings_.heartbeat_interval * storage::kOverdue;
+  condition.soon = !machine.cordoned && !machine.is_confirmed() && !machine.is_half_open() &&
+                   has_recent_heartbeat(machine, now);
+  condition.unsure = machine.unacknowledged_replies > 0 && since_heartbeat < kHalfOpenRetryPeriod;
+  condition.open = !machine.cordoned && !condition.silent;
+  condition.idle_since = capacity.assigned > 0 ? Time{} : machine.idle_since;
+  return condition;
 }
 
 bool MachineRegistry::is_status_current(const Machine& machine, const Condition& condition,
@@ -260,16 +266,15 @@
          status.unsure == condition.unsure && status.open == condition.open &&
          status.idle_since == condition.idle_since && status.tasks == capacity.assigned &&
          status.free == capacity.free && status.preemptible == capacity.preemptible &&
-         (machine.status_heartbeat == heartbeat_number(machine) ||
-          names_same_images(status, machine));
+         (machine.status_heartbeat == heartbeat_id(machine) || lists_same_images(status, machine));
 }
 
-// Copied only when something in it has changed: at hundreds of machines, copying all of it in each round
-// and for each peer took most of the processor time.
+// The status is rebuilt only when something in it has changed: with hundreds of machines, copying
+// it in each round and for each peer took most of the processor time.
 void MachineRegistry::update_status(Machine& machine, Time now) {
   const MachineCapacity& capacity = capacity_.of(machine);
   const Condition condition = condition_of(machine, capacity, now);
-  const auto heartbeat = heartbeat_number(machine);
+  const auto heartbeat = heartbeat_id(machine);
   if (is_status_current(machine, condition, capacity)) {
     machine.status_heartbeat = heartbeat;
     return;
@@ -299,16 +304,16 @@
   machine.status_changed_at = status_revisions_.advance();
 }
 
-void MachineRegistry::add_changes(const base::MemberId& peer, Time now,
-                                  protocol::MemberStatus& status) {
+void MachineRegistry::add_status_changes(const base::MemberId& peer, Time now,
+                                         protocol::MemberStatus& status) {
   status.since = status_revisions_.acknowledged(peer);
   for (auto& [id, machine] : machines_) {
     update_status(machine, now);
     if (machine.status_changed_at > status.since) status.machines.push_back(machine.status);
   }
-  status.left = status_revisions_.left_since(status.since);
+  status.left = status_revisions_.departed_since(status.since);
   status.upto = status_revisions_.current();
-  status_revisions_.forget_acknowledged(settings_.peers);
+  status_revisions_.prune_departed(settings_.peers);
 }
 
 }  // namespace saddleslip::coordination
--- a/src/coordination/machines/peer_registry.cpp
+++ b/src/coordination/machines/peer_registry.cpp
@@ -8,13 +8,15 @@
 
 using base::Seconds;
 
-constexpr Seconds kStateReportFresh{2.5};
-constexpr Seconds kCrashLoopReportFresh{5.0};
+constexpr Seconds kStateReportMaxAge{2.5};
+constexpr Seconds kCrashLoopReportMaxAge{5.0};
 
 }  // namespace
 
-// A delta may follow a status that was lost, or one that an earlier incarnation sent.
-bool PeerRegistry::builds_on_known_state(const protocol::MemberStatus& status) const {
+// Returns whether the status can be applied: it is a full status, or a delta to the revision that
+// this copy has from the same incarnation. A delta cannot be applied if the status before it was
+// lost.
+bool PeerRegistry::can_apply(const protocol::MemberStatus& status) const {
   if (status.since == 0) return true;
   const auto known = peers_.find(status.from.member);
   return known != peers_.end() && known->second.from == status.from &&
@@ -22,7 +24,7 @@
 }
 
 bool PeerRegistry::update(const protocol::MemberStatus& status, base::Time now) {
-  if (!builds_on_known_state(status)) return false;
+  if (!can_apply(status)) return false;
   Peer& peer = peers_[status.from.member];
   if (status.since == 0) peer.machines.clear();
   peer.from = status.from;
@@ -41,17 +43,17 @@
   return true;
 }
 
-bool PeerRegistry::any_has_state(base::Time now) const {
+bool PeerRegistry::any_has_lease(base::Time now) const {
   return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
     const Peer& peer = entry.second;
-    return peer.has_state && base::between(peer.last_heartbeat_at, now) < kStateReportFresh;
+    return peer.has_state && base::between(peer.last_heartbeat_at, now) < kStateReportMaxAge;
   });
 }
 
 bool PeerRegistry::any_sees_crash_loop(const base::JobId& job, base::Time now) const {
   return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
     const Peer& peer = entry.second;
-    return base::between(peer.last_heartbeat_at, now) < kCrashLoopReportFresh &&
+    return base::between(peer.last_heartbeat_at, now) < kCrashLoopReportMaxAge &&
            peer.crash_looping_jobs.contains(job);
   });
 }
--- a/src/coordination/machines/peer_registry.h
+++ b/src/coordination/machines/peer_registry.h
@@ -1,4 +1,4 @@
-// The other controllers, as each last described itself and its machines.
+// The latest status of each other controller and of its machines.
 #pragma once
 
 #include <cstdint>
@@ -12,11 +12,11 @@
 
 namespace saddleslip::coordination {
 
-// One other controller, by the statuses that it has sent so far.
+// The state of one other controller, assembled from its status messages.
 struct Peer {
   protocol::ControllerIncarnation from;
   bool has_state = false;  // it holds a lease in the state service
-  std::uint64_t upto = 0;  // the revision of its status that this copy has reached
+  std::uint64_t upto = 0;  // the revision of the peer's status that this copy corresponds to
   std::map<base::MachineId, protocol::MachineStatus> machines;
   std::vector<base::MachineId> release_requested, misdirected, ownership_claims;
   std::set<base::JobId> crash_looping_jobs;
@@ -24,31 +24,31 @@
   base::Time last_heartbeat_at{};
 };
 
-// Assembles the peers' full statuses from the deltas that they send. Iterates as a map from the peer's
-// member id to the peer. Holds state only; not safe for use from several threads at once.
+// Assembles the peers' full statuses from the deltas that they send. Iterates as a map from member
+// id to peer. Holds state only; not safe for use from several threads at once.
 class PeerRegistry {
  public:
   using Peers = std::map<base::MemberId, Peer>;
 
-  // Takes in a status. Returns false, and changes nothing, if the status is a delta to a state that
-  // this copy does not have: the peer must then send its full status.
+  // Applies a status message. Returns false and changes nothing if it is a delta to a revision that
+  // this copy does not have; the peer must then send its full status.
   bool update(const protocol::MemberStatus& status, base::Time now);
-  // Forgets the peer: the next delta from it is refused.
+  // Removes the peer, so that its next delta is refused and it has to send its full status.
   void forget(const base::MemberId& member) { peers_.erase(member); }
 
-  // Does a peer that was heard from lately hold a lease in the state service?
-  bool any_has_state(base::Time now) const;
-  // Has a peer that was heard from lately seen the job fail on every machine?
+  // Returns whether a recent status of any peer says that it holds a lease in the state service.
+  bool any_has_lease(base::Time now) const;
+  // Returns whether a recent status of any peer says that the job fails on every machine.
   bool any_sees_crash_loop(const base::JobId& job, base::Time now) const;
 
   Peers::const_iterator begin() const { return peers_.begin(); }
   Peers::const_iterator end() const { return peers_.end(); }
   Peers::const_iterator find(const base::MemberId& member) const { return peers_.find(member); }
-  // Requires that the peer is known.
+  // Returns the peer, which must be known.
   const Peer& at(const base::MemberId& member) const { return peers_.at(member); }
 
  private:
-  bool builds_on_known_state(const protocol::MemberStatus& status) const;
+  bool can_apply(const protocol::MemberStatus& status) const;
 
   Peers peers_;
 };
--- a/src/coordination/machines/status_revisions.h
+++ b/src/coordination/machines/status_revisions.h
@@ -1,8 +1,10 @@
-// Which changes of this controller's machines each peer has acknowledged.
+// Numbers the changes to this controller's machines, and records which of them each peer has
+// acknowledged.
 //
-// Every change of a machine's status, and every machine that leaves, gets the next revision. A peer is
-// sent what came after the revision that it has acknowledged: sent in full each time, the status of
-// hundreds of machines cost more processor time than all else that a controller does.
+// Every change of a machine's status, and every machine that leaves, gets the next revision. A peer
+// is sent only the changes after the revision that it has acknowledged. Sending the full status of
+// hundreds of machines each time took more processor time than all other work of a controller
+// together.
 #pragma once
 
 #include <cstdint>
@@ -14,32 +16,39 @@
 
 namespace saddleslip::coordination {
 
-// Holds state only; not safe for use from several threads at once.
+// Holds the current revision, the machines that left, and the peers' acknowledged revisions. Not
+// safe for use from several threads at once.
 class StatusRevisions {
  public:
+  // Returns the revision of the latest change.
   std::uint64_t current() const { return current_; }
-  // The status of a machine has changed: returns the revision of the change.
+  // Starts a new revision for a change of a machine's status, and returns it.
   std::uint64_t advance() { return ++current_; }
 
-  // The machine is no longer one of this controller's.
-  void machine_left(const base::MachineId& machine) { left_[machine] = advance(); }
-  // The machine is one of this controller's again.
-  void machine_joined(const base::MachineId& machine) { left_.erase(machine); }
-  // The machines that left after that revision; none after 0, since a full status names none.
-  std::vector<base::MachineId> left_since(std::uint64_t revision) const;
+  // Records that the machine no longer belongs to this controller.
+  void record_departure(const base::MachineId& machine) {
+    departure_revisions_[machine] = advance();
+  }
+  // Records that the machine belongs to this controller, possibly again.
+  void record_arrival(const base::MachineId& machine) { departure_revisions_.erase(machine); }
+  // Returns the machines that left after this revision. None for revision 0, since a full status
+  // lists no machines that left.
+  std::vector<base::MachineId> departed_since(std::uint64_t revision) const;
 
-  // The peer has taken in all up to that revision; 0: it asks for the full status.
+  // Records that the peer has applied the changes up to this revision; 0 requests a full status.
   void acknowledge(const base::MemberId& peer, std::uint64_t revision) {
     acknowledged_[peer] = revision;
   }
-  // 0: the peer is to be sent the full status.
+  // Returns the revision that the peer has acknowledged; 0 if it must be sent the full status.
   std::uint64_t acknowledged(const base::MemberId& peer) const;
-  // Forgets the machines that every one of these peers knows to have left.
-  void forget_acknowledged(const std::vector<base::Peer>& peers);
+  // Removes the machines that left before or at the lowest revision acknowledged by these peers.
+  // Peers that need a full status do not count.
+  void prune_departed(const std::vector<base::Peer>& peers);
 
  private:
   std::uint64_t current_ = 0;
-  std::map<base::MachineId, std::uint64_t> left_;  // at which revision
+  std::map<base::MachineId, std::uint64_t>
+      departure_revisions_;  // the revisions at which machines left
   std::map<base::MemberId, std::uint64_t> acknowledged_;
 };
 
--- a/tests/attempt_tracker_test.cpp
+++ b/tests/attempt_tracker_test.cpp
@@ -26,14 +26,14 @@
 
 TEST_F(AttemptTrackerTest, WantedAttemptMayStillStart) {
   assign_first(5);
-  tracker_.note_heartbeat(machine_);
+  tracker_.mark_never_started(machine_);
   EXPECT_FALSE(tracker_.is_never_started(task_, Attempt(3)));
 }
 
 TEST_F(AttemptTrackerTest, EvictedAttemptThatWasNotHeardOfNeverStarts) {
   assign_first(5);
   machine_.evict.insert(task_);
-  tracker_.note_heartbeat(machine_);
+  tracker_.mark_never_started(machine_);
   EXPECT_TRUE(tracker_.is_never_started(task_, Attempt(3)));
   EXPECT_FALSE(tracker_.is_never_started(task_, Attempt(4)));
   tracker_.forget_never_started();
@@ -43,7 +43,7 @@
 TEST_F(AttemptTrackerTest, CancelledAttemptThatWasNotHeardOfNeverStarts) {
   assign_first(5);
   cache_.notify_cancelled(kJob);
-  tracker_.note_heartbeat(machine_);
+  tracker_.mark_never_started(machine_);
   EXPECT_TRUE(tracker_.is_never_started(task_, Attempt(3)));
 }
 
@@ -51,7 +51,7 @@
 TEST_F(AttemptTrackerTest, UnfencedMachineProvesNothing) {
   assign_first(4);
   machine_.evict.insert(task_);
-  tracker_.note_heartbeat(machine_);
+  tracker_.mark_never_started(machine_);
   EXPECT_FALSE(tracker_.is_never_started(task_, Attempt(3)));
 }
 
@@ -59,7 +59,7 @@
   assign_first(5);
   machine_.evict.insert(task_);
   report(machine_.last_heartbeat, task_, 3, TaskState::kRunning);
-  tracker_.note_heartbeat(machine_);
+  tracker_.mark_never_started(machine_);
   EXPECT_FALSE(tracker_.is_never_started(task_, Attempt(3)));
 }
 
--- a/tests/machine_registry_test.cpp
+++ b/tests/machine_registry_test.cpp
@@ -27,7 +27,7 @@
   const storage::MachineCapacity& capacity() { return capacity_.of(registry_.at(kMachine)); }
   protocol::MemberStatus changes(double seconds) {
     protocol::MemberStatus status;
-    registry_.add_changes(kPeer, at(seconds), status);
+    registry_.add_status_changes(kPeer, at(seconds), status);
     return status;
   }
 
@@ -41,8 +41,8 @@
 TEST_F(MachineRegistryTest, OldHeartbeatsAreIgnored) {
   EXPECT_TRUE(record(heartbeat(2)));
   EXPECT_FALSE(record(heartbeat(1), 1));
-  EXPECT_FALSE(registry_.respond(heartbeat(1), at(1)));
-  EXPECT_TRUE(registry_.respond(heartbeat(2), at(1)));
+  EXPECT_FALSE(registry_.response_to(heartbeat(1), at(1)));
+  EXPECT_TRUE(registry_.response_to(heartbeat(2), at(1)));
   EXPECT_EQ(registry_.at(kMachine).last_heartbeat_at, at(0));
 }
 
--- a/tests/peer_registry_test.cpp
+++ b/tests/peer_registry_test.cpp
@@ -87,8 +87,8 @@
   full.has_state = true;
   full.crash_looping_jobs = {JobId("j")};
   ASSERT_TRUE(peers.update(full, kNow));
-  EXPECT_TRUE(peers.any_has_state(base::after(kNow, Seconds(2.4))));
-  EXPECT_FALSE(peers.any_has_state(base::after(kNow, Seconds(2.5))));
+  EXPECT_TRUE(peers.any_has_lease(base::after(kNow, Seconds(2.4))));
+  EXPECT_FALSE(peers.any_has_lease(base::after(kNow, Seconds(2.5))));
   EXPECT_TRUE(peers.any_sees_crash_loop(JobId("j"), base::after(kNow, Seconds(4.9))));
   EXPECT_FALSE(peers.any_sees_crash_loop(JobId("j"), base::after(kNow, Seconds(5.0))));
   EXPECT_FALSE(peers.any_sees_crash_loop(JobId("other"), kNow));
--- a/tests/status_revisions_test.cpp
+++ b/tests/status_revisions_test.cpp
@@ -31,41 +31,41 @@
 TEST(StatusRevisions, FullStatusNamesNoMachinesThatLeft) {
   StatusRevisions revisions;
   const std::uint64_t before = revisions.advance();
-  revisions.machine_left(kMachine);
-  EXPECT_EQ(revisions.left_since(before), std::vector{kMachine});
-  EXPECT_TRUE(revisions.left_since(0).empty());
-  EXPECT_TRUE(revisions.left_since(revisions.current()).empty());
+  revisions.record_departure(kMachine);
+  EXPECT_EQ(revisions.departed_since(before), std::vector{kMachine});
+  EXPECT_TRUE(revisions.departed_since(0).empty());
+  EXPECT_TRUE(revisions.departed_since(revisions.current()).empty());
 }
 
 TEST(StatusRevisions, MachineThatJoinsAgainHasNotLeft) {
   StatusRevisions revisions;
   const std::uint64_t before = revisions.advance();
-  revisions.machine_left(kMachine);
-  revisions.machine_joined(kMachine);
-  EXPECT_TRUE(revisions.left_since(before).empty());
+  revisions.record_departure(kMachine);
+  revisions.record_arrival(kMachine);
+  EXPECT_TRUE(revisions.departed_since(before).empty());
 }
 
 TEST(StatusRevisions, MachineThatLeftIsKeptUntilEveryPeerKnows) {
   StatusRevisions revisions;
   const std::uint64_t before = revisions.advance();
   revisions.acknowledge(MemberId("n1"), before);
-  revisions.machine_left(kMachine);
+  revisions.record_departure(kMachine);
   revisions.acknowledge(MemberId("n2"), revisions.current());
-  revisions.forget_acknowledged(peers());
-  EXPECT_EQ(revisions.left_since(before), std::vector{kMachine});
+  revisions.prune_departed(peers());
+  EXPECT_EQ(revisions.departed_since(before), std::vector{kMachine});
   revisions.acknowledge(MemberId("n1"), revisions.current());
-  revisions.forget_acknowledged(peers());
-  EXPECT_TRUE(revisions.left_since(before).empty());
+  revisions.prune_departed(peers());
+  EXPECT_TRUE(revisions.departed_since(before).empty());
 }
 
 // A peer that asks for the full status holds nothing back.
 TEST(StatusRevisions, PeerWithoutStateHoldsNothingBack) {
   StatusRevisions revisions;
   const std::uint64_t before = revisions.advance();
-  revisions.machine_left(kMachine);
+  revisions.record_departure(kMachine);
   revisions.acknowledge(MemberId("n1"), 0);
-  revisions.forget_acknowledged(peers());
-  EXPECT_TRUE(revisions.left_since(before).empty());
+  revisions.prune_departed(peers());
+  EXPECT_TRUE(revisions.departed_since(before).empty());
 }
 
 }  // namespace saddleslip::coordination
