--- a/tests/attempt_tracker_test.cpp
+++ b/tests/attempt_tracker_test.cpp
@@ -1,4 +1,5 @@
-// Attempts that can never start, kills that were sent, and completions that wait to be recorded.
+// Tests the tracking of attempts that can never start, of kill commands that were sent, and of
+// completions that wait to be recorded.
 #include "coordination/machines/attempt_tracker.h"
 
 #include "machine_fixture.h"
@@ -11,7 +12,8 @@
 
 class AttemptTrackerTest : public MachineFixture {
  protected:
-  // Assigns the first task to the machine, which shows `token` and needs 5 to be fenced.
+  // Assigns the first task to the machine. Its heartbeat shows `token`, and it is fenced from token
+  // 5 on.
   void assign_first(std::uint64_t token) {
     add_job(kJob);
     assign(kJob, {{0, assignment(3)}});
@@ -24,13 +26,13 @@
   const TaskId task_{kJob, 0};
 };
 
-TEST_F(AttemptTrackerTest, WantedAttemptMayStillStart) {
+TEST_F(AttemptTrackerTest, AttemptThatIsStillWantedMayStart) {
   assign_first(5);
   tracker_.mark_never_started(machine_);
   EXPECT_FALSE(tracker_.is_never_started(task_, Attempt(3)));
 }
 
-TEST_F(AttemptTrackerTest, EvictedAttemptThatWasNotHeardOfNeverStarts) {
+TEST_F(AttemptTrackerTest, UnreportedEvictedAttemptNeverStarts) {
   assign_first(5);
   machine_.evict.insert(task_);
   tracker_.mark_never_started(machine_);
@@ -40,15 +42,15 @@
   EXPECT_FALSE(tracker_.is_never_started(task_, Attempt(3)));
 }
 
-TEST_F(AttemptTrackerTest, CancelledAttemptThatWasNotHeardOfNeverStarts) {
+TEST_F(AttemptTrackerTest, UnreportedCancelledAttemptNeverStarts) {
   assign_first(5);
   cache_.notify_cancelled(kJob);
   tracker_.mark_never_started(machine_);
   EXPECT_TRUE(tracker_.is_never_started(task_, Attempt(3)));
 }
 
-// A copy of the command that starts it may still arrive.
-TEST_F(AttemptTrackerTest, UnfencedMachineProvesNothing) {
+// A copy of the start command may still reach a machine that is not fenced.
+TEST_F(AttemptTrackerTest, AttemptOnAnUnfencedMachineMayStillStart) {
   assign_first(4);
   machine_.evict.insert(task_);
   tracker_.mark_never_started(machine_);
@@ -63,7 +65,7 @@
   EXPECT_FALSE(tracker_.is_never_started(task_, Attempt(3)));
 }
 
-TEST_F(AttemptTrackerTest, KillIsRepeatedOnlyAfterAWhile) {
+TEST_F(AttemptTrackerTest, KillIsRepeatedOnlyAfterTheRetryInterval) {
   EXPECT_TRUE(tracker_.may_send_kill(task_, Attempt(3), at(0)));
   EXPECT_TRUE(tracker_.may_send_kill(task_, Attempt(4), at(0)));
   tracker_.expire_kills(at(2));
--- a/tests/authority_lease_test.cpp
+++ b/tests/authority_lease_test.cpp
@@ -1,4 +1,5 @@
-// When a controller may answer workers and command them.
+// Tests when a controller has a lease, and when it has the authority to answer workers and send
+// them commands.
 #include "coordination/membership/authority_lease.h"
 
 #include <gtest/gtest.h>
@@ -35,7 +36,7 @@
   authority_.lease_acquired(at(2));
   EXPECT_TRUE(authority_.has_lease(at(1 + ttl)));
   EXPECT_FALSE(authority_.has_lease(at(2 + ttl)));
-  // A call that was sent earlier and answered later takes nothing away.
+  // A call that was sent earlier but answered later does not shorten the lease.
   authority_.lease_acquired(at(1));
   EXPECT_TRUE(authority_.has_lease(at(1.5 + ttl)));
 }
@@ -55,7 +56,7 @@
   EXPECT_FALSE(has_authority(1, base::Version(2)));
 }
 
-TEST_F(AuthorityLeaseTest, ViewThatCameAfterTheProofNeedsARenewal) {
+TEST_F(AuthorityLeaseTest, ViewNewerThanTheVerificationNeedsARenewal) {
   store_view({self_}, view_);
   renew(0);
   const base::Version newer(5);
@@ -72,7 +73,7 @@
   EXPECT_FALSE(has_authority(1, view_));
 }
 
-TEST_F(AuthorityLeaseTest, CacheReplacedDuringTheProofVoidsTheRenewal) {
+TEST_F(AuthorityLeaseTest, CacheReplacedDuringVerificationVoidsTheRenewal) {
   store_view({self_}, view_);
   const std::uint64_t generation = authority_.cache_generation();
   authority_.cache_replaced();
--- a/tests/authority_test.cpp
+++ b/tests/authority_test.cpp
@@ -1,4 +1,4 @@
-// When a controller may answer workers and command them.
+// Tests when a controller has the authority to answer workers and send them commands.
 #include <gtest/gtest.h>
 
 #include "coordination/controller.h"
@@ -8,7 +8,7 @@
 
 using testing::at_seconds;
 
-// A controller that the current view names.
+// Fixture with a controller that is a member of the current view.
 class AuthorityTest : public ::testing::Test {
  protected:
   AuthorityTest() : settings_(testing::make_settings()), controller_(settings_) {
@@ -24,7 +24,7 @@
   }
   double ttl() const { return settings_.tuning.member_ttl.count(); }
   bool has_authority_at(double s) const { return controller_.has_authority(at_seconds(s)); }
-  // A renewal that was sent at this time, and proved the cache current.
+  // Renews the lease by a call that was sent at this time and after which the cache was verified.
   void renew(double sent) {
     controller_.lease_acquired(at_seconds(0));
     controller_.lease_renewed(at_seconds(sent), controller_.cache_generation());
@@ -34,7 +34,7 @@
   Controller controller_;
 };
 
-// The state cache may be older than the lease.
+// Without the verification at a renewal, the state cache may be older than the lease.
 TEST_F(AuthorityTest, LeaseWithoutACurrentCacheGivesNoAuthority) {
   EXPECT_FALSE(has_authority_at(0));
   controller_.lease_acquired(at_seconds(0));
@@ -47,7 +47,7 @@
   EXPECT_FALSE(has_authority_at(ttl()));
 }
 
-TEST_F(AuthorityTest, RenewalAnsweredLateCountsFromItsSending) {
+TEST_F(AuthorityTest, AuthorityCountsFromWhenTheRenewalWasSent) {
   renew(0);
   renew(1);
   EXPECT_TRUE(has_authority_at(ttl()));
@@ -63,8 +63,8 @@
   EXPECT_TRUE(has_authority_at(2));
 }
 
-// The proof that the cache is current is of no use if the cache is replaced while it is under way.
-TEST_F(AuthorityTest, CacheReplacedDuringARenewalRenewalGivesNoAuthority) {
+// A cache that is replaced during its verification is not verified.
+TEST_F(AuthorityTest, CacheReplacedDuringARenewalGivesNoAuthority) {
   const std::uint64_t generation = controller_.cache_generation();
   controller_.cache_replaced();
   controller_.lease_renewed(at_seconds(0), generation);
--- a/tests/commands_due_test.cpp
+++ b/tests/commands_due_test.cpp
@@ -1,4 +1,4 @@
-// Commands that bring a machine in line with the records.
+// Tests the commands that make the attempts on a machine match its recorded assignments.
 #include "coordination/machines/commands_due.h"
 
 #include "machine_fixture.h"
@@ -70,7 +70,8 @@
   expect_one(Command::Op::kKill, 3);
 }
 
-// A copy of its start may still arrive, and would run it again.
+// On a machine that is not fenced, a copy of the start command may still arrive and run the attempt
+// again.
 TEST_F(CommandsDueTest, EndedAttemptIsForgottenOnlyByAFencedMachine) {
   reports(2, TaskState::kEnded);
   machine_.fence_floor = base::FencingToken(1);
@@ -79,7 +80,7 @@
   expect_one(Command::Op::kForget, 2);
 }
 
-TEST_F(CommandsDueTest, EndedAttemptIsNotForgottenWhileItIsOnRecord) {
+TEST_F(CommandsDueTest, EndedAttemptIsNotForgottenWhileItIsAssigned) {
   assign(kJob, {{0, assignment(3)}});
   reports(3, TaskState::kEnded);
   EXPECT_TRUE(due().empty());
--- a/tests/leadership_test.cpp
+++ b/tests/leadership_test.cpp
@@ -1,4 +1,4 @@
-// Whether this process leads, and since when.
+// Tests whether this process is the leader, and how changes of leadership are reported.
 #include "coordination/membership/leadership.h"
 
 #include <gtest/gtest.h>
@@ -27,7 +27,7 @@
   Leadership leadership_{cache_, authority_};
 };
 
-TEST_F(LeadershipTest, NeedsTheRecordAndTheLease) {
+TEST_F(LeadershipTest, LeaderNeedsTheRecordAndTheLease) {
   EXPECT_FALSE(leadership_.is_leader(at(1)));
   store_leader(self_);
   EXPECT_TRUE(leadership_.is_leader(at(1)));
@@ -36,12 +36,12 @@
   EXPECT_FALSE(leadership_.is_leader(at(1)));
 }
 
-TEST_F(LeadershipTest, RecordOfAnEarlierIncarnationDoesNotCount) {
+TEST_F(LeadershipTest, LeaderRecordOfAnEarlierIncarnationIsIgnored) {
   store_leader({self_.member, base::Incarnation(6)});
   EXPECT_FALSE(leadership_.is_leader(at(1)));
 }
 
-TEST_F(LeadershipTest, UpdateTellsEachChangeOnce) {
+TEST_F(LeadershipTest, UpdateReturnsEachChangeOnce) {
   EXPECT_EQ(LeadershipChange::kNone, leadership_.update(at(0)));
   store_leader(self_);
   EXPECT_EQ(LeadershipChange::kGained, leadership_.update(at(1)));
--- a/tests/machine_fixture.h
+++ b/tests/machine_fixture.h
@@ -1,4 +1,5 @@
-// A state cache with one type of machine and jobs on it, for the tests of the machines' classes.
+// Fixture for tests of the classes in coordination/machines: a state cache with one machine type,
+// to which jobs, assignments and heartbeats can be added.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -26,7 +27,7 @@
   base::Version next_version() { return base::Version(++version_); }
   base::Time at(double seconds) const { return base::after(now_, base::Seconds(seconds)); }
 
-  // A job of four tasks of 4 cores each.
+  // Adds a job of four tasks that request 4 cores each.
   void add_job(const base::JobId& id, protocol::Rank rank = protocol::Rank::kUrgent,
                bool cancelled = false) {
     protocol::JobRecord record;
--- a/tests/machine_registry_test.cpp
+++ b/tests/machine_registry_test.cpp
@@ -1,4 +1,5 @@
-// Heartbeats, the capacity that follows from them, and the statuses that peers are sent.
+// Tests the recording of heartbeats, the computation of free capacity, and the status that is sent
+// to peers.
 #include "coordination/machines/machine_registry.h"
 
 #include "machine_fixture.h"
@@ -55,7 +56,7 @@
   EXPECT_TRUE(record(restarted));
 }
 
-TEST_F(MachineRegistryTest, ReleasedMachineIsIgnoredAndLeavesThePeers) {
+TEST_F(MachineRegistryTest, ReleasedMachineIsIgnoredAndReportedToPeersAsGone) {
   record(heartbeat(1));
   registry_.acknowledge(kPeer, changes(0).upto);
   EXPECT_TRUE(registry_.mark_released(kMachine, at(1)));
@@ -75,7 +76,7 @@
   EXPECT_EQ(registry_.at(kMachine).last_heartbeat.sequence, base::Sequence(2));
 }
 
-TEST_F(MachineRegistryTest, MachineIsSchedulableOnceItHasShownAToken) {
+TEST_F(MachineRegistryTest, MachineIsSchedulableOnceItsHeartbeatShowsAToken) {
   record(heartbeat(1));
   EXPECT_FALSE(registry_.is_schedulable(registry_.at(kMachine), at(0)));
   EXPECT_TRUE(registry_.has_recent_heartbeat(registry_.at(kMachine), at(0)));
@@ -85,7 +86,7 @@
   EXPECT_FALSE(registry_.is_schedulable(registry_.at(kMachine), at(silent)));
 }
 
-TEST_F(MachineRegistryTest, ViewDropsMachinesThatAreOwnedNoLonger) {
+TEST_F(MachineRegistryTest, ViewDropsMachinesThatAreNoLongerOwned) {
   record(heartbeat(1));
   registry_.install_view({FencingToken(20), at(1), true}, [](const MachineId&) { return true; });
   ASSERT_TRUE(registry_.contains(kMachine));
@@ -125,10 +126,11 @@
   add_job(kOther, protocol::Rank::kIdle);
   assign(kJob, {{0, assignment(3)}, {1, assignment(4)}});
   assign(kOther, {{0, assignment(5)}});
-  auto beat = heartbeat(1);
-  report(beat, {kJob, 1}, 4, TaskState::kEnded, Cause::kDone);  // over: takes nothing
-  report(beat, {kJob, 2}, 9, TaskState::kRunning);              // not assigned, and runs
-  record(beat);
+  auto current_heartbeat = heartbeat(1);
+  report(current_heartbeat, {kJob, 1}, 4, TaskState::kEnded,
+         Cause::kDone);                                          // ended: uses no capacity
+  report(current_heartbeat, {kJob, 2}, 9, TaskState::kRunning);  // runs without an assignment
+  record(current_heartbeat);
   EXPECT_EQ(capacity().assigned, 3U);
   EXPECT_DOUBLE_EQ(capacity().free.cores(), 16 - 3 * 4);
   EXPECT_DOUBLE_EQ(capacity().preemptible.cores(), 4);
@@ -142,13 +144,13 @@
 }
 
 TEST_F(MachineRegistryTest, MachineThatRunsAnUnknownJobHasNoFreeCapacity) {
-  auto beat = heartbeat(1);
-  report(beat, {kJob, 0}, 3, TaskState::kRunning);
-  record(beat);
+  auto current_heartbeat = heartbeat(1);
+  report(current_heartbeat, {kJob, 0}, 3, TaskState::kRunning);
+  record(current_heartbeat);
   EXPECT_DOUBLE_EQ(capacity().free.cores(), 0);
 }
 
-TEST_F(MachineRegistryTest, AttemptsOfAnEarlierAgentIncarnationAreOver) {
+TEST_F(MachineRegistryTest, AttemptsOfAnEarlierAgentIncarnationHaveEnded) {
   add_job(kJob);
   assign(kJob, {{0, assignment(3, 0)}});
   record(heartbeat(1));
--- a/tests/membership_proposals_test.cpp
+++ b/tests/membership_proposals_test.cpp
@@ -1,4 +1,4 @@
-// What a member proposes to the state service about the membership.
+// Tests which changes of the membership data a member proposes to the state service.
 #include "coordination/membership/membership_proposals.h"
 
 #include <gtest/gtest.h>
@@ -28,7 +28,8 @@
     store(protocol::kLeadKey, to_json(leader));
     leadership_.update(start_);
   }
-  // This process leads a cluster of two that reach each other, all of which is on record.
+  // Makes this process the leader of two members that reach each other, and stores all their
+  // records.
   void lead_two_members() {
     contact_.record_reached(other_.member, start_);
     store_member(self_, true);
@@ -37,12 +38,12 @@
     store_leader(self_);
     store(protocol::kFormatKey, protocol::kFormat);
   }
-  // The key that is written by the only write of the proposal; empty: nothing is proposed.
+  // Returns the key of the proposal's only write; empty if nothing is proposed.
   std::string proposed_key(double seconds) const {
-    const auto txn = proposals_.propose(at(seconds), lease_);
-    if (!txn) return "";
-    EXPECT_EQ(1u, txn->writes.size());
-    return txn->writes.front().key;
+    const auto transaction = proposals_.propose(at(seconds), lease_);
+    if (!transaction) return "";
+    EXPECT_EQ(1u, transaction->writes.size());
+    return transaction->writes.front().key;
   }
   std::optional<protocol::Transaction> view_proposal(
       const std::map<MachineId, ControllerIncarnation>& claims = {}) const {
@@ -79,7 +80,7 @@
   EXPECT_EQ(protocol::kLeadKey, proposed_key(1));
 }
 
-TEST_F(MembershipProposalsTest, OwnRecordFollowsWhoIsReached) {
+TEST_F(MembershipProposalsTest, OwnRecordSaysWhetherOthersAreReached) {
   store_member(self_, false);
   store_member(other_, false);
   store_leader(other_);
@@ -87,25 +88,25 @@
   EXPECT_EQ(own_key_, proposed_key(1));
   store_member(self_, true);
   EXPECT_EQ("", proposed_key(2));
-  EXPECT_EQ(own_key_, proposed_key(10));  // reached by nobody since
+  EXPECT_EQ(own_key_, proposed_key(10));  // a member was last reached at 1 s
 }
 
 TEST_F(MembershipProposalsTest, EarlierIncarnationIsReplacedInTheView) {
   store_member(self_, false);
   store_view({other_, {self_.member, base::Incarnation(6)}});
-  const auto txn = proposals_.propose(at(1), lease_);
-  ASSERT_TRUE(txn);
+  const auto transaction = proposals_.propose(at(1), lease_);
+  ASSERT_TRUE(transaction);
   EXPECT_EQ((std::map<std::string, base::Version>{
                 {protocol::kViewKey, cache_.version(protocol::kViewKey)},
                 {own_key_, cache_.version(own_key_)}}),
-            txn->preconditions);
-  const auto view = protocol::parse_view(*txn->writes.front().value);
+            transaction->preconditions);
+  const auto view = protocol::parse_view(*transaction->writes.front().value);
   ASSERT_TRUE(view);
   EXPECT_EQ((std::vector{other_, self_}), view->members);
   EXPECT_EQ(Epoch(2), view->epoch);
 }
 
-TEST_F(MembershipProposalsTest, LeadershipIsTakenWhenTheLeaderBeganAnotherIncarnation) {
+TEST_F(MembershipProposalsTest, LeadershipIsTakenWhenTheLeaderHasANewIncarnation) {
   store_member(self_, false);
   store_member(other_, false);
   store_leader(other_);
@@ -114,26 +115,26 @@
   EXPECT_EQ(protocol::kLeadKey, proposed_key(1));
 }
 
-TEST_F(MembershipProposalsTest, MemberThatIsCutOffDoesNotTakeLeadership) {
+TEST_F(MembershipProposalsTest, IsolatedMemberDoesNotTakeLeadership) {
   store_member(self_, false);
   store_member(other_, true);
   EXPECT_EQ("", proposed_key(1));
-  // Where nobody reaches anybody, any leader is better than none.
+  // If no member reaches any other, any leader is better than none.
   store_member(other_, false);
   EXPECT_EQ(protocol::kLeadKey, proposed_key(1));
 }
 
-TEST_F(MembershipProposalsTest, LeaderThatIsCutOffGivesUp) {
+TEST_F(MembershipProposalsTest, IsolatedLeaderGivesUpLeadership) {
   store_member(self_, false);
   store_member(other_, true);
   store_member(third_, true);
   store(protocol::kFormatKey, protocol::kFormat);
   store_leader(self_);
   EXPECT_EQ("", proposed_key(3));
-  const auto txn = proposals_.propose(at(5), lease_);
-  ASSERT_TRUE(txn);
-  EXPECT_EQ(protocol::kLeadKey, txn->writes.front().key);
-  EXPECT_FALSE(txn->writes.front().value);  // removed
+  const auto transaction = proposals_.propose(at(5), lease_);
+  ASSERT_TRUE(transaction);
+  EXPECT_EQ(protocol::kLeadKey, transaction->writes.front().key);
+  EXPECT_FALSE(transaction->writes.front().value);  // removed
 }
 
 TEST_F(MembershipProposalsTest, FormatIsUpgradedOnceAllConfiguredMembersReadIt) {
@@ -147,7 +148,7 @@
   EXPECT_EQ(protocol::kFormatKey, proposed_key(1));
 }
 
-TEST_F(MembershipProposalsTest, ViewThatIsRightIsNotProposedAgain) {
+TEST_F(MembershipProposalsTest, UpToDateViewIsNotProposedAgain) {
   lead_two_members();
   EXPECT_EQ("", proposed_key(1));
   EXPECT_FALSE(view_proposal());
@@ -161,17 +162,17 @@
   EXPECT_FALSE(view_proposal());
   contact_.record_reached(other_.member, at(5));
   proposals_.exclude_lost_members(at(5));
-  const auto txn = view_proposal();
-  ASSERT_TRUE(txn);
-  EXPECT_TRUE(txn->preconditions.contains(protocol::kLeadKey));
+  const auto transaction = view_proposal();
+  ASSERT_TRUE(transaction);
+  EXPECT_TRUE(transaction->preconditions.contains(protocol::kLeadKey));
   EXPECT_EQ((std::vector{self_, other_}),
-            protocol::parse_view(*txn->writes.front().value)->members);
+            protocol::parse_view(*transaction->writes.front().value)->members);
   contact_.record_reached(third_.member, at(6));
   proposals_.exclude_lost_members(at(6));
   EXPECT_FALSE(view_proposal());
 }
 
-TEST_F(MembershipProposalsTest, LeaderThatReachesNobodyExcludesNobody) {
+TEST_F(MembershipProposalsTest, LeaderThatReachesNoMemberExcludesNone) {
   lead_two_members();
   proposals_.exclude_lost_members(at(10));
   EXPECT_FALSE(view_proposal());
@@ -181,15 +182,16 @@
   lead_two_members();
   const MachineId machine("i-1");
   store(protocol::claim_key(machine), to_json(other_));
-  const auto txn = view_proposal(cache_.ownership_claims());
-  ASSERT_TRUE(txn);
-  ASSERT_EQ(2u, txn->writes.size());
-  EXPECT_EQ(other_.member, protocol::parse_view(*txn->writes[0].value)->overrides.at(machine));
-  EXPECT_EQ(protocol::claim_key(machine), txn->writes[1].key);
-  EXPECT_TRUE(txn->preconditions.contains(protocol::claim_key(machine)));
+  const auto transaction = view_proposal(cache_.ownership_claims());
+  ASSERT_TRUE(transaction);
+  ASSERT_EQ(2u, transaction->writes.size());
+  EXPECT_EQ(other_.member,
+            protocol::parse_view(*transaction->writes[0].value)->overrides.at(machine));
+  EXPECT_EQ(protocol::claim_key(machine), transaction->writes[1].key);
+  EXPECT_TRUE(transaction->preconditions.contains(protocol::claim_key(machine)));
 }
 
-TEST_F(MembershipProposalsTest, ClaimsGoOnRecordOnlyWhileTheLeaderIsOutOfReach) {
+TEST_F(MembershipProposalsTest, ClaimsAreStoredOnlyWhileTheLeaderIsUnreachable) {
   EXPECT_FALSE(proposals_.needs_stored_claims(at(1)));  // no leader
   store_leader(other_);
   EXPECT_TRUE(proposals_.needs_stored_claims(at(1)));
@@ -199,17 +201,17 @@
   EXPECT_FALSE(proposals_.needs_stored_claims(at(10)));
 }
 
-TEST_F(MembershipProposalsTest, ClaimThatIsOnRecordIsNotProposedAgain) {
+TEST_F(MembershipProposalsTest, StoredClaimIsNotProposedAgain) {
   const MachineId first("i-1"), second("i-2");
   store(protocol::claim_key(first), to_json(other_));
   EXPECT_FALSE(proposals_.propose_claims({first}, base::Version(3)));
-  const auto txn = proposals_.propose_claims({first, second}, base::Version(3));
-  ASSERT_TRUE(txn);
+  const auto transaction = proposals_.propose_claims({first, second}, base::Version(3));
+  ASSERT_TRUE(transaction);
   EXPECT_EQ((std::map<std::string, base::Version>{{protocol::kViewKey, base::Version(3)},
                                                   {protocol::claim_key(second), base::Version(0)}}),
-            txn->preconditions);
-  ASSERT_EQ(1u, txn->writes.size());
-  EXPECT_EQ(protocol::claim_key(second), txn->writes.front().key);
+            transaction->preconditions);
+  ASSERT_EQ(1u, transaction->writes.size());
+  EXPECT_EQ(protocol::claim_key(second), transaction->writes.front().key);
 }
 
 }  // namespace saddleslip::coordination
--- a/tests/ownership_claims_test.cpp
+++ b/tests/ownership_claims_test.cpp
@@ -1,4 +1,4 @@
-// Which machines of other controllers this one claims.
+// Tests which machines of other controllers this controller claims.
 #include "coordination/membership/ownership_claims.h"
 
 #include <gtest/gtest.h>
@@ -12,13 +12,13 @@
     store_view(1, other_.member);
     ownership_.install_view(start_);
   }
-  // A view in which an override gives the machine to this member.
+  // Stores a view in which an override assigns the machine to this member.
   void store_view(std::uint64_t epoch, const MemberId& owner) {
     View view{Epoch(epoch), {self_, other_}, {{machine_, owner}}};
     cache_.apply({protocol::kViewKey, to_json(view), base::Version(epoch)}, start_);
     cache_.advance_to(base::Revision(epoch));
   }
-  // The owner's status: it knows the machine, and whether its heartbeat is late.
+  // Applies a status of the owner that lists the machine, with its heartbeat late or in time.
   void report_status(bool late, double seconds) {
     protocol::MachineStatus machine;
     machine.id = machine_;
@@ -31,7 +31,7 @@
   }
   void redirect(double seconds) { claims_.record_redirection(machine_, other_, at(seconds)); }
   bool is_claimed(double seconds) { return !claims_.claims(true, at(seconds)).empty(); }
-  // Times are counted from when the override has been in place for long enough.
+  // Times count from 100 s after the override, when it no longer prevents a claim.
   base::Time at(double seconds) const { return base::after(start_, base::Seconds(100 + seconds)); }
 
   const base::Settings settings_;
@@ -46,23 +46,23 @@
   OwnershipClaims claims_{settings_, ownership_, peers_};
 };
 
-TEST_F(OwnershipClaimsTest, MachineThatTheOwnerMissesIsClaimedWhenItComesBack) {
+TEST_F(OwnershipClaimsTest, MachineWhoseHeartbeatIsLateAtItsOwnerIsClaimed) {
   redirect(0);
   report_status(true, 3);
-  EXPECT_FALSE(is_claimed(3.5));  // it came once only
+  EXPECT_FALSE(is_claimed(3.5));  // one redirection is not enough
   redirect(2);
   EXPECT_FALSE(is_claimed(2.5));
   EXPECT_TRUE(is_claimed(3.5));
 }
 
-TEST_F(OwnershipClaimsTest, MachineThatTheOwnerHearsIsNotClaimed) {
+TEST_F(OwnershipClaimsTest, MachineWhoseHeartbeatsReachTheOwnerIsNotClaimed) {
   redirect(0);
   redirect(2);
   report_status(false, 3);
   EXPECT_FALSE(is_claimed(3.5));
 }
 
-TEST_F(OwnershipClaimsTest, OwnerOutOfReachIsGivenItsTtlToLeaveTheView) {
+TEST_F(OwnershipClaimsTest, UnreachableOwnerIsGivenItsTtlToLeaveTheView) {
   const double ttl = settings_.tuning.member_ttl.count();
   redirect(0);
   redirect(3);
@@ -70,7 +70,7 @@
   EXPECT_TRUE(is_claimed(ttl + 1.1));
 }
 
-TEST_F(OwnershipClaimsTest, RedirectionToAnEarlierIncarnationDoesNotCount) {
+TEST_F(OwnershipClaimsTest, RedirectionToAnEarlierIncarnationIsIgnored) {
   const ControllerIncarnation earlier{other_.member, base::Incarnation(5)};
   claims_.record_redirection(machine_, earlier, at(0));
   claims_.record_redirection(machine_, earlier, at(2));
@@ -78,7 +78,7 @@
   EXPECT_FALSE(is_claimed(3.5));
 }
 
-TEST_F(OwnershipClaimsTest, MachineThatWasMovedLatelyIsNotClaimed) {
+TEST_F(OwnershipClaimsTest, RecentlyMovedMachineIsNotClaimed) {
   store_view(2, self_.member);
   ownership_.install_view(at(-70));
   store_view(3, other_.member);
@@ -100,7 +100,7 @@
   EXPECT_FALSE(is_claimed(3.5));
 }
 
-TEST_F(OwnershipClaimsTest, WithoutAuthorityRedirectionsAreForgotten) {
+TEST_F(OwnershipClaimsTest, RedirectionsAreDroppedWithoutAuthority) {
   redirect(0);
   redirect(2);
   report_status(true, 3);
@@ -110,7 +110,7 @@
   EXPECT_FALSE(is_claimed(3.5));
 }
 
-TEST_F(OwnershipClaimsTest, MisdirectedMachineIsNamedForAWhile) {
+TEST_F(OwnershipClaimsTest, MisdirectedMachineIsReportedForFifteenSeconds) {
   redirect(0);
   EXPECT_EQ(std::vector{machine_}, claims_.misdirected(at(14.9)));
   EXPECT_TRUE(claims_.misdirected(at(15)).empty());
--- a/tests/ownership_test.cpp
+++ b/tests/ownership_test.cpp
@@ -1,4 +1,4 @@
-// Which controller owns a machine, and when a view is installed.
+// Tests which controller owns a machine, and when a view is installed.
 #include "coordination/membership/ownership.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 class OwnershipTest : public ::testing::Test {
  protected:
   OwnershipTest() { authority_.begin_incarnation(self_, start_); }
-  // Puts a view of both members into the cache, and the watch at its version.
+  // Stores a view of both members in the cache, and advances the watch to its version.
   void store_view(std::uint64_t epoch, const std::map<MachineId, MemberId>& overrides = {}) {
     View view;
     view.epoch = Epoch(epoch);
@@ -61,8 +61,8 @@
   EXPECT_FALSE(ownership_.install_view(at(2)));
 }
 
-// A new owner needs all that was committed before the view.
-TEST_F(OwnershipTest, ViewAheadOfTheWatchWaits) {
+// A new owner needs everything that was committed before the view.
+TEST_F(OwnershipTest, ViewAheadOfTheWatchIsNotInstalled) {
   View view;
   view.epoch = Epoch(1);
   view.members = {self_};
@@ -73,7 +73,7 @@
   EXPECT_TRUE(ownership_.install_view(start_));
 }
 
-TEST_F(OwnershipTest, SkippedViewIsTold) {
+TEST_F(OwnershipTest, SkippedViewIsReported) {
   store_view(4);
   EXPECT_FALSE(ownership_.install_view(start_)->follows_previous);
   store_view(5);
--- a/tests/ownership_transfers_test.cpp
+++ b/tests/ownership_transfers_test.cpp
@@ -1,4 +1,4 @@
-// Which machines the next view gives to other members.
+// Tests which machines the next view assigns to other members.
 #include "coordination/membership/ownership_transfers.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
     const View view{Epoch(1), {self_, other_}, {{machine_, other_.member}}};
     cache_.apply({protocol::kViewKey, to_json(view), base::Version(1)}, start_);
   }
-  // A status of the other member.
+  // Applies a status of the other member.
   void report_peer(protocol::WorkerContact contact, std::vector<MachineId> claims, bool late,
                    double seconds) {
     protocol::MachineStatus machine;
@@ -48,27 +48,27 @@
   OwnershipTransfers transfers_{{settings_, cache_, authority_, ownership_, peers_}};
 };
 
-TEST_F(OwnershipTransfersTest, ClaimsAreCollectedForAMoment) {
+TEST_F(OwnershipTransfersTest, ClaimsAreCollectedBeforeTheyAreDue) {
   const MemberReport own{{machine_}, protocol::WorkerContact::kGood, {}};
   EXPECT_EQ(NewOwners{}, due(own, 0));
   EXPECT_EQ(NewOwners{}, due(own, 1.9));
   EXPECT_EQ((NewOwners{{machine_, self_}}), due(own, 2));
-  EXPECT_EQ(NewOwners{}, due(own, 2.1));  // counted anew for the next view
+  EXPECT_EQ(NewOwners{}, due(own, 2.1));  // the collection time starts again for the next view
 }
 
-TEST_F(OwnershipTransfersTest, ClaimThatIsWithdrawnMeanwhileStartsOver) {
+TEST_F(OwnershipTransfersTest, WithdrawnClaimRestartsTheCollectionTime) {
   const MemberReport own{{machine_}, protocol::WorkerContact::kGood, {}};
   due(own, 0);
   EXPECT_EQ(NewOwners{}, due({}, 1));
   EXPECT_EQ(NewOwners{}, due(own, 2));
 }
 
-TEST_F(OwnershipTransfersTest, ClaimOnRecordIsFollowedAtOnce) {
+TEST_F(OwnershipTransfersTest, StoredClaimIsDueAtOnce) {
   cache_.apply({protocol::claim_key(machine_), to_json(self_), base::Version(2)}, start_);
   EXPECT_EQ((NewOwners{{machine_, self_}}), due({}, 0));
 }
 
-TEST_F(OwnershipTransfersTest, ClaimToAnOwnOrReleasedMachineIsIgnored) {
+TEST_F(OwnershipTransfersTest, ClaimToAnOwnedOrReleasedMachineIsIgnored) {
   report_peer(protocol::WorkerContact::kGood, {machine_}, false, 0);
   due({}, 0);
   EXPECT_EQ(NewOwners{}, due({}, 2));
--- a/tests/pause_detector_test.cpp
+++ b/tests/pause_detector_test.cpp
@@ -1,4 +1,4 @@
-// That this process was stopped for a while.
+// Tests the detection of pauses of this process.
 #include "coordination/membership/pause_detector.h"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
   EXPECT_EQ(base::Time{}, detector.resumed_at());
 }
 
-TEST(PauseDetector, LongGapIsAPauseThatEndsNow) {
+TEST(PauseDetector, LongGapIsAPauseThatEndsWithTheNextActivity) {
   PauseDetector detector;
   detector.record_activity(at(0));
   detector.record_activity(at(3));
@@ -28,7 +28,7 @@
   EXPECT_EQ(at(3), detector.resumed_at());
 }
 
-TEST(PauseDetector, EarlierTimeDoesNotMakeAPause) {
+TEST(PauseDetector, EarlierTimeIsNoPause) {
   PauseDetector detector;
   detector.record_activity(at(2));
   detector.record_activity(at(0));
--- a/tests/peer_contact_test.cpp
+++ b/tests/peer_contact_test.cpp
@@ -1,4 +1,4 @@
-// Which other members this process can reach.
+// Tests which other members count as reachable or lost.
 #include "coordination/membership/peer_contact.h"
 
 #include <gtest/gtest.h>
@@ -38,13 +38,13 @@
 TEST(PeerContact, NewMemberIsNotLostBeforeTheTimeout) {
   PeerContact contact;
   contact.update_members(members(), at(0));
-  contact.update_members(members(), at(3));  // the time of its arrival stays
+  contact.update_members(members(), at(3));  // the join time does not change
   EXPECT_FALSE(contact.is_reachable(kPeer, at(1)));
   EXPECT_FALSE(contact.is_lost(kPeer, at(kTimeout - 0.1)));
   EXPECT_TRUE(contact.is_lost(kPeer, at(kTimeout + 0.1)));
 }
 
-TEST(PeerContact, MemberThatCameBackIsNew) {
+TEST(PeerContact, MemberThatRejoinsCountsAsNew) {
   PeerContact contact;
   contact.update_members(members(), at(0));
   contact.update_members({}, at(10));
--- a/tests/peer_registry_test.cpp
+++ b/tests/peer_registry_test.cpp
@@ -1,4 +1,4 @@
-// Peers' statuses, assembled from deltas.
+// Tests how the peers' statuses are assembled from deltas.
 #include "coordination/machines/peer_registry.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 const MemberId kMember("n1");
 const Time kNow(std::chrono::seconds(1000));
 
-// A delta from revision `since` to `upto`; a full status if `since` is 0.
+// Returns a delta from revision `since` to `upto`, or a full status if `since` is 0.
 protocol::MemberStatus status(std::uint64_t incarnation, std::uint64_t since, std::uint64_t upto) {
   protocol::MemberStatus out;
   out.from = {kMember, base::Incarnation(incarnation)};
@@ -34,18 +34,19 @@
 
 }  // namespace
 
-TEST(PeerRegistry, DeltaToUnknownStateIsRefused) {
+TEST(PeerRegistry, DeltaToAnUnknownRevisionIsRefused) {
   PeerRegistry peers;
   EXPECT_FALSE(peers.update(status(7, 3, 5), kNow));
   EXPECT_EQ(peers.find(kMember), peers.end());
   EXPECT_TRUE(peers.update(status(7, 0, 5), kNow));
   EXPECT_TRUE(peers.update(status(7, 5, 6), kNow));
-  EXPECT_FALSE(peers.update(status(7, 5, 8), kNow));  // 6 is known, not 5
-  EXPECT_FALSE(peers.update(status(9, 6, 8), kNow));  // another incarnation counts anew
+  EXPECT_FALSE(peers.update(status(7, 5, 8), kNow));  // the copy is at revision 6, not 5
+  EXPECT_FALSE(
+      peers.update(status(9, 6, 8), kNow));  // another incarnation numbers its own revisions
   EXPECT_EQ(peers.at(kMember).upto, 6U);
 }
 
-TEST(PeerRegistry, ForgottenPeerMustSendItsFullStatus) {
+TEST(PeerRegistry, RemovedPeerMustSendItsFullStatus) {
   PeerRegistry peers;
   ASSERT_TRUE(peers.update(status(7, 0, 5), kNow));
   peers.forget(kMember);
@@ -81,7 +82,7 @@
   EXPECT_TRUE(peers.at(kMember).machines.contains(MachineId("new")));
 }
 
-TEST(PeerRegistry, OldReportsDoNotCount) {
+TEST(PeerRegistry, OldStatusesAreIgnored) {
   PeerRegistry peers;
   auto full = status(7, 0, 5);
   full.has_state = true;
--- a/tests/peer_test.cpp
+++ b/tests/peer_test.cpp
@@ -1,4 +1,5 @@
-// What peers tell each other of their machines: only what changed since what the other has.
+// Tests the exchange of status messages between peers, which are deltas to the acknowledged
+// revision.
 #include <gtest/gtest.h>
 
 #include "coordination/controller.h"
@@ -12,8 +13,8 @@
  protected:
   PeerStatusTest() : settings_(testing::make_settings({"n1"})), controller_(settings_) {}
 
-  // Does the controller ask for the whole status when n1 sends the changes since `since`?
-  bool asks_for_all(std::uint64_t incarnation, std::uint64_t since, std::uint64_t upto) {
+  // Returns whether the controller requests a full status when n1 sends the changes since `since`.
+  bool requests_full_status(std::uint64_t incarnation, std::uint64_t since, std::uint64_t upto) {
     MemberStatus status;
     status.from = {peer_, base::Incarnation(incarnation)};
     status.since = since;
@@ -27,47 +28,47 @@
   const MemberId peer_{"n1"};
 };
 
-TEST_F(PeerStatusTest, DeltaBeforeAnyStatusAsksForAll) {
-  EXPECT_TRUE(asks_for_all(7, 3, 5));
-  EXPECT_FALSE(asks_for_all(7, 0, 5));
+TEST_F(PeerStatusTest, DeltaBeforeAnyStatusRequestsAFullStatus) {
+  EXPECT_TRUE(requests_full_status(7, 3, 5));
+  EXPECT_FALSE(requests_full_status(7, 0, 5));
 }
 
-TEST_F(PeerStatusTest, DeltaOnTopOfTheLastOneIsTaken) {
-  EXPECT_FALSE(asks_for_all(7, 0, 5));
-  EXPECT_FALSE(asks_for_all(7, 5, 6));
+TEST_F(PeerStatusTest, DeltaToTheLastRevisionIsApplied) {
+  EXPECT_FALSE(requests_full_status(7, 0, 5));
+  EXPECT_FALSE(requests_full_status(7, 5, 6));
 }
 
-// A status that was lost leaves a gap.
-TEST_F(PeerStatusTest, DeltaOnAnotherBaseAsksForAll) {
-  EXPECT_FALSE(asks_for_all(7, 0, 5));
-  EXPECT_FALSE(asks_for_all(7, 5, 6));
-  EXPECT_TRUE(asks_for_all(7, 5, 8));
+// A lost status message leaves a gap between two deltas.
+TEST_F(PeerStatusTest, DeltaToAnotherRevisionRequestsAFullStatus) {
+  EXPECT_FALSE(requests_full_status(7, 0, 5));
+  EXPECT_FALSE(requests_full_status(7, 5, 6));
+  EXPECT_TRUE(requests_full_status(7, 5, 8));
 }
 
-TEST_F(PeerStatusTest, DeltaOfANewIncarnationAsksForAll) {
-  EXPECT_FALSE(asks_for_all(7, 0, 5));
-  EXPECT_FALSE(asks_for_all(7, 5, 6));
-  EXPECT_TRUE(asks_for_all(9, 6, 8));
-  EXPECT_FALSE(asks_for_all(9, 0, 2));
+TEST_F(PeerStatusTest, DeltaOfANewIncarnationRequestsAFullStatus) {
+  EXPECT_FALSE(requests_full_status(7, 0, 5));
+  EXPECT_FALSE(requests_full_status(7, 5, 6));
+  EXPECT_TRUE(requests_full_status(9, 6, 8));
+  EXPECT_FALSE(requests_full_status(9, 0, 2));
 }
 
-// A peer whose offers were lost is forgotten until it sends its whole status.
-TEST_F(PeerStatusTest, OffersToThePeerWereLostAsksForAll) {
-  EXPECT_FALSE(asks_for_all(9, 0, 2));
+// A peer to which offers could not be delivered is removed until it sends a full status.
+TEST_F(PeerStatusTest, DeltaAfterLostOffersRequestsAFullStatus) {
+  EXPECT_FALSE(requests_full_status(9, 0, 2));
   controller_.offers_lost(peer_, {});
-  EXPECT_TRUE(asks_for_all(9, 2, 3));
+  EXPECT_TRUE(requests_full_status(9, 2, 3));
 }
 
-TEST_F(PeerStatusTest, NothingAcknowledgedSendsAll) {
+TEST_F(PeerStatusTest, PeerWithoutAcknowledgementIsSentAFullStatus) {
   EXPECT_EQ(status_since(), 0u);
 }
 
-TEST_F(PeerStatusTest, RevisionAcknowledgedSendsWhatChangedSince) {
+TEST_F(PeerStatusTest, PeerIsSentTheChangesSinceItsAcknowledgedRevision) {
   controller_.status_acknowledged(peer_, 4);
   EXPECT_EQ(status_since(), 4u);
 }
 
-TEST_F(PeerStatusTest, PeerAsksForAllSendsAll) {
+TEST_F(PeerStatusTest, PeerThatRequestsAFullStatusIsSentOne) {
   controller_.status_acknowledged(peer_, 4);
   controller_.status_acknowledged(peer_, 0);
   EXPECT_EQ(status_since(), 0u);
--- a/tests/status_revisions_test.cpp
+++ b/tests/status_revisions_test.cpp
@@ -1,4 +1,4 @@
-// What each peer has acknowledged of this controller's machines.
+// Tests the revisions of changes to machines, and which revisions peers have acknowledged.
 #include "coordination/machines/status_revisions.h"
 
 #include <gtest/gtest.h>
@@ -28,7 +28,7 @@
   EXPECT_EQ(revisions.acknowledged(MemberId("n1")), 4U);
 }
 
-TEST(StatusRevisions, FullStatusNamesNoMachinesThatLeft) {
+TEST(StatusRevisions, FullStatusListsNoMachinesThatLeft) {
   StatusRevisions revisions;
   const std::uint64_t before = revisions.advance();
   revisions.record_departure(kMachine);
@@ -37,7 +37,7 @@
   EXPECT_TRUE(revisions.departed_since(revisions.current()).empty());
 }
 
-TEST(StatusRevisions, MachineThatJoinsAgainHasNotLeft) {
+TEST(StatusRevisions, MachineThatRejoinsIsNotListedAsLeft) {
   StatusRevisions revisions;
   const std::uint64_t before = revisions.advance();
   revisions.record_departure(kMachine);
@@ -45,7 +45,7 @@
   EXPECT_TRUE(revisions.departed_since(before).empty());
 }
 
-TEST(StatusRevisions, MachineThatLeftIsKeptUntilEveryPeerKnows) {
+TEST(StatusRevisions, MachineThatLeftIsKeptUntilEveryPeerAcknowledgesIt) {
   StatusRevisions revisions;
   const std::uint64_t before = revisions.advance();
   revisions.acknowledge(MemberId("n1"), before);
@@ -58,8 +58,8 @@
   EXPECT_TRUE(revisions.departed_since(before).empty());
 }
 
-// A peer that asks for the full status holds nothing back.
-TEST(StatusRevisions, PeerWithoutStateHoldsNothingBack) {
+// A peer that requests a full status does not delay the removal of machines that left.
+TEST(StatusRevisions, PeerThatNeedsAFullStatusDoesNotDelayRemoval) {
   StatusRevisions revisions;
   const std::uint64_t before = revisions.advance();
   revisions.record_departure(kMachine);
--- a/tests/worker_contact_monitor_test.cpp
+++ b/tests/worker_contact_monitor_test.cpp
@@ -1,4 +1,4 @@
-// Whether a controller receives the heartbeats of its machines.
+// Tests whether a controller counts as receiving the heartbeats of its machines.
 #include "coordination/membership/worker_contact_monitor.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 
 class WorkerContactMonitorTest : public ::testing::Test {
  protected:
-  // A round with authority.
+  // Runs a round with authority.
   void round(const OverdueCounts& counts, double seconds) {
     monitor_.update_authority(true, at(seconds));
     monitor_.update_counts(counts, at(seconds));
@@ -25,21 +25,21 @@
   WorkerContactMonitor monitor_{pauses_};
 };
 
-TEST_F(WorkerContactMonitorTest, UnknownWithoutAuthority) {
+TEST_F(WorkerContactMonitorTest, ContactIsUnknownWithoutAuthority) {
   EXPECT_EQ(WorkerContact::kUnknown, contact({10, 0}, 0));  // no round yet
   round({10, 0}, 0);
   EXPECT_EQ(WorkerContact::kGood, contact({10, 0}, 1));
   EXPECT_EQ(WorkerContact::kUnknown, monitor_.contact({10, 0}, false, at(1)));
 }
 
-TEST_F(WorkerContactMonitorTest, GoodWhileAtMostAFifthIsOverdue) {
+TEST_F(WorkerContactMonitorTest, ContactIsGoodWhileAtMostAFifthIsOverdue) {
   round({10, 2}, 0);
   EXPECT_EQ(WorkerContact::kGood, contact({10, 2}, 1));
   EXPECT_EQ(WorkerContact::kUnknown, contact({10, 3}, 1));
   EXPECT_EQ(WorkerContact::kUnknown, contact({0, 0}, 1));
 }
 
-TEST_F(WorkerContactMonitorTest, LostOnceMostAreOverdueForAWhile) {
+TEST_F(WorkerContactMonitorTest, ContactIsLostOnceMostAreOverdueForASecond) {
   round({10, 8}, 0);
   EXPECT_EQ(WorkerContact::kUnknown, contact({10, 8}, 1));
   EXPECT_EQ(WorkerContact::kLost, contact({10, 8}, 1.1));
@@ -50,7 +50,7 @@
   EXPECT_EQ(WorkerContact::kUnknown, contact({1, 1}, 5));
 }
 
-TEST_F(WorkerContactMonitorTest, HeardMeanwhileStartsOver) {
+TEST_F(WorkerContactMonitorTest, HeartbeatsOrLossOfAuthorityRestartTheDelay) {
   round({10, 10}, 0);
   round({10, 0}, 0.9);
   round({10, 10}, 1);
@@ -60,7 +60,7 @@
   EXPECT_EQ(WorkerContact::kUnknown, contact({10, 10}, 2.5));
 }
 
-TEST_F(WorkerContactMonitorTest, ListensSinceItHasAuthorityAndRuns) {
+TEST_F(WorkerContactMonitorTest, ListeningStartsWithAuthorityAndAfterAPause) {
   EXPECT_EQ(base::Time{}, monitor_.listening_since());
   monitor_.update_authority(true, at(1));
   monitor_.update_authority(true, at(2));
