--- a/src/coordination/machines/capacity_calculator.cpp
+++ b/src/coordination/machines/capacity_calculator.cpp
@@ -92,7 +92,7 @@
     }
   }
   for (double& amount : capacity.free.v) amount = std::max(amount, 0.0);
-  // The attempt is being stopped, and its request is unknown because its job is.
+  // The attempt is being stopped, and its request is unknown because its job is not known here.
   if (runs_unknown_job) capacity.free = {};
 }
 
--- a/src/coordination/membership/authority_lease.h
+++ b/src/coordination/membership/authority_lease.h
@@ -1,7 +1,8 @@
 // The right of this process to act as a controller: its incarnation, its lease in the state
 // service, and its authority, which is the right to answer workers and send them commands.
 //
-// Holds state only; takes the time as an argument. Not safe for use from several threads at once.
+// Holds state only; calls take the time as an argument. Not safe for use from several threads at
+// once.
 #pragma once
 
 #include <cstdint>
--- a/src/coordination/membership/leadership.h
+++ b/src/coordination/membership/leadership.h
@@ -14,7 +14,7 @@
 // Detects when this process gains or loses leadership.
 class Leadership {
  public:
-  // Both must outlive this object.
+  // The cache and the authority must outlive this object.
   Leadership(const storage::StateCache& cache, const AuthorityLease& authority)
       : cache_(cache), authority_(authority) {}
 
--- a/src/coordination/membership/membership_proposals.h
+++ b/src/coordination/membership/membership_proposals.h
@@ -3,7 +3,8 @@
 // preconditions are the versions of all keys that the decision used, so that a late or outdated
 // proposal is refused.
 //
-// Holds state only; takes the time as an argument. Not safe for use from several threads at once.
+// Holds state only; calls take the time as an argument. Not safe for use from several threads at
+// once.
 #pragma once
 
 #include <functional>
@@ -63,8 +64,8 @@
   struct Connectivity {
     std::size_t others = 0;     // members besides this one
     std::size_t reachable = 0;  // other members that calls of this one reach
-    bool others_are_connected =
-        false;  // whether any other member's record says that it reaches a member
+    // Whether any other member's record says that it reaches at least one member.
+    bool others_are_connected = false;
     bool is_isolated() const { return reachable == 0 && others_are_connected; }
   };
 
--- a/src/coordination/membership/ownership.h
+++ b/src/coordination/membership/ownership.h
@@ -26,7 +26,7 @@
 // Looks up the owners of machines and installs views.
 class Ownership {
  public:
-  // Both must outlive this object.
+  // The cache and the authority must outlive this object.
   Ownership(const storage::StateCache& cache, const AuthorityLease& authority)
       : cache_(cache), authority_(authority) {}
 
--- a/src/coordination/membership/ownership_claims.h
+++ b/src/coordination/membership/ownership_claims.h
@@ -5,7 +5,8 @@
 // redirects it to the owner. If it keeps coming back, this controller claims it, and the leader
 // assigns it to this controller by an ownership override.
 //
-// Holds state only; takes the time as an argument. Not safe for use from several threads at once.
+// Holds state only; calls take the time as an argument. Not safe for use from several threads at
+// once.
 #pragma once
 
 #include <map>
@@ -22,7 +23,7 @@
 // Tracks redirected heartbeats and decides which machines this controller claims.
 class OwnershipClaims {
  public:
-  // All of these must outlive this object.
+  // All arguments must outlive this object.
   OwnershipClaims(const base::Settings& settings, const Ownership& ownership,
                   const PeerRegistry& peers)
       : settings_(settings), ownership_(ownership), peers_(peers) {}
