--- a/src/coordination/machines/machine_registry.cpp
+++ b/src/coordination/machines/machine_registry.cpp
@@ -76,7 +76,7 @@
   if (!is_new && !known->second.is_newer(heartbeat)) return nullptr;
   Machine& machine = is_new ? add_machine(heartbeat, now) : known->second;
   if (!is_new && heartbeat.agent_incarnation != machine.last_heartbeat.agent_incarnation) {
-    spdlog::info("agent restarted, earlier tasks are over: machine={} agent_incarnation={}",
+    spdlog::info("agent restarted, its earlier tasks have ended: machine={} agent_incarnation={}",
                  heartbeat.machine.get(), heartbeat.agent_incarnation.get());
     machine.begin_agent_incarnation(now);
   }
@@ -116,7 +116,7 @@
   if (!notice || machine.taken_at) return;
   machine.taken_at = base::after(now, *notice);
   machine.cordoned = true;
-  spdlog::info("cloud will reclaim the machine: machine={} in_s={:.1f}",
+  spdlog::info("cloud will reclaim the machine: machine={} seconds_left={:.1f}",
                machine.last_heartbeat.machine.get(), notice->count());
 }
 
