--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -248,9 +248,13 @@
     return ownership_.owner(machine);
   }
   bool owns(const MachineId& machine) const { return ownership_.owns(machine); }
-  bool is_schedulable(const Machine& m, Time now) const { return machines_.is_schedulable(m, now); }
+  bool is_schedulable(const Machine& machine, Time now) const {
+    return machines_.is_schedulable(machine, now);
+  }
   void record_heartbeat(const Heartbeat& heartbeat, HeartbeatSource source, Time now);
-  const storage::MachineCapacity& capacity(const Machine& m) const { return capacity_.of(m); }
+  const storage::MachineCapacity& capacity(const Machine& machine) const {
+    return capacity_.of(machine);
+  }
   // Returns the machines of this member that the leader should release: drained ones and silent
   // ones.
   std::vector<MachineId> release_requests() const;
@@ -263,7 +267,7 @@
   protocol::WorkerContact worker_contact(Time now) const;
   void watch_contact(Time now) { contact_monitor_.update_counts(count_overdue(now), now); }
   OverdueCounts count_overdue(Time now) const;
-  bool is_overdue(const Machine& m, Time now) const;
+  bool is_overdue(const Machine& machine, Time now) const;
   // Returns the machines that this controller owns and whose heartbeats are overdue or never
   // arrived.
   std::vector<MachineId> silent_machines(Time now) const;
@@ -271,9 +275,9 @@
   // itself.
   MemberReport own_report(Time now);
   std::string zone_of(const MachineId& machine) const { return machines_.zone_of(machine); }
-  static bool reported_ended(const Machine& m, const TaskId& task,
+  static bool reported_ended(const Machine& machine, const TaskId& task,
                              const protocol::Assignment& assignment) {
-    return m.reported_ended(task, assignment);
+    return machine.reported_ended(task, assignment);
   }
   // A job that was offered to this member, with those of its tasks that wait for a machine here.
   struct WaitingJob {
@@ -310,7 +314,7 @@
   std::vector<WaitingJob> waiting_jobs(WriteBudget write_budget, Time now,
                                        const RecordBatch& batch);
   // Fills in the zones of the job's assigned tasks.
-  void find_zones(WaitingJob& w) const;
+  void find_zones(WaitingJob& waiting_job) const;
   OpenMachines open_machines(Time now);
   // Returns the jobs' order by due time if the waiting tasks exceed the free capacity; otherwise
   // all zeros.
@@ -320,9 +324,10 @@
   void place(std::vector<WaitingJob>& waiting, Time now, RoundPlan& plan);
   // Returns whether another task of the job may start on the machine. `planned`: the resources that
   // this round already gives to the job's team.
-  bool may_start(const WaitingJob& w, const Heartbeat& heartbeat, const Resources& planned) const;
+  bool may_start(const WaitingJob& waiting_job, const Heartbeat& heartbeat,
+                 const Resources& planned) const;
   // Returns how well the machine suits the job: lower is better, negative means never.
-  int preference(const protocol::JobSpec& spec, const Machine& m,
+  int preference(const protocol::JobSpec& spec, const Machine& machine,
                  std::optional<Seconds> start_within, bool displaces, Time now) const;
   // Adds the plan's starts to the batch and drops those that the batch cannot take.
   static void record_starts(RecordBatch& batch, RoundPlan& plan);
@@ -370,7 +375,7 @@
   // Updates the set of silent machines whose release is requested.
   void update_silent_machines(const SilenceCensus& census, Time now);
   // Stops one service on a draining machine if another machine can take it now.
-  void move_service_away(Machine& m, const Partitions& known, Time now);
+  void move_service_away(Machine& machine, const Partitions& known, Time now);
   // Returns the autoscaler's input: the machines of all members that reported within the last
   // minute.
   FleetStatus fleet_status(Time now, double wall_now);
@@ -385,7 +390,7 @@
   // no heartbeat since it became the owner.
   const std::vector<MachineId>& unheard_owned(Time now);
   // Returns the time that the machine needs to fetch the job's image; 0 if the image is there.
-  Seconds fetch_time(const Machine& m, const protocol::JobSpec& spec) const;
+  Seconds fetch_time(const Machine& machine, const protocol::JobSpec& spec) const;
   // Returns the machines of this member and of each peer whose last status is at most `max_age`
   // old. The pointers are valid until the machines or the peers' statuses change.
   Partitions partitions(Time now, Seconds max_age);
--- a/src/coordination/membership/reachability.cpp
+++ b/src/coordination/membership/reachability.cpp
@@ -29,8 +29,8 @@
 OverdueCounts Controller::count_overdue(Time now) const {
   OverdueCounts counts;
   counts.owned = machines_.size();
-  for (const auto& [id, m] : machines_) {
-    if (is_overdue(m, now)) ++counts.overdue;
+  for (const auto& [id, machine] : machines_) {
+    if (is_overdue(machine, now)) ++counts.overdue;
   }
   for (const auto& [id, since] : owned_since_) {
     if (machines_.contains(id) || released_.contains(id) || cache_.assignments_on(id).empty())
@@ -42,15 +42,15 @@
   return counts;
 }
 
-bool Controller::is_overdue(const Machine& m, Time now) const {
-  const Time last_contact_at = std::max(m.last_heartbeat_at, listening_since());
+bool Controller::is_overdue(const Machine& machine, Time now) const {
+  const Time last_contact_at = std::max(machine.last_heartbeat_at, listening_since());
   return base::between(last_contact_at, now) > settings_.heartbeat_interval * kOverdueIntervals;
 }
 
 std::vector<MachineId> Controller::silent_machines(Time now) const {
   std::vector<MachineId> silent;
-  for (const auto& [id, m] : machines_) {
-    if (is_overdue(m, now)) silent.push_back(id);
+  for (const auto& [id, machine] : machines_) {
+    if (is_overdue(machine, now)) silent.push_back(id);
   }
   for (const auto& [id, assignments] : cache_.assigned()) {
     if (owns(id) && !machines_.contains(id)) silent.push_back(id);
