--- a/src/coordination/membership/ownership_transfers.h
+++ b/src/coordination/membership/ownership_transfers.h
@@ -59,7 +59,7 @@
                                      const MemberReport& own, base::Time now) const;
   std::vector<base::MachineId> silent_machines_of(const protocol::ControllerIncarnation& member,
                                                   const MemberReport& own) const;
-  bool is_fresh(const Peer& peer, base::Time now) const;
+  bool is_recent(const Peer& peer, base::Time now) const;
 
   Inputs inputs_;
   std::optional<base::Time> pending_since_;  // since when transfers wait to become due
