--- a/src/coordination/scheduling/record_batch.cpp
+++ b/src/coordination/scheduling/record_batch.cpp
@@ -15,70 +15,73 @@
 
 namespace {
 
-constexpr std::size_t kMaxBytes = 48u << 10;  // a transaction holds 64 KiB in all
-constexpr std::size_t kRecordBytes = 200;     // about, without its assignments
-constexpr std::size_t kAssignmentBytes = 48;  // about
-// The job's final state, its record and its serialization key.
+// Limit on the estimated size; the state service accepts transactions of up to 64 KiB.
+constexpr std::size_t kMaxBytes = 48u << 10;
+constexpr std::size_t kRecordBytes = 200;     // estimate, without the record's assignments
+constexpr std::size_t kAssignmentBytes = 48;  // estimate
+// A finalization writes the job's final state, its record and its serialization key.
 constexpr std::size_t kWritesPerFinalization = 3;
 
-// No single record shows where all tasks of such a job are: two transactions that start tasks of it must
-// not commit side by side.
+// Returns whether transactions that start tasks of the job must be serialized. That is the case if the
+// job has zone constraints and several task records, since no single record then shows the zones of all
+// its tasks.
 bool needs_serialized_starts(const Job& job) {
   const auto& spec = job.record.spec;
   return (spec.one_zone || spec.spread) && job.chunks.size() > 1;
 }
 
-TaskNo index_in_record(const Job& job, TaskNo no) {
-  return no - job.record.first_task(job.record.chunk_of(no));
+TaskNo index_in_record(const Job& job, TaskNo task) {
+  return task - job.record.first_task(job.record.chunk_of(task));
 }
 
 }  // namespace
 
-const RecordBatch::Edit* RecordBatch::find(const Job& job, TaskNo no) const {
-  const auto at = edits_.find({job.record.spec.id, job.record.chunk_of(no)});
-  return at == edits_.end() ? nullptr : &at->second;
+const RecordBatch::RecordEdit* RecordBatch::find_edit(const Job& job, TaskNo task) const {
+  const auto entry = edits_.find({job.record.spec.id, job.record.chunk_of(task)});
+  return entry == edits_.end() ? nullptr : &entry->second;
 }
 
-bool RecordBatch::is_assigned(const Job& job, TaskNo no) const {
-  const Edit* e = find(job, no);
-  return e ? e->record.assigned.contains(no) : job.assignment(no) != nullptr;
+bool RecordBatch::is_assigned(const Job& job, TaskNo task) const {
+  const RecordEdit* edit = find_edit(job, task);
+  return edit ? edit->record.assigned.contains(task) : job.assignment(task) != nullptr;
 }
 
-bool RecordBatch::is_done(const Job& job, TaskNo no) const {
-  const Edit* e = find(job, no);
-  return e ? e->record.done[index_in_record(job, no)] : job.is_done(no);
+bool RecordBatch::is_done(const Job& job, TaskNo task) const {
+  const RecordEdit* edit = find_edit(job, task);
+  return edit ? edit->record.done[index_in_record(job, task)] : job.is_done(task);
 }
 
-bool RecordBatch::writes_record_of(const Job& job, TaskNo no) const {
-  return find(job, no) != nullptr;
+bool RecordBatch::writes_record_of(const Job& job, TaskNo task) const {
+  return find_edit(job, task) != nullptr;
 }
 
-RecordBatch::Edit* RecordBatch::edit(const Job& job, TaskNo no) {
-  const std::uint32_t chunk = job.record.chunk_of(no);
+RecordBatch::RecordEdit* RecordBatch::find_or_add_edit(const Job& job, TaskNo task) {
+  const std::uint32_t chunk = job.record.chunk_of(task);
   const ChunkId id{job.record.spec.id, chunk};
-  if (const auto at = edits_.find(id); at != edits_.end()) return &at->second;
-  const bool full = writes() + 1 > settings_.txn_ops;
-  if (!full) bytes_ += kRecordBytes + job.chunks[chunk].record.assigned.size() * kAssignmentBytes;
-  if (full || (bytes_ > kMaxBytes && !edits_.empty())) {
-    is_overfull_ = true;
+  if (const auto entry = edits_.find(id); entry != edits_.end()) return &entry->second;
+  const bool operations_exhausted = write_count() + 1 > settings_.txn_ops;
+  if (!operations_exhausted)
+    estimated_bytes_ += kRecordBytes + job.chunks[chunk].record.assigned.size() * kAssignmentBytes;
+  if (operations_exhausted || (estimated_bytes_ > kMaxBytes && !edits_.empty())) {
+    is_full_ = true;
     return nullptr;
   }
-  return &edits_.emplace(id, Edit{&job, job.chunks[chunk].record, false}).first->second;
+  return &edits_.emplace(id, RecordEdit{&job, job.chunks[chunk].record, false}).first->second;
 }
 
 bool RecordBatch::add_completion(const TaskId& task, bool done) {
   const Job* job = cache_.job(task.job);
-  Edit* e = job ? edit(*job, task.no) : nullptr;
-  if (!e) return false;
-  e->record.assigned.erase(task.no);
-  if (done) e->record.done[index_in_record(*job, task.no)] = true;
+  RecordEdit* edit = job ? find_or_add_edit(*job, task.no) : nullptr;
+  if (!edit) return false;
+  edit->record.assigned.erase(task.no);
+  if (done) edit->record.done[index_in_record(*job, task.no)] = true;
   return true;
 }
 
 std::optional<Attempt> RecordBatch::add_start(const TaskId& task, Assignment assignment) {
   const Job* job = cache_.job(task.job);
-  // All starts pass here, whoever offered the task: none before the job's dependencies are recorded as
-  // done, and none of a cancelled job.
+  // Every start is checked here, no matter which controller offered the task: no task starts before the
+  // job's dependencies are recorded as done, or after the job was cancelled.
   if (!job || job->blocked || job->cancelled()) return {};
   if (!record_fits_start(*job, task.no, assignment)) return {};
   const auto& spec = job->record.spec;
@@ -88,25 +91,27 @@
   std::size_t new_writes = writes_record_of(*job, task.no) ? 0 : 1;
   if (!team_key.empty() && !team_keys_.contains(team_key)) ++new_writes;
   if (!job_key.empty() && !job_keys_.contains(job_key)) ++new_writes;
-  if (writes() + new_writes > settings_.txn_ops) {
-    is_overfull_ = true;
+  if (write_count() + new_writes > settings_.txn_ops) {
+    is_full_ = true;
     return {};
   }
-  Edit* e = edit(*job, task.no);
-  if (!e) return {};
-  assignment.attempt = e->record.next;
-  e->has_starts = true;
-  e->record.assigned[task.no] = assignment;
+  RecordEdit* edit = find_or_add_edit(*job, task.no);
+  if (!edit) return {};
+  assignment.attempt = edit->record.next;
+  edit->has_starts = true;
+  edit->record.assigned[task.no] = assignment;
   if (!team_key.empty()) team_keys_.insert(team_key);
   if (!job_key.empty()) job_keys_.insert(job_key);
   return assignment.attempt;
 }
 
-// Does the record fit into a value of the store with one more assignment? One that was written under a
-// larger limit takes starts again once enough of its tasks have ended.
-bool RecordBatch::record_fits_start(const Job& job, TaskNo no, const Assignment& assignment) const {
-  const Edit* e = find(job, no);
-  const auto& record = e ? e->record : job.chunks[job.record.chunk_of(no)].record;
+// Returns whether the task's record, with one more assignment, stays within the store's limit on values.
+// A record that was written under a larger limit accepts starts again once enough of its tasks have
+// ended.
+bool RecordBatch::record_fits_start(const Job& job, TaskNo task,
+                                    const Assignment& assignment) const {
+  const RecordEdit* edit = find_edit(job, task);
+  const auto& record = edit ? edit->record : job.chunks[job.record.chunk_of(task)].record;
   return protocol::encoded_size_bound(record) + protocol::encoded_size_bound(assignment) <=
          settings_.value_bytes;
 }
@@ -115,8 +120,8 @@
                                         const std::vector<TaskCompletion>& completions) const {
   protocol::ChunkRecord record = job.chunks[chunk].record;
   for (const TaskCompletion& completion : completions) {
-    record.assigned.erase(completion.no);
-    if (completion.done) record.done[index_in_record(job, completion.no)] = true;
+    record.assigned.erase(completion.task);
+    if (completion.done) record.done[index_in_record(job, completion.task)] = true;
   }
   return protocol::encoded_size_bound(record) <= settings_.value_bytes;
 }
@@ -125,22 +130,23 @@
   struct Counts {
     TaskNo done = 0, assigned = 0;
   };
-  std::map<JobId, Counts> after;  // with the changes of this batch
-  for (const auto& [id, e] : edits_) {
-    auto& counts = after.try_emplace(id.job, Counts{e.job->done, e.job->assigned}).first->second;
-    const auto& before = e.job->chunks[id.chunk].record;
-    counts.done += e.record.done_count() - before.done_count();
-    counts.assigned +=
-        static_cast<TaskNo>(e.record.assigned.size()) - static_cast<TaskNo>(before.assigned.size());
+  std::map<JobId, Counts> after;  // including the changes of this batch
+  for (const auto& [id, edit] : edits_) {
+    auto& counts =
+        after.try_emplace(id.job, Counts{edit.job->done, edit.job->assigned}).first->second;
+    const auto& before = edit.job->chunks[id.chunk].record;
+    counts.done += edit.record.done_count() - before.done_count();
+    counts.assigned += static_cast<TaskNo>(edit.record.assigned.size()) -
+                       static_cast<TaskNo>(before.assigned.size());
   }
-  std::size_t all_writes = writes();
+  std::size_t total_writes = write_count();
   std::set<JobId> finalized;
   for (const auto& [id, counts] : after) {
     const Job& job = *cache_.job(id);
     const bool is_over = job.cancelled_on_record() || counts.done >= job.record.spec.tasks;
     if (counts.assigned > 0 || !is_over || !cache_.is_settled(job)) continue;
-    if (all_writes + kWritesPerFinalization > settings_.txn_ops) continue;
-    all_writes += kWritesPerFinalization;
+    if (total_writes + kWritesPerFinalization > settings_.txn_ops) continue;
+    total_writes += kWritesPerFinalization;
     finalized.insert(id);
   }
   return finalized;
@@ -148,44 +154,47 @@
 
 Transaction RecordBatch::build(const protocol::ControllerIncarnation& self, Version view,
                                double time_of_day) const {
-  Transaction txn;
-  txn.preconditions[protocol::kViewKey] = view;
+  Transaction transaction;
+  transaction.preconditions[protocol::kViewKey] = view;
   const std::set<JobId> finalized = finalized_jobs();
-  for (const auto& [id, e] : edits_) {
-    const std::string key = e.job->record.record_key(id.chunk);
-    txn.preconditions[key] = e.job->chunks[id.chunk].version;
-    guard_whole_chunk(txn, *e.job, id.chunk);
+  for (const auto& [id, edit] : edits_) {
+    const std::string key = edit.job->record.record_key(id.chunk);
+    transaction.preconditions[key] = edit.job->chunks[id.chunk].version;
+    guard_whole_chunk(transaction, *edit.job, id.chunk);
     if (finalized.contains(id.job)) continue;
-    protocol::ChunkRecord record = e.record;
-    if (e.has_starts) {
+    protocol::ChunkRecord record = edit.record;
+    if (edit.has_starts) {
       record.next = Attempt(record.next.get() + 1);
-      txn.preconditions[protocol::job_key(id.job)] = e.job->version;
+      transaction.preconditions[protocol::job_key(id.job)] = edit.job->version;
     }
-    txn.writes.push_back({key, to_json(record, e.job->chunk_first(id.chunk)), {}});
+    transaction.writes.push_back({key, to_json(record, edit.job->chunk_first(id.chunk)), {}});
   }
-  add_serialization_keys(txn, self);
-  for (const JobId& id : finalized) add_finalization(txn, *cache_.job(id), time_of_day);
-  // Last: these preconditions take only what the transaction's limit leaves.
-  for (const JobId& id : finalized) guard_task_records(txn, *cache_.job(id), settings_.txn_ops);
-  return txn;
+  add_serialization_keys(transaction, self);
+  for (const JobId& id : finalized) add_finalization(transaction, *cache_.job(id), time_of_day);
+  // Added last: these use only the preconditions that the transaction's limit leaves over.
+  for (const JobId& id : finalized)
+    guard_task_records(transaction, *cache_.job(id), settings_.txn_ops);
+  return transaction;
 }
 
-// A piece of a chunk that was split is described by that chunk until it has a record of its own: the
-// chunk must still be at the version that the cache has of it.
-void RecordBatch::guard_whole_chunk(Transaction& txn, const Job& job, std::uint32_t piece) {
+// Adds the precondition that the undivided chunk of a split record is still at the cached version: until
+// a piece has a record of its own, its state is derived from that chunk.
+void RecordBatch::guard_whole_chunk(Transaction& transaction, const Job& job, std::uint32_t piece) {
   if (job.whole.empty()) return;
   const std::uint32_t chunk = piece / job.record.pieces_of_chunk();
-  txn.preconditions[protocol::chunk_key(job.record.spec.id, chunk)] = job.whole[chunk].version;
+  transaction.preconditions[protocol::chunk_key(job.record.spec.id, chunk)] =
+      job.whole[chunk].version;
 }
 
-// Serializes the starts of a team with a quota, and of a job with zone constraints, across all
-// controllers: what the state cache counts up to this version then misses no earlier start.
-void RecordBatch::add_serialization_keys(Transaction& txn,
+// Serializes the starts of teams with a quota and of jobs with zone constraints across all controllers:
+// every such transaction writes the same key, so that the cached counts at the key's version include all
+// earlier starts.
+void RecordBatch::add_serialization_keys(Transaction& transaction,
                                          const protocol::ControllerIncarnation& self) const {
   for (const auto& keys : {team_keys_, job_keys_}) {
     for (const std::string& key : keys) {
-      txn.preconditions[key] = cache_.version(key);
-      txn.writes.push_back({key, to_json(self), {}});
+      transaction.preconditions[key] = cache_.version(key);
+      transaction.writes.push_back({key, to_json(self), {}});
     }
   }
 }
--- a/src/coordination/scheduling/scheduling_round.cpp
+++ b/src/coordination/scheduling/scheduling_round.cpp
@@ -1,4 +1,5 @@
-// A round of one controller: waiting tasks get machines, and one batched record is made of starts and ends.
+// The scheduling round of a controller: assigns waiting tasks to machines and collects the starts and
+// completions of tasks into one transaction.
 #include <algorithm>
 #include <cmath>
 
@@ -14,37 +15,41 @@
 
 namespace {
 
-constexpr Seconds kPeerCapacityFresh{4.0};  // a peer's status is relied on for this long
+constexpr Seconds kPeerStatusMaxAge{4.0};  // a peer whose last status is older gets no offers
 constexpr Seconds kReservationDuration{60.0};
-constexpr std::size_t kMachinesPerReservation = 20;  // one machine of so many, and one more
-constexpr int kSlowFetch = 6;  // the pass of machines that can't fetch the image in time
+// The controller reserves at most one in this many of its machines for starving jobs, plus one.
+constexpr std::size_t kMachinesPerReservation = 20;
+constexpr int kSlowFetchPass = 6;  // packing pass of machines that cannot fetch the image in time
 
 }  // namespace
 
-// Keeps a machine free of other work until a task of the job fits on it. Under lasting overload a
-// large task would never find room that small ones did not take first.
+// Reserves a machine for a starving job until one of the job's tasks fits on it. Without the
+// reservation, smaller tasks would take all capacity that becomes free under sustained overload, and a
+// large task would never start.
 void Controller::reserve_capacity(const Job& job, Time now) {
   const auto& spec = job.record.spec;
   const Machine* best = nullptr;
-  // Kept free, machines do nothing: when most of what waits has waited long, only a few are.
+  // A reserved machine is partly idle, so the number of reservations is limited even if most waiting
+  // jobs are starving.
   if (reservations_.starving_count() > machines_.size() / kMachinesPerReservation) return;
-  for (const auto& [id, m] : machines_) {
+  for (const auto& [id, machine] : machines_) {
     if (reservations_.is_reserved_for(id, spec.id)) return;
-    if (reservations_.is_reserved(id) || m.cordoned || !is_schedulable(m, now) ||
-        !may_run(spec, m.last_heartbeat.type, m.last_heartbeat.zone, m.last_heartbeat.spot)) {
+    if (reservations_.is_reserved(id) || machine.cordoned || !is_schedulable(machine, now) ||
+        !may_run(spec, machine.last_heartbeat.type, machine.last_heartbeat.zone,
+                 machine.last_heartbeat.spot)) {
       continue;
     }
-    // What it will have once the tasks that end by themselves have ended.
-    Resources later = capacity(m).free;
+    // The machine's free capacity once all its tasks except those of services have completed.
+    Resources expected_free = capacity(machine).free;
     for (const auto& [task, assignment] : cache_.assignments_on(id)) {
-      const Job* other = cache_.job(task.job);
-      if (other && other->record.spec.kind != Kind::kService &&
-          !reported_ended(m, task, assignment)) {
-        later += other->record.spec.request;
+      const Job* other_job = cache_.job(task.job);
+      if (other_job && other_job->record.spec.kind != Kind::kService &&
+          !reported_ended(machine, task, assignment)) {
+        expected_free += other_job->record.spec.request;
       }
     }
-    if (!later.fits(spec.request)) continue;
-    if (!best || capacity(m).free.cores() > capacity(*best).free.cores()) best = &m;
+    if (!expected_free.fits(spec.request)) continue;
+    if (!best || capacity(machine).free.cores() > capacity(*best).free.cores()) best = &machine;
   }
   if (!best) return;
   spdlog::info("capacity reserved for starving job: machine={} job={}",
@@ -53,13 +58,14 @@
                                          base::after(now, kReservationDuration));
 }
 
-Seconds Controller::fetch_time(const Machine& m, const protocol::JobSpec& spec) const {
-  if (m.has_image(spec.image)) return Seconds(0);
-  const auto* type = cache_.type(m.last_heartbeat.type);
+Seconds Controller::fetch_time(const Machine& machine, const protocol::JobSpec& spec) const {
+  if (machine.has_image(spec.image)) return Seconds(0);
+  const auto* type = cache_.type(machine.last_heartbeat.type);
   if (!type || type->fetch_gb_per_s <= 0) return Seconds(0);
-  // Images fetched at the same time share the rate.
-  const double sharing = 1.0 + static_cast<double>(m.pulling.size() - m.pulling.count(spec.image));
-  return Seconds(spec.image_gb / type->fetch_gb_per_s * sharing);
+  // Concurrent image fetches share the machine's fetch rate.
+  const double concurrent_fetches =
+      1.0 + static_cast<double>(machine.pulling.size() - machine.pulling.count(spec.image));
+  return Seconds(spec.image_gb / type->fetch_gb_per_s * concurrent_fetches);
 }
 
 void Controller::offers_lost(const MemberId& member, const std::vector<protocol::Offers>& offers) {
@@ -74,7 +80,7 @@
   if (jobs.empty()) return {};
   priorities_.update(now);
   RoutingInput input{now, self_, {}, [&](const JobId& job) { return is_crash_looping(job, now); }};
-  for (auto& [member, machines] : partitions(now, kPeerCapacityFresh)) {
+  for (auto& [member, machines] : partitions(now, kPeerStatusMaxAge)) {
     input.partitions.push_back({member, std::move(machines)});
   }
   return offer_router_.route(jobs, input);
@@ -96,14 +102,14 @@
   RecordBatch batch(settings_, cache_);
   std::vector<RoundPlan::Completion> completions;
   collect_completions(now, completions);
-  std::vector<RoundPlan::Completion> later =
+  std::vector<RoundPlan::Completion> deferred =
       record_completions(std::move(completions), write_budget, now, batch, plan);
   std::vector<WaitingJob> waiting = waiting_jobs(write_budget, now, batch);
   place(waiting, now, plan);
   record_starts(batch, plan);
-  record_deferred_completions(std::move(later), write_budget, now, batch, plan);
+  record_deferred_completions(std::move(deferred), write_budget, now, batch, plan);
   free_capacity(waiting, plan, now);
-  plan.more = batch.is_overfull();
+  plan.more = batch.is_full();
   if (!batch.empty()) plan.txn = batch.build(self_, installed_view_, priorities_.time_of_day(now));
   return plan;
 }
@@ -112,67 +118,72 @@
                                                              const RecordBatch& batch) {
   offer_pool_.expire(now);
   std::vector<WaitingJob> waiting;
-  std::map<JobId, std::size_t> index;
+  std::map<JobId, std::size_t> index_by_job;
   for (const PooledOffer& offer : offer_pool_.offers()) {
     const Job* job = cache_.job(offer.job);
     if (!job || job->cancelled() || job->blocked) continue;
     if (write_budget == WriteBudget::kExhausted && !priorities_.is_urgent(*job)) continue;
     if (!failures_.may_retry(offer.job, now)) continue;
-    const auto [at, is_new] = index.try_emplace(offer.job, waiting.size());
+    const auto [entry, is_new] = index_by_job.try_emplace(offer.job, waiting.size());
     if (is_new) waiting.push_back({job, {}, {}, true});
-    WaitingJob& w = waiting[at->second];
+    WaitingJob& waiting_job = waiting[entry->second];
     for (const auto& [first, count] : offer.ranges) {
-      for (TaskNo no = first; no - first < count && no < job->record.spec.tasks; ++no) {
-        if (!batch.is_assigned(*job, no) && !batch.is_done(*job, no)) w.tasks.push_back(no);
+      for (TaskNo task = first; task - first < count && task < job->record.spec.tasks; ++task) {
+        if (!batch.is_assigned(*job, task) && !batch.is_done(*job, task))
+          waiting_job.tasks.push_back(task);
       }
     }
-    std::sort(w.tasks.begin(), w.tasks.end());
-    w.tasks.erase(std::unique(w.tasks.begin(), w.tasks.end()), w.tasks.end());
+    std::sort(waiting_job.tasks.begin(), waiting_job.tasks.end());
+    waiting_job.tasks.erase(std::unique(waiting_job.tasks.begin(), waiting_job.tasks.end()),
+                            waiting_job.tasks.end());
   }
-  std::erase_if(waiting, [](const WaitingJob& w) { return w.tasks.empty(); });
-  for (WaitingJob& w : waiting) find_zones(w);
+  std::erase_if(waiting, [](const WaitingJob& waiting_job) { return waiting_job.tasks.empty(); });
+  for (WaitingJob& waiting_job : waiting) find_zones(waiting_job);
   return waiting;
 }
 
-// Where the tasks of a job that shares or avoids zones are.
-void Controller::find_zones(WaitingJob& w) const {
-  const auto& spec = w.job->record.spec;
+// Counts the assigned tasks by zone for a job that must keep to one zone or spread over zones.
+void Controller::find_zones(WaitingJob& waiting_job) const {
+  const auto& spec = waiting_job.job->record.spec;
   if (!spec.one_zone && !spec.spread) return;
-  for (const auto& chunk : w.job->chunks) {
-    for (const auto& [no, assignment] : chunk.record.assigned) {
+  for (const auto& chunk : waiting_job.job->chunks) {
+    for (const auto& [task, assignment] : chunk.record.assigned) {
       const std::string zone = zone_of(assignment.machine);
-      if (zone.empty()) w.zones_known = false;  // somewhere, and nobody said where: wait
-      ++w.zones[zone];
+      // The zone is empty if this controller does not know the machine's zone yet.
+      if (zone.empty()) waiting_job.zones_known = false;
+      ++waiting_job.zones[zone];
     }
   }
 }
 
 Controller::OpenMachines Controller::open_machines(Time now) {
   OpenMachines open;
-  for (auto& [id, m] : machines_) {
-    const auto* type = cache_.type(m.last_heartbeat.type);
+  for (auto& [id, machine] : machines_) {
+    const auto* type = cache_.type(machine.last_heartbeat.type);
     if (!type) continue;
     for (std::size_t i = 0; i < open.scale.v.size(); ++i) {
       open.scale.v[i] = std::max(open.scale.v[i], type->size.v[i]);
     }
-    if (m.cordoned || !is_schedulable(m, now)) continue;
-    open.bins.push_back({capacity(m).free});
-    open.machines.push_back(&m);
+    if (machine.cordoned || !is_schedulable(machine, now)) continue;
+    open.bins.push_back({capacity(machine).free});
+    open.machines.push_back(&machine);
   }
   return open;
 }
 
-// When more waits than there is room for, what is due first goes first, job by job; else all of a
-// rank go by the score alone.
+// Returns each job's position within its tier. If the waiting tasks request more than the free
+// capacity, jobs are placed in the order of their due times; otherwise all positions are 0 and the
+// packing score alone decides.
 std::vector<int> Controller::order_by_due(const std::vector<WaitingJob>& waiting,
                                           const std::vector<Bin>& bins, Time now) const {
   std::vector<int> order(waiting.size(), 0);
-  Resources wanted, room;
-  for (const WaitingJob& w : waiting) {
-    wanted += w.job->record.spec.request * static_cast<double>(w.tasks.size());
+  Resources requested, free;
+  for (const WaitingJob& waiting_job : waiting) {
+    requested +=
+        waiting_job.job->record.spec.request * static_cast<double>(waiting_job.tasks.size());
   }
-  for (const Bin& b : bins) room += b.free;
-  if (room.fits(wanted)) return order;
+  for (const Bin& bin : bins) free += bin.free;
+  if (free.fits(requested)) return order;
   std::vector<std::pair<double, std::size_t>> by_due;
   for (std::size_t i = 0; i < waiting.size(); ++i) {
     by_due.emplace_back(priorities_.due(*waiting[i].job, now), i);
@@ -184,115 +195,125 @@
 
 void Controller::place(std::vector<WaitingJob>& waiting, Time now, RoundPlan& plan) {
   OpenMachines open = open_machines(now);
-  const std::vector<int> order = order_by_due(waiting, open.bins, now);
-  const int jobs = static_cast<int>(waiting.size()) + 1;
-  std::map<std::string, Resources> planned;  // by team, in this plan
+  const std::vector<int> due_order = order_by_due(waiting, open.bins, now);
+  const int tier_stride = static_cast<int>(waiting.size()) + 1;
+  std::map<std::string, Resources> planned;  // requests of the planned starts, by team
   std::vector<Group> groups;
   for (std::size_t i = 0; i < waiting.size(); ++i) {
-    WaitingJob& w = waiting[i];
-    const auto& spec = w.job->record.spec;
-    const auto first = starving_tasks(*w.job, now);
-    if (first && w.tasks.size() > *first) w.tasks.resize(*first);
-    // One task is enough to see whether a job that failed everywhere still does.
-    if (spec.kind != Kind::kGang && is_crash_looping(spec.id, now)) w.tasks.resize(1);
-    Group g;
-    g.request = spec.request;
-    g.count = w.tasks.size();
-    g.tier = (first ? -1 : priorities_.tier(*w.job)) * jobs + order[i];
-    g.allowed = [&, this](std::size_t b) {
-      return may_start(w, open.machines[b]->last_heartbeat, planned[spec.team]);
+    WaitingJob& waiting_job = waiting[i];
+    const auto& spec = waiting_job.job->record.spec;
+    const auto starving = starving_tasks(*waiting_job.job, now);
+    if (starving && waiting_job.tasks.size() > *starving) waiting_job.tasks.resize(*starving);
+    // One task is enough to find out whether a crash-looping job still fails.
+    if (spec.kind != Kind::kGang && is_crash_looping(spec.id, now)) waiting_job.tasks.resize(1);
+    Group group;
+    group.request = spec.request;
+    group.count = waiting_job.tasks.size();
+    group.tier = (starving ? -1 : priorities_.tier(*waiting_job.job)) * tier_stride + due_order[i];
+    group.allowed = [&, this](std::size_t bin) {
+      return may_start(waiting_job, open.machines[bin]->last_heartbeat, planned[spec.team]);
     };
-    g.placed = [&](std::size_t b) {
-      const Heartbeat& r = open.machines[b]->last_heartbeat;
-      const auto no = std::find_if(w.tasks.begin(), w.tasks.end(), [&](TaskNo n) {
-        return !r.tasks.contains(TaskId{spec.id, n});
-      });
-      plan.starts.push_back({{spec.id, *no}, {r.machine, {}, r.agent_incarnation}});
-      w.tasks.erase(no);
-      ++w.zones[r.zone];
+    group.placed = [&](std::size_t bin) {
+      const Heartbeat& heartbeat = open.machines[bin]->last_heartbeat;
+      const auto task =
+          std::find_if(waiting_job.tasks.begin(), waiting_job.tasks.end(), [&](TaskNo candidate) {
+            return !heartbeat.tasks.contains(TaskId{spec.id, candidate});
+          });
+      plan.starts.push_back(
+          {{spec.id, *task}, {heartbeat.machine, {}, heartbeat.agent_incarnation}});
+      waiting_job.tasks.erase(task);
+      ++waiting_job.zones[heartbeat.zone];
       planned[spec.team] += spec.request;
     };
-    const auto within = priorities_.start_within(spec);
-    const bool displaces = preemption_.prefers_preemption(*w.job, now);
-    g.pass = [&, this, within, displaces](std::size_t b) {
-      return preference(spec, *open.machines[b], within, displaces, now);
+    const auto start_within = priorities_.start_within(spec);
+    const bool prefers_preemption = preemption_.prefers_preemption(*waiting_job.job, now);
+    group.pass = [&, this, start_within, prefers_preemption](std::size_t bin) {
+      return preference(spec, *open.machines[bin], start_within, prefers_preemption, now);
     };
-    groups.push_back(std::move(g));
+    groups.push_back(std::move(group));
   }
   pack(groups, open.bins, open.scale);
 }
 
-// May one more task of the job start on this machine, with what was planned for its team before?
-bool Controller::may_start(const WaitingJob& w, const Heartbeat& r,
+// Returns whether one more task of the job may start on the machine that sent this heartbeat. `planned`
+// is what this round has already planned for the job's team.
+bool Controller::may_start(const WaitingJob& waiting_job, const Heartbeat& heartbeat,
                            const Resources& planned) const {
-  const auto& spec = w.job->record.spec;
-  if (w.tasks.empty()) return false;
+  const auto& spec = waiting_job.job->record.spec;
+  if (waiting_job.tasks.empty()) return false;
   if (spec.one_zone || spec.spread) {
-    if (!w.zones_known) return false;
-    if (spec.one_zone && !w.zones.empty() && !w.zones.contains(r.zone)) return false;
-    const auto there = w.zones.find(r.zone);
-    if (spec.spread && there != w.zones.end() && there->second >= (spec.tasks + 1) / 2) {
+    if (!waiting_job.zones_known) return false;
+    if (spec.one_zone && !waiting_job.zones.empty() && !waiting_job.zones.contains(heartbeat.zone))
+      return false;
+    const auto tasks_in_zone = waiting_job.zones.find(heartbeat.zone);
+    if (spec.spread && tasks_in_zone != waiting_job.zones.end() &&
+        tasks_in_zone->second >= (spec.tasks + 1) / 2) {
       return false;
     }
   }
   if (cache_.has_quota_limit(spec.team)) {
     const base::Team& team = settings_.teams.at(spec.team);
-    Resources use = cache_.team_use(spec.team);
-    use += planned;
-    use += spec.request;
-    if ((team.max_cores > 0 && use.cores() > team.max_cores + 1e-6) ||
-        (team.max_gpus > 0 && use.gpus() > team.max_gpus + 1e-6)) {
+    Resources usage = cache_.team_use(spec.team);
+    usage += planned;
+    usage += spec.request;
+    if ((team.max_cores > 0 && usage.cores() > team.max_cores + 1e-6) ||
+        (team.max_gpus > 0 && usage.gpus() > team.max_gpus + 1e-6)) {
       return false;
     }
   }
-  // An attempt that the machine still reports would be refused there as busy.
-  return std::any_of(w.tasks.begin(), w.tasks.end(), [&](TaskNo no) {
-    return !r.tasks.contains(TaskId{spec.id, no});
+  // The agent rejects a task as busy while it still reports an earlier attempt of that task.
+  return std::any_of(waiting_job.tasks.begin(), waiting_job.tasks.end(), [&](TaskNo task) {
+    return !heartbeat.tasks.contains(TaskId{spec.id, task});
   });
 }
 
-// Which machines with room come first: lower values do, negative ones never. An image that has to be
-// fetched can take longer than all else. And where some zones have no controller, a cut between zones
-// takes all that runs there: services go where controllers are, and other work leaves them the room.
-int Controller::preference(const protocol::JobSpec& spec, const Machine& m,
-                           std::optional<Seconds> start_within, bool displaces, Time now) const {
-  if (!may_run(spec, m.last_heartbeat.type, m.last_heartbeat.zone, m.last_heartbeat.spot))
+// Returns the packing pass in which a machine is tried for the job: lower passes first, negative ones
+// never. Machines with a cached image come first, since fetching it can take longer than all other
+// steps of a start. Services prefer zones that have a controller, because a network partition between
+// zones makes all machines of the other zones unreachable; other jobs prefer the zones without one, to
+// leave that capacity to services.
+int Controller::preference(const protocol::JobSpec& spec, const Machine& machine,
+                           std::optional<Seconds> start_within, bool prefers_preemption,
+                           Time now) const {
+  if (!may_run(spec, machine.last_heartbeat.type, machine.last_heartbeat.zone,
+               machine.last_heartbeat.spot))
     return -1;
-  if (reservations_.is_reserved_for_other(m.last_heartbeat.machine, spec.id)) return -1;
-  if (failures_.avoids(spec.id, m.last_heartbeat.machine, now)) return -1;
-  const bool quick = !start_within || fetch_time(m, spec) < *start_within * 0.75;
-  const int image = m.has_image(spec.image)          ? 0
-                    : m.pulling.contains(spec.image) ? 2
-                    : quick                          ? 4
-                                                     : kSlowFetch;
-  if (displaces && image == kSlowFetch) return -1;
-  const bool reachable = settings_.controller_zones.contains(m.last_heartbeat.zone);
-  return image + (reachable == (spec.kind == Kind::kService) ? 0 : 1);
+  if (reservations_.is_reserved_for_other(machine.last_heartbeat.machine, spec.id)) return -1;
+  if (failures_.avoids(spec.id, machine.last_heartbeat.machine, now)) return -1;
+  const bool is_fetched_in_time = !start_within || fetch_time(machine, spec) < *start_within * 0.75;
+  const int image_pass = machine.has_image(spec.image)          ? 0
+                         : machine.pulling.contains(spec.image) ? 2
+                         : is_fetched_in_time                   ? 4
+                                                                : kSlowFetchPass;
+  if (prefers_preemption && image_pass == kSlowFetchPass) return -1;
+  const bool has_controller = settings_.controller_zones.contains(machine.last_heartbeat.zone);
+  return image_pass + (has_controller == (spec.kind == Kind::kService) ? 0 : 1);
 }
 
 void Controller::record_starts(RecordBatch& batch, RoundPlan& plan) {
-  std::vector<RoundPlan::Start> kept;
-  for (RoundPlan::Start& s : plan.starts) {
-    const auto attempt = batch.add_start(s.task, s.assignment);
+  std::vector<RoundPlan::Start> recorded;
+  for (RoundPlan::Start& start : plan.starts) {
+    const auto attempt = batch.add_start(start.task, start.assignment);
     if (!attempt) continue;
-    s.assignment.attempt = *attempt;
-    kept.push_back(std::move(s));
+    start.assignment.attempt = *attempt;
+    recorded.push_back(std::move(start));
   }
-  plan.starts = std::move(kept);
+  plan.starts = std::move(recorded);
 }
 
-// For what found no room: machines are kept free, or lower work is stopped.
+// Frees capacity for the tasks that were not placed: reserves machines for starving jobs and preempts
+// tasks for jobs that may displace others.
 void Controller::free_capacity(const std::vector<WaitingJob>& waiting, const RoundPlan& plan,
                                Time now) {
-  for (const RoundPlan::Start& s : plan.starts) {
-    reservations_.fulfil(s.assignment.machine, s.task.job);
+  for (const RoundPlan::Start& start : plan.starts) {
+    reservations_.fulfil(start.assignment.machine, start.task.job);
   }
   reservations_.expire(now);
   std::vector<UnplacedJob> unplaced;
-  for (const WaitingJob& w : waiting) {
-    // Nothing gives way to a job that fails everywhere.
-    if (!w.tasks.empty() && !is_crash_looping(w.job->record.spec.id, now))
-      unplaced.push_back({w.job, w.tasks.size()});
+  for (const WaitingJob& waiting_job : waiting) {
+    // No capacity is freed for a crash-looping job.
+    if (!waiting_job.tasks.empty() && !is_crash_looping(waiting_job.job->record.spec.id, now))
+      unplaced.push_back({waiting_job.job, waiting_job.tasks.size()});
   }
   for (const auto& [job, tasks] : unplaced) {
     if (starving_tasks(*job, now)) reserve_capacity(*job, now);
@@ -301,68 +322,74 @@
 }
 
 std::vector<CommandBatch> Controller::committed(const RoundPlan& plan, Version version, Time now) {
-  std::vector<CommandBatch> orders;
-  for (const RoundPlan::Completion& end : plan.completions) {
-    if (end.done) learn_run_time(end);  // a job that is over leaves with the record of its last end
+  std::vector<CommandBatch> batches;
+  for (const RoundPlan::Completion& completion : plan.completions) {
+    // Before apply(), which removes a job together with its last completion.
+    if (completion.done) learn_run_time(completion);
   }
   cache_.apply(plan.txn, base::Revision(version.get()), now);
-  for (const RoundPlan::Completion& end : plan.completions) {
-    attempts_.forget(end.task);
-    spdlog::debug("{}/{} on {} is over: {}", end.task.job.get(), end.task.no, end.machine.get(),
-                  end.why);
-    if (end.done) {
-      failures_.record_success(end.machine);
-      failures_.mark_sound(end.task.job);
-    } else if (end.why == protocol::to_string(Cause::kError)) {
-      failures_.record_failure(end.task.job, end.machine, run_before_end(end), now);
+  for (const RoundPlan::Completion& completion : plan.completions) {
+    attempts_.forget(completion.task);
+    spdlog::debug("attempt ended: task={}/{} machine={} reason={}", completion.task.job.get(),
+                  completion.task.no, completion.machine.get(), completion.why);
+    if (completion.done) {
+      failures_.record_success(completion.machine);
+      failures_.mark_sound(completion.task.job);
+    } else if (completion.why == protocol::to_string(Cause::kError)) {
+      failures_.record_failure(completion.task.job, completion.machine, run_before_end(completion),
+                               now);
     }
   }
   std::map<MachineId, CommandBatch> by_machine;
-  for (const RoundPlan::Start& s : plan.starts) {
-    const auto at = machines_.find(s.assignment.machine);
-    if (at == machines_.end() ||
-        at->second.last_heartbeat.agent_incarnation != s.assignment.agent_incarnation)
+  for (const RoundPlan::Start& start : plan.starts) {
+    const auto entry = machines_.find(start.assignment.machine);
+    if (entry == machines_.end() ||
+        entry->second.last_heartbeat.agent_incarnation != start.assignment.agent_incarnation)
       continue;
-    Machine& m = at->second;
-    CommandBatch& o = by_machine[s.assignment.machine];
-    o.machine = s.assignment.machine;
-    o.address = m.last_heartbeat.address;
-    o.fencing_token = m.fencing_token;
-    o.agent_incarnation = m.last_heartbeat.agent_incarnation;
-    o.commands.push_back({Command::Op::kRun, s.task, s.assignment.attempt, {}});
-    m.idle_since = now;
-    const Job* job = cache_.job(s.task.job);
-    spdlog::debug("{}/{} goes to {} as attempt {}{}", s.task.job.get(), s.task.no,
-                  s.assignment.machine.get(), s.assignment.attempt.get(),
-                  job && m.has_image(job->record.spec.image) ? "" : ", image to be fetched");
+    Machine& machine = entry->second;
+    CommandBatch& batch = by_machine[start.assignment.machine];
+    batch.machine = start.assignment.machine;
+    batch.address = machine.last_heartbeat.address;
+    batch.fencing_token = machine.fencing_token;
+    batch.agent_incarnation = machine.last_heartbeat.agent_incarnation;
+    batch.commands.push_back({Command::Op::kRun, start.task, start.assignment.attempt, {}});
+    machine.idle_since = now;
+    const Job* job = cache_.job(start.task.job);
+    spdlog::debug("task start committed: task={}/{} machine={} attempt={}{}", start.task.job.get(),
+                  start.task.no, start.assignment.machine.get(), start.assignment.attempt.get(),
+                  job && machine.has_image(job->record.spec.image) ? "" : " image_cached=false");
   }
-  for (auto& [id, o] : by_machine) {
-    Machine& m = machines_.at(id);
-    // A token of its own for each order that starts something: once the worker has shown the next
-    // one, no copy of this order, however late, is carried out.
-    m.fencing_token = FencingToken(m.fencing_token.get() + 1);
-    m.fence_floor = m.fencing_token;
-    if (!m.commands_lost) orders.push_back(std::move(o));
+  for (auto& [id, batch] : by_machine) {
+    Machine& machine = machines_.at(id);
+    // Each batch that starts tasks has a fencing token of its own: once the agent has reported a higher
+    // token, it no longer executes a delayed copy of this batch.
+    machine.fencing_token = FencingToken(machine.fencing_token.get() + 1);
+    machine.fence_floor = machine.fencing_token;
+    if (!machine.commands_lost) batches.push_back(std::move(batch));
   }
-  return orders;
+  return batches;
 }
 
 std::vector<CommandBatch> Controller::stops(Time now) {
-  std::vector<CommandBatch> orders;
-  if (!has_authority(now)) return orders;
+  std::vector<CommandBatch> batches;
+  if (!has_authority(now)) return batches;
   attempts_.expire_kills(now);
-  for (const auto& [id, m] : machines_) {
-    if (!capacity(m).stops || m.commands_lost || !is_schedulable(m, now)) continue;
-    CommandBatch o{
-        id, m.last_heartbeat.address, m.fencing_token, m.last_heartbeat.agent_incarnation, {}};
-    for (const Command& c : kills_due(m, cache_)) {
-      if (attempts_.may_send_kill(c.task, c.attempt, now)) {
-        o.commands.push_back(c);
+  for (const auto& [id, machine] : machines_) {
+    if (!capacity(machine).stops || machine.commands_lost || !is_schedulable(machine, now))
+      continue;
+    CommandBatch batch{id,
+                       machine.last_heartbeat.address,
+                       machine.fencing_token,
+                       machine.last_heartbeat.agent_incarnation,
+                       {}};
+    for (const Command& command : kills_due(machine, cache_)) {
+      if (attempts_.may_send_kill(command.task, command.attempt, now)) {
+        batch.commands.push_back(command);
       }
     }
-    if (!o.commands.empty()) orders.push_back(std::move(o));
+    if (!batch.commands.empty()) batches.push_back(std::move(batch));
   }
-  return orders;
+  return batches;
 }
 
 }  // namespace saddleslip::coordination
