--- a/src/coordination/scheduling/packing.cpp
+++ b/src/coordination/scheduling/packing.cpp
@@ -7,69 +7,72 @@
 namespace saddleslip::coordination {
 
 double score(const Resources& request, const Resources& free, const Resources& scale) {
-  double dot = 0, length = 0;
+  double dot_product = 0, squared_length = 0;
   for (std::size_t i = 0; i < scale.v.size(); ++i) {
     if (scale.v[i] <= 0) continue;
-    const double s = request.v[i] / scale.v[i], r = free.v[i] / scale.v[i];
-    dot += s * r;
-    length += r * r;
+    const double request_share = request.v[i] / scale.v[i], free_share = free.v[i] / scale.v[i];
+    dot_product += request_share * free_share;
+    squared_length += free_share * free_share;
   }
-  return length > 0 ? dot / length : 0;
+  return squared_length > 0 ? dot_product / squared_length : 0;
 }
 
 namespace {
 
-// The groups of one tier and pass that a bin may still take.
-struct Candidate {
+// A bin and the groups of the present tier and pass that may still be placed in it.
+struct BinCandidate {
   std::size_t bin;
   std::vector<std::size_t> groups;
 };
 
-// A bin's best pair. Entries stay in the queue when their bin is scored again: an outdated one is known
-// by its turn.
-struct Entry {
+// The best group for a bin at the time of scoring. When a bin is scored again, its earlier entries stay
+// in the queue; an entry is outdated if its generation is not the latest one of its candidate.
+struct QueueEntry {
   double score;
   std::size_t bin;
   std::size_t candidate;
   std::size_t group;
-  std::uint32_t turn;
+  std::uint32_t generation;
 
-  // std::priority_queue puts the largest first: the highest score, then the first bin.
-  bool operator<(const Entry& o) const { return score != o.score ? score < o.score : bin > o.bin; }
+  // The largest entry comes first in std::priority_queue: the highest score, then the lowest bin.
+  bool operator<(const QueueEntry& other) const {
+    return score != other.score ? score < other.score : bin > other.bin;
+  }
 };
 
 void pack_pass(std::vector<Group>& groups, std::vector<Bin>& bins, const Resources& scale,
-               std::vector<Candidate>& candidates, std::vector<Placement>& placements) {
-  std::vector<std::uint32_t> turns(candidates.size(), 0);
-  std::priority_queue<Entry> queue;
-  const auto rescore = [&](std::size_t c) {
-    Candidate& candidate = candidates[c];
+               std::vector<BinCandidate>& candidates, std::vector<Placement>& placements) {
+  std::vector<std::uint32_t> generations(candidates.size(), 0);
+  std::priority_queue<QueueEntry> queue;
+  const auto rescore = [&](std::size_t candidate_index) {
+    BinCandidate& candidate = candidates[candidate_index];
     const Resources& free = bins[candidate.bin].free;
-    // Capacity only shrinks, and a group that is used up stays so.
-    std::erase_if(candidate.groups, [&](std::size_t g) {
-      return groups[g].count == 0 || !free.fits(groups[g].request);
+    // Dropping groups is final: during packing, free capacity and group counts only decrease.
+    std::erase_if(candidate.groups, [&](std::size_t group_index) {
+      return groups[group_index].count == 0 || !free.fits(groups[group_index].request);
     });
-    ++turns[c];
+    ++generations[candidate_index];
     if (candidate.groups.empty()) return;
-    Entry best{-1, candidate.bin, c, 0, turns[c]};
-    for (const std::size_t g : candidate.groups) {
-      const double s = score(groups[g].request, free, scale);
-      if (s > best.score) {
-        best.score = s;
-        best.group = g;
+    QueueEntry best{-1, candidate.bin, candidate_index, 0, generations[candidate_index]};
+    for (const std::size_t group_index : candidate.groups) {
+      const double group_score = score(groups[group_index].request, free, scale);
+      if (group_score > best.score) {
+        best.score = group_score;
+        best.group = group_index;
       }
     }
     queue.push(best);
   };
-  for (std::size_t c = 0; c < candidates.size(); ++c) rescore(c);
+  for (std::size_t candidate_index = 0; candidate_index < candidates.size(); ++candidate_index)
+    rescore(candidate_index);
   while (!queue.empty()) {
-    const Entry top = queue.top();
+    const QueueEntry top = queue.top();
     queue.pop();
-    if (top.turn != turns[top.candidate]) continue;
+    if (top.generation != generations[top.candidate]) continue;
     Group& group = groups[top.group];
-    // Other placements may have used up the group, its zone or its team's quota meanwhile.
-    const bool may = group.count > 0 && (!group.allowed || group.allowed(top.bin));
-    if (may) {
+    // Placements in other bins may have exhausted the group, its zone or its team's quota since scoring.
+    const bool may_place = group.count > 0 && (!group.allowed || group.allowed(top.bin));
+    if (may_place) {
       placements.push_back({top.group, top.bin, top.score});
       --group.count;
       bins[top.bin].free -= group.request;
@@ -81,32 +84,34 @@
   }
 }
 
-// The least that any of these groups requests of each resource: a bin without that much free fits none.
-Resources least_request(const std::vector<Group>& groups, const std::vector<std::size_t>& members) {
-  Resources least = groups[members.front()].request;
-  for (const std::size_t g : members) {
-    for (std::size_t i = 0; i < least.v.size(); ++i) {
-      least.v[i] = std::min(least.v[i], groups[g].request.v[i]);
+// Returns, for each resource, the smallest request of these groups. No group fits a bin with less free
+// capacity.
+Resources minimum_request(const std::vector<Group>& groups,
+                          const std::vector<std::size_t>& tier_groups) {
+  Resources minimum = groups[tier_groups.front()].request;
+  for (const std::size_t group : tier_groups) {
+    for (std::size_t i = 0; i < minimum.v.size(); ++i) {
+      minimum.v[i] = std::min(minimum.v[i], groups[group].request.v[i]);
     }
   }
-  return least;
+  return minimum;
 }
 
-// The bins that may take a task of these groups, by pass.
-std::map<int, std::vector<Candidate>> candidates_by_pass(const std::vector<Group>& groups,
-                                                         const std::vector<std::size_t>& members,
-                                                         const std::vector<Bin>& bins) {
-  const Resources least = least_request(groups, members);
-  std::map<int, std::vector<Candidate>> passes;
-  for (std::size_t b = 0; b < bins.size(); ++b) {
-    if (!bins[b].free.fits(least)) continue;
-    for (const std::size_t g : members) {
-      if (!bins[b].free.fits(groups[g].request)) continue;
-      const int pass = groups[g].pass ? groups[g].pass(b) : 0;
+// Returns the bins in which tasks of these groups may be placed, by pass.
+std::map<int, std::vector<BinCandidate>> candidates_by_pass(
+    const std::vector<Group>& groups, const std::vector<std::size_t>& tier_groups,
+    const std::vector<Bin>& bins) {
+  const Resources minimum = minimum_request(groups, tier_groups);
+  std::map<int, std::vector<BinCandidate>> passes;
+  for (std::size_t bin = 0; bin < bins.size(); ++bin) {
+    if (!bins[bin].free.fits(minimum)) continue;
+    for (const std::size_t group : tier_groups) {
+      if (!bins[bin].free.fits(groups[group].request)) continue;
+      const int pass = groups[group].pass ? groups[group].pass(bin) : 0;
       if (pass < 0) continue;
       auto& candidates = passes[pass];
-      if (candidates.empty() || candidates.back().bin != b) candidates.push_back({b, {}});
-      candidates.back().groups.push_back(g);
+      if (candidates.empty() || candidates.back().bin != bin) candidates.push_back({bin, {}});
+      candidates.back().groups.push_back(group);
     }
   }
   return passes;
@@ -118,14 +123,14 @@
                             const Resources& scale) {
   std::vector<Placement> placements;
   std::map<int, std::vector<std::size_t>> tiers;
-  for (std::size_t g = 0; g < groups.size(); ++g) {
-    if (groups[g].count > 0) tiers[groups[g].tier].push_back(g);
+  for (std::size_t group = 0; group < groups.size(); ++group) {
+    if (groups[group].count > 0) tiers[groups[group].tier].push_back(group);
   }
-  for (const auto& [tier, members] : tiers) {
-    const auto is_placed = [&groups](std::size_t g) { return groups[g].count == 0; };
-    auto passes = candidates_by_pass(groups, members, bins);
+  for (const auto& [tier, tier_groups] : tiers) {
+    const auto is_placed = [&groups](std::size_t group) { return groups[group].count == 0; };
+    auto passes = candidates_by_pass(groups, tier_groups, bins);
     for (auto& [pass, candidates] : passes) {
-      if (std::all_of(members.begin(), members.end(), is_placed)) break;
+      if (std::all_of(tier_groups.begin(), tier_groups.end(), is_placed)) break;
       pack_pass(groups, bins, scale, candidates, placements);
     }
   }
