--- a/src/coordination/scheduling/capacity_reservations.cpp
+++ b/src/coordination/scheduling/capacity_reservations.cpp
@@ -43,7 +43,7 @@
   return reservation != by_machine_.end() && reservation->second.job != job;
 }
 
-std::size_t CapacityReservations::starving_count() const {
+std::size_t CapacityReservations::count_for_starving_jobs() const {
   return static_cast<std::size_t>(
       std::count_if(by_machine_.begin(), by_machine_.end(),
                     [](const auto& entry) { return entry.second.for_starving_job; }));
--- a/src/coordination/scheduling/capacity_reservations.h
+++ b/src/coordination/scheduling/capacity_reservations.h
@@ -1,10 +1,8 @@
-// Capacity reservations: which machine is kept free of other work, for which job and until when.
+// Capacity reservations: machines that accept new tasks of only one job until an expiry time.
 //
-// Without one, a large task would never find a machine under lasting overload, since smaller tasks
-// take each bit of capacity that becomes free; and capacity that was freed by preemption would go
-// to another job before the one it was freed for.
-//
-// Holds state only; takes the time as an argument. Not safe for use from several threads at once.
+// Without a reservation, a large task would never start under sustained overload, since smaller tasks
+// take all capacity that becomes free, and capacity freed by preemption could go to another job than the
+// one that it was freed for.
 #pragma once
 
 #include <map>
@@ -13,36 +11,38 @@
 
 namespace saddleslip::coordination {
 
+// The reservations of one controller's machines, at most one for each machine. The cache must outlive this
+// object. Times are arguments. Not safe for use from several threads at once.
 class CapacityReservations {
  public:
   explicit CapacityReservations(const storage::StateCache& cache) : cache_(cache) {}
 
-  // Reserves a machine, until a task of the job fits there, for a job that has starved.
-  // Replaces a reservation that the machine has.
+  // Reserves a machine for a starving job until one of the job's tasks starts there. Replaces the machine's
+  // present reservation, if any.
   void reserve_for_starving_job(const base::MachineId& machine, const base::JobId& job,
                                 base::Time expires_at);
-  // Reserves the capacity that is being freed by preemption. A reservation that the machine has
-  // already stays as it is.
+  // Reserves a machine on which tasks are being preempted for the job. Has no effect if the machine is
+  // reserved already.
   void reserve_preempted_capacity(const base::MachineId& machine, const base::JobId& job,
                                   base::Time expires_at);
 
-  // Ends the machine's reservation if it is for this job: one of its tasks starts there.
+  // Ends the machine's reservation if it is for this job. To be called when a task of the job starts there.
   void fulfil(const base::MachineId& machine, const base::JobId& job);
-  // Drops what has expired, and reservations for jobs that are over or have no pending task.
+  // Removes reservations that have expired, and those for jobs that have ended or have no pending task.
   void expire(base::Time now);
 
   bool is_reserved(const base::MachineId& machine) const { return by_machine_.contains(machine); }
   bool is_reserved_for(const base::MachineId& machine, const base::JobId& job) const;
-  // Is the machine out of bounds for this job, since it is reserved for another one?
+  // Returns whether the machine is reserved for a job other than this one.
   bool is_reserved_for_other(const base::MachineId& machine, const base::JobId& job) const;
-  // The number of machines that are reserved for starving jobs.
-  std::size_t starving_count() const;
+  // Returns the number of machines that are reserved for starving jobs.
+  std::size_t count_for_starving_jobs() const;
 
  private:
   struct Reservation {
     base::JobId job;
     base::Time expires_at{};
-    bool for_starving_job = false;  // rather than for capacity freed by preemption
+    bool for_starving_job = false;  // false: for capacity freed by preemption
   };
 
   const storage::StateCache& cache_;
--- a/src/coordination/scheduling/failure_evaluation.cpp
+++ b/src/coordination/scheduling/failure_evaluation.cpp
@@ -1,5 +1,5 @@
-// Evaluation of failed attempts: which jobs are known to be sound, which ones are crash-looping, and
-// which machines are faulty and cordoned for it.
+// Evaluation of failed attempts: finds out which jobs are known to be good and which ones are
+// crash-looping, and cordons faulty machines.
 #include <algorithm>
 
 #include "base/log.h"
@@ -9,29 +9,30 @@
 
 namespace {
 
-bool is_done(const std::optional<protocol::FinalState>& state) {
-  return state && state->status == protocol::JobStatus::kDone;
+bool is_done(const std::optional<protocol::FinalState>& final_state) {
+  return final_state && final_state->status == protocol::JobStatus::kDone;
 }
 
 }  // namespace
 
 bool Controller::runs_for_long(const Job& job, Time now) const {
   const JobId& id = job.record.spec.id;
-  const Seconds needed = failures_.long_run(id);
+  const Seconds known_good_run_time = failures_.known_good_run_time(id);
   return std::any_of(machines_.begin(), machines_.end(), [&](const auto& entry) {
     const Machine& machine = entry.second;
-    const auto first = machine.ran.lower_bound(TaskId{id, 0});
-    return first != machine.ran.end() && first->first.job == id &&
-           base::between(first->second, now) > needed && !failures_.avoids(id, entry.first, now);
+    const auto first_task = machine.ran.lower_bound(TaskId{id, 0});
+    return first_task != machine.ran.end() && first_task->first.job == id &&
+           base::between(first_task->second, now) > known_good_run_time &&
+           !failures_.must_avoid(id, entry.first, now);
   });
 }
 
 void Controller::evaluate_failures(Time now) {
-  for (const JobId& id : failures_.unproven()) {
+  for (const JobId& id : failures_.unproven_jobs()) {
     const Job* job = cache_.job(id);
     const bool completed = job ? job->done > 0 : is_done(cache_.final_state(id));
     if (completed || (job && runs_for_long(*job, now))) {
-      failures_.mark_sound(id);
+      failures_.mark_known_good(id);
     } else if (!job || job->cancelled()) {
       failures_.forget_job(id);
     }
@@ -39,7 +40,8 @@
   for (auto& [id, machine] : machines_) {
     if (machine.cordoned || !failures_.is_faulty(id)) continue;
     machine.cordoned = true;
-    spdlog::warn("cordoned machine={}: it fails tasks of jobs that run elsewhere", id.get());
+    spdlog::warn("cordoned machine={}: task failures indicate that the machine is faulty",
+                 id.get());
   }
 }
 
--- a/src/coordination/scheduling/job_priorities.h
+++ b/src/coordination/scheduling/job_priorities.h
@@ -1,6 +1,5 @@
-// The order in which jobs get capacity: rank, guaranteed quotas of teams, due times and starvation.
-//
-// Takes the time as an argument and reads the state cache. Not safe for use from several threads at once.
+// Job priorities: the order in which jobs get capacity, by rank, guaranteed quotas of teams, due times and
+// starvation.
 #pragma once
 
 #include <map>
@@ -12,67 +11,80 @@
 
 namespace saddleslip::coordination {
 
+// Computes the priorities of the jobs in the state cache. The settings and the cache must outlive this
+// object. Times are arguments. Not safe for use from several threads at once.
 class JobPriorities {
  public:
   JobPriorities(const base::Settings& settings, const storage::StateCache& cache)
       : settings_(settings), cache_(cache) {}
 
-  // Relates the steady clock to the time of day, by which submissions are dated.
+  // Sets the time of day, in seconds since 1970, that corresponds to `now` on the steady clock. Submission
+  // times are in the time of day.
   void set_time_of_day(base::Time now, double seconds);
   double time_of_day(base::Time now) const;
 
-  // Recomputes what depends on other jobs, if that may have changed: which jobs are within their team's
-  // guarantee, and what jobs inherit from their dependents.
+  // Recomputes, if jobs may have changed, which jobs are within their team's guarantee, and the ranks and due
+  // times that jobs inherit from their dependents.
   void update(base::Time now);
-  // Does the job fit into its team's guarantee together with the team's earlier unfinished jobs?
+  // Returns whether the job fits into its team's guaranteed quota together with all unfinished jobs of the
+  // team that could start before it.
   bool is_guaranteed(const storage::Job& job) const;
-  // The highest rank of the job and of all its dependents.
+  // Returns the highest of the ranks of the job and of all its direct and indirect dependents.
   protocol::Rank rank(const storage::Job& job) const;
-  // Lower tiers come first: by rank, and within a rank what is guaranteed first.
+  // Returns the job's scheduling tier; lower tiers get capacity first. Tiers are ordered by rank, and within
+  // a rank guaranteed jobs come first.
   int tier(const storage::Job& job) const;
+  // Returns whether the job's rank, own or inherited, is urgent or critical.
   bool is_urgent(const storage::Job& job) const;
 
-  // When a job should be complete, by the time of day: its deadline while that can be met, then the
-  // later ones that service-level objectives name; without any, in the far future. A job with dependents
-  // is due early enough for these to complete in time.
+  // Returns the time of day at which the job should be complete: its deadline while that can be met, then
+  // the earliest later deadline of the service-level objectives that can be met. Jobs without a deadline are
+  // due in the far future. A job with dependents is due early enough for these to complete in time.
   double due(const storage::Job& job, base::Time now) const;
-  // How soon a job of this class should start, if a service-level objective says so.
+  // Returns the maximum wait before the start of a job of this class, if a service-level objective sets one.
   std::optional<base::Seconds> start_within(const protocol::JobSpec& spec) const;
-  // May it preempt lower-ranking tasks? A guaranteed job also what other teams run beyond their
-  // guarantee.
-  bool may_displace(const storage::Job& job) const;
-  // Is it of the lowest rank and without an objective, so that it gets what others leave over?
+  // Returns whether the job may preempt tasks of lower rank. A guaranteed job may also preempt tasks that
+  // other teams run beyond their guarantee.
+  bool may_preempt(const storage::Job& job) const;
+  // Returns whether the job has the lowest rank and no deadline or objective, so that it runs only on
+  // capacity that no other job uses.
   bool is_spare_time(const storage::Job& job) const;
-  // If the job is starving, that is, has waited so long that it goes before others: how many of its
-  // tasks do.
+  // If the job is starving, that is, has waited for longer than the limit in the settings, returns how many
+  // of its tasks are placed before all other jobs. Returns nullopt if it is not starving.
   std::optional<std::size_t> starving_tasks(const storage::Job& job, base::Time now) const;
 
-  // The owner's estimate, corrected by what was learned of the class.
+  // Returns the expected run time of a task: the estimate in the job's specification, corrected by the
+  // observed run times of the job's class.
   base::Seconds run_time(const protocol::JobSpec& spec) const;
+  // Updates the correction factor of the job's class with the run time of a completed task.
   void learn_run_time(const protocol::JobSpec& spec, base::Seconds ran);
 
  private:
-  // What a job inherits from its dependents.
-  struct Inherited {
+  // The highest rank and the earliest due time of a job and its dependents.
+  struct InheritedPriority {
     protocol::Rank rank = protocol::Rank::kIdle;
     double due = 0;
   };
   void update_guarantees();
   void update_inherited(base::Time now);
-  // The unfinished jobs that others depend on, and their dependents, each after its dependencies.
+  // Returns the unfinished jobs that other jobs depend on, and their dependents, in topological order: each
+  // job comes after its dependencies.
   std::vector<const storage::Job*> jobs_in_dependency_order() const;
-  // Its own due time, if it can complete at `earliest_completion` at the soonest.
-  double own_due(const storage::Job& job, double earliest_completion) const;
-  void guarantee_jobs_of(const base::Team& team, std::vector<const storage::Job*>& jobs);
+  // Returns the job's due time without regard to dependents, given the earliest time of day at which it can
+  // complete.
+  double own_due_time(const storage::Job& job, double earliest_completion) const;
+  // Adds the team's jobs to the guaranteed ones, in the order in which they could start, up to the first
+  // one that exceeds the team's guarantee.
+  void mark_guaranteed_jobs(const base::Team& team, std::vector<const storage::Job*>& jobs);
 
   const base::Settings& settings_;
   const storage::StateCache& cache_;
   double time_of_day_offset_ = 0;
   std::set<base::JobId> guaranteed_;
-  std::map<base::JobId, Inherited> inherited_;
-  std::uint64_t updated_for_ = 0;  // the cache's count of job changes at the last update
+  std::map<base::JobId, InheritedPriority> inherited_;
+  std::uint64_t updated_at_job_changes_ = 0;  // the cache's count of job changes at the last update
   base::Time updated_at_{};
-  std::map<std::string, double> run_ratio_;  // run times against estimates, by class
+  std::map<std::string, double> run_time_ratio_;  // observed run time / estimate, by job class
 };
 
 }  // namespace saddleslip::coordination
--- a/src/coordination/scheduling/offer_pool.cpp
+++ b/src/coordination/scheduling/offer_pool.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double kOfferLifetimeRounds = 2.5;
-// A controller that repeats its offers, or many that do, must not make the pool grow without bound.
+// Bounds the pool's memory if controllers send offers faster than they expire.
 constexpr std::size_t kMaxPooledOffers = 4096;
 
 }  // namespace
--- a/src/coordination/scheduling/offer_pool.h
+++ b/src/coordination/scheduling/offer_pool.h
@@ -1,7 +1,5 @@
-// The waiting tasks that this controller may start on its own machines: those that were offered to it,
-// by itself or by another controller, and whose offer has not expired.
-//
-// Holds state only; takes the time as an argument. Not safe for use from several threads at once.
+// The offer pool: the waiting tasks that this controller may start on its own machines. They were offered
+// to it, by itself or by another controller, and the offer has not expired.
 #pragma once
 
 #include <deque>
@@ -13,26 +11,31 @@
 
 namespace saddleslip::coordination {
 
-// Consecutive tasks of one job.
+// A range of consecutive task numbers of one job.
 struct TaskRange {
   base::TaskNo first = 0;
   base::TaskNo count = 0;
 };
 
-// The tasks of one offer, which may overlap with those of other offers.
+// One offer of a job's tasks. Several offers in the pool may contain the same task.
 struct PooledOffer {
   base::JobId job;
   std::vector<TaskRange> ranges;
   base::Time expires_at{};
 };
 
+// Keeps offers until they expire. The settings must outlive the pool. Times are arguments. Not safe for use
+// from several threads at once.
 class OfferPool {
  public:
   explicit OfferPool(const base::Settings& settings) : settings_(settings) {}
 
+  // Adds offers, each of which expires after 2.5 scheduling rounds. If the pool is full, the oldest offers
+  // are removed.
   void add(const protocol::Offers& offers, base::Time now);
+  // Removes the offers that have expired.
   void expire(base::Time now);
-  // In the order in which they came.
+  // Returns the offers in the order in which they were added.
   const std::deque<PooledOffer>& offers() const { return offers_; }
 
  private:
--- a/src/coordination/scheduling/offer_router.cpp
+++ b/src/coordination/scheduling/offer_router.cpp
@@ -20,19 +20,20 @@
 
 namespace {
 
-// A new job's tasks are offered for so long by the controller it was submitted to, then by its home.
+// For this long the controller that accepted a new job offers its tasks; after that its home controller does.
 constexpr Seconds kFirstOffersDuration{0.6};
-// So many offers without capacity go to one partition before the next one's turn: for preemption, and
-// for the reservation of capacity, which takes longer.
+// The number of successive offers of a job to the same partition without free capacity, before the next
+// partition is tried. A reservation takes longer to free capacity than preemption does.
 constexpr std::size_t kPreemptionOffersPerPartition = 2;
 constexpr std::size_t kReservationOffersPerPartition = 40;
-// A task is offered again after so many rounds.
+// A task that still waits is offered again after this many scheduling rounds.
 constexpr double kOfferLifetimeRounds = 1.2;
-// So many tasks of a job that may preempt others are offered where nothing is free.
+// A job that may preempt others offers up to this many tasks in one routing pass even if fewer fit into
+// free capacity.
 constexpr std::size_t kMinTasksOffered = 8;
-constexpr int kStarvingTier = -1;  // before all others
+constexpr int kStarvingTier = -1;  // before the tiers of all other jobs
 
-void append(protocol::Offers& offers, const JobId& job, TaskNo task) {
+void append_task(protocol::Offers& offers, const JobId& job, TaskNo task) {
   if (offers.offers.empty() || offers.offers.back().job != job) offers.offers.push_back({job, {}});
   auto& ranges = offers.offers.back().ranges;
   if (!ranges.empty() && ranges.back().first + ranges.back().second == task) {
@@ -42,43 +43,43 @@
   }
 }
 
-void lower_to(std::optional<Resources>& least, const Resources& request) {
-  if (!least) least = request;
+void update_minimum(std::optional<Resources>& minimum, const Resources& request) {
+  if (!minimum) minimum = request;
   for (std::size_t i = 0; i < request.v.size(); ++i) {
-    least->v[i] = std::min(least->v[i], request.v[i]);
+    minimum->v[i] = std::min(minimum->v[i], request.v[i]);
   }
 }
 
-// Higher is better. Where the image is cached beats more free capacity where it must be fetched, and
-// so does free capacity in a zone that has a controller.
-int preference(const PartitionFit& fit, bool by_preemption) {
-  if (fit.has_image_in_reachable_zone) return 4;
+// Returns how well a partition suits a job; higher is better. A cached image and free capacity in a zone
+// that has a controller take precedence over the amount of free capacity.
+int partition_preference(const PartitionFit& fit, bool by_preemption) {
+  if (fit.has_image_in_controller_zone) return 4;
   if (fit.has_image) return 3;
   if (by_preemption) return 2;
-  return fit.has_reachable_zone ? 1 : 0;
+  return fit.in_controller_zone ? 1 : 0;
 }
 
 }  // namespace
 
-// The state of one call of route(): the partitions, less what was offered to them, and for the job in
-// hand how it fits each partition and which of its tasks are still to be offered.
-struct OfferRouter::Pass {
+// The state of one call of route(): the partitions' remaining capacity, the offers made so far and, for the
+// job that is being routed, how it fits each partition and which of its tasks are yet to be offered.
+struct OfferRouter::RoutingPass {
   const RoutingInput& input;
   std::vector<PartitionCapacity> partitions;
-  std::map<base::MemberId, protocol::Offers> out;
+  std::map<base::MemberId, protocol::Offers> offers_by_member;
 
   const Job* job = nullptr;
   bool may_preempt = false;
   std::vector<PartitionFit> fits;  // by partition
-  std::vector<TaskNo> tasks;       // of the job, to be offered
-  std::size_t next = 0;            // the first of `tasks` that was not offered
+  std::vector<TaskNo> tasks;       // tasks of the job to be offered
+  std::size_t next_index = 0;      // index in `tasks` of the first one that was not offered yet
 
   const protocol::JobSpec& spec() const { return job->record.spec; }
-  bool is_done() const { return next >= tasks.size(); }
+  bool all_offered() const { return next_index >= tasks.size(); }
   std::size_t tasks_that_fit() const {
-    std::size_t sum = 0;
-    for (const PartitionFit& fit : fits) sum += fit.tasks_that_fit;
-    return sum;
+    std::size_t total = 0;
+    for (const PartitionFit& fit : fits) total += fit.tasks_that_fit;
+    return total;
   }
 };
 
@@ -123,7 +124,7 @@
 }
 
 bool OfferRouter::may_preempt(const Job& job, const RoutingInput& input) const {
-  return !input.is_crash_looping(job.record.spec.id) && priorities_.may_displace(job);
+  return !input.is_crash_looping(job.record.spec.id) && priorities_.may_preempt(job);
 }
 
 std::optional<std::size_t> OfferRouter::starving_tasks(const Job& job,
@@ -132,7 +133,7 @@
   return priorities_.starving_tasks(job, input.now);
 }
 
-// Jobs of higher tiers get the free capacity first; within a tier those that are due first.
+// Sorts the jobs in the order in which they get free capacity: by tier, then by due time.
 void OfferRouter::sort_by_precedence(std::vector<const Job*>& jobs,
                                      const RoutingInput& input) const {
   struct Precedence {
@@ -154,23 +155,25 @@
   for (std::size_t i = 0; i < order.size(); ++i) jobs[i] = order[i].job;
 }
 
-// In a busy cluster most machines have capacity for no waiting task: these are left out once, instead
-// of being looked at for each job.
-OfferRouter::Pass OfferRouter::begin_pass(const std::vector<const Job*>& jobs,
-                                          const RoutingInput& input) const {
-  std::optional<Resources> least_request, least_preempting_request;
+// Starts a routing pass. In a busy cluster most machines have no capacity for any waiting task, so these are
+// excluded once here instead of being checked for each job.
+OfferRouter::RoutingPass OfferRouter::begin_pass(const std::vector<const Job*>& jobs,
+                                                 const RoutingInput& input) const {
+  std::optional<Resources> minimum_request, minimum_preempting_request;
   for (const Job* job : jobs) {
-    lower_to(least_request, job->record.spec.request);
-    if (may_preempt(*job, input)) lower_to(least_preempting_request, job->record.spec.request);
+    update_minimum(minimum_request, job->record.spec.request);
+    if (may_preempt(*job, input))
+      update_minimum(minimum_preempting_request, job->record.spec.request);
   }
   const auto is_candidate = [&](const MachineStatus& machine) {
-    if (machine.free.fits(*least_request)) return true;
-    if (!least_preempting_request) return false;
+    if (machine.free.fits(*minimum_request)) return true;
+    if (!minimum_preempting_request) return false;
     Resources available = machine.free;
     available += machine.preemptible;
-    return available.fits(*least_preempting_request);
+    return available.fits(*minimum_preempting_request);
   };
-  Pass pass{.input = input, .partitions = {}, .out = {}, .fits = {}, .tasks = {}};
+  RoutingPass pass{
+      .input = input, .partitions = {}, .offers_by_member = {}, .fits = {}, .tasks = {}};
   for (const MachinePartition& partition : input.partitions) {
     PartitionCapacity& capacity = pass.partitions.emplace_back(partition.member);
     for (const MachineStatus* machine : partition.machines) {
@@ -182,7 +185,7 @@
   return pass;
 }
 
-void OfferRouter::update_fit(Pass& pass, std::size_t partition) const {
+void OfferRouter::update_fit(RoutingPass& pass, std::size_t partition) const {
   pass.fits[partition] =
       pass.partitions[partition].fit(pass.spec(), settings_.controller_zones, pass.may_preempt);
 }
@@ -205,77 +208,88 @@
   return tasks;
 }
 
-// Offers the next tasks of the job to that partition.
-void OfferRouter::offer_next(Pass& pass, std::size_t partition, std::size_t tasks) {
-  protocol::Offers& offers = pass.out[pass.partitions[partition].member()];
-  for (std::size_t i = pass.next; i < pass.next + tasks; ++i) {
-    append(offers, pass.spec().id, pass.tasks[i]);
+// Offers the given number of the job's next tasks to the partition.
+void OfferRouter::offer_next(RoutingPass& pass, std::size_t partition, std::size_t tasks) {
+  protocol::Offers& offers = pass.offers_by_member[pass.partitions[partition].member()];
+  for (std::size_t i = pass.next_index; i < pass.next_index + tasks; ++i) {
+    append_task(offers, pass.spec().id, pass.tasks[i]);
     offered_at_[{pass.spec().id, pass.tasks[i]}] = pass.input.now;
   }
-  pass.next += tasks;
+  pass.next_index += tasks;
 }
 
-// Tasks of one record stay together as far as possible, so that two controllers seldom write the same
-// record.
-void OfferRouter::offer_in_proportion(Pass& pass) {
-  const std::size_t partitions = pass.partitions.size();
-  const std::size_t all_that_fit = pass.tasks_that_fit();
-  const std::size_t offered = std::min(pass.tasks.size(), all_that_fit);
-  std::vector<double> share(partitions);
-  std::vector<std::size_t> left(partitions);
-  for (std::size_t p = 0; p < partitions; ++p) {
-    left[p] = pass.fits[p].tasks_that_fit;
-    share[p] = static_cast<double>(offered) * static_cast<double>(left[p]) /
-               static_cast<double>(all_that_fit);
+// Offers the job's tasks to the partitions in proportion to how many fit there. Tasks of the same record go
+// to the same partition where possible, so that two controllers seldom write the same record.
+void OfferRouter::offer_in_proportion(RoutingPass& pass) {
+  const std::size_t partition_count = pass.partitions.size();
+  const std::size_t total_fitting = pass.tasks_that_fit();
+  const std::size_t offered = std::min(pass.tasks.size(), total_fitting);
+  std::vector<double> share_left(partition_count);
+  std::vector<std::size_t> capacity_left(partition_count);
+  for (std::size_t partition = 0; partition < partition_count; ++partition) {
+    capacity_left[partition] = pass.fits[partition].tasks_that_fit;
+    share_left[partition] = static_cast<double>(offered) *
+                            static_cast<double>(capacity_left[partition]) /
+                            static_cast<double>(total_fitting);
   }
-  const auto chunk_of = [&pass](std::size_t i) { return pass.job->record.chunk_of(pass.tasks[i]); };
-  while (pass.next < offered) {
-    std::size_t run = 1;  // tasks of one record
-    while (pass.next + run < offered && chunk_of(pass.next + run) == chunk_of(pass.next)) ++run;
-    std::size_t best = partitions;
-    for (std::size_t p = 0; p < partitions; ++p) {
-      if (left[p] > 0 && (best == partitions || share[p] > share[best])) best = p;
+  const auto chunk_of = [&pass](std::size_t task_index) {
+    return pass.job->record.chunk_of(pass.tasks[task_index]);
+  };
+  while (pass.next_index < offered) {
+    std::size_t record_tasks = 1;  // consecutive tasks of the same record
+    while (pass.next_index + record_tasks < offered &&
+           chunk_of(pass.next_index + record_tasks) == chunk_of(pass.next_index))
+      ++record_tasks;
+    std::size_t best = partition_count;
+    for (std::size_t partition = 0; partition < partition_count; ++partition) {
+      if (capacity_left[partition] > 0 &&
+          (best == partition_count || share_left[partition] > share_left[best]))
+        best = partition;
     }
-    if (best == partitions) break;
-    const std::size_t tasks = std::min(run, left[best]);
+    if (best == partition_count) break;
+    const std::size_t tasks = std::min(record_tasks, capacity_left[best]);
     offer_next(pass, best, tasks);
     pass.partitions[best].deduct_free(pass.spec(), tasks);
-    left[best] -= tasks;
-    share[best] -= static_cast<double>(tasks);
+    capacity_left[best] -= tasks;
+    share_left[best] -= static_cast<double>(tasks);
   }
-  for (std::size_t p = 0; p < partitions; ++p) update_fit(pass, p);
+  for (std::size_t partition = 0; partition < partition_count; ++partition)
+    update_fit(pass, partition);
 }
 
-// The partition that suits one more task of the job best, if any can take it.
-std::optional<std::size_t> OfferRouter::best_partition(const Pass& pass) const {
+// Returns the partition that suits one more task of the job best, or nullopt if none has capacity for it.
+std::optional<std::size_t> OfferRouter::best_partition(const RoutingPass& pass) const {
   const bool must_start_soon = pass.spec().rank <= protocol::Rank::kUrgent &&
                                priorities_.start_within(pass.spec()).has_value();
   std::optional<std::size_t> best;
   int best_preference = 0;
-  for (std::size_t p = 0; p < pass.partitions.size(); ++p) {
-    const PartitionFit& fit = pass.fits[p];
+  for (std::size_t partition = 0; partition < pass.partitions.size(); ++partition) {
+    const PartitionFit& fit = pass.fits[partition];
     const bool by_preemption = must_start_soon && fit.fits_by_preemption_with_image;
     if (fit.tasks_that_fit == 0 && !by_preemption) continue;
-    const int preferred = preference(fit, by_preemption);
-    if (!best || preferred > best_preference ||
-        (preferred == best_preference &&
-         pass.partitions[p].free_cores() > pass.partitions[*best].free_cores())) {
-      best = p;
-      best_preference = preferred;
+    const int preference = partition_preference(fit, by_preemption);
+    if (!best || preference > best_preference ||
+        (preference == best_preference &&
+         pass.partitions[partition].free_cores() > pass.partitions[*best].free_cores())) {
+      best = partition;
+      best_preference = preference;
     }
   }
   return best;
 }
 
-void OfferRouter::offer_to_best(Pass& pass) {
-  while (!pass.is_done()) {
+// Offers the job's tasks one by one to the partition that suits them best at that point. For a job that
+// must keep to one zone, a partition is offered as many tasks at once as fit there.
+void OfferRouter::offer_to_best(RoutingPass& pass) {
+  while (!pass.all_offered()) {
     const std::optional<std::size_t> best = best_partition(pass);
     if (!best) return;
-    const std::size_t that_fit = pass.fits[*best].tasks_that_fit;
-    const std::size_t left = pass.tasks.size() - pass.next;
-    const std::size_t tasks = pass.spec().one_zone ? std::clamp<std::size_t>(that_fit, 1, left) : 1;
+    const std::size_t fitting_tasks = pass.fits[*best].tasks_that_fit;
+    const std::size_t remaining = pass.tasks.size() - pass.next_index;
+    const std::size_t tasks =
+        pass.spec().one_zone ? std::clamp<std::size_t>(fitting_tasks, 1, remaining) : 1;
     offer_next(pass, *best, tasks);
-    if (that_fit > 0) {
+    if (fitting_tasks > 0) {
       pass.partitions[*best].deduct_free(pass.spec(), tasks);
     } else {
       pass.partitions[*best].deduct_preemptible(pass.spec());
@@ -284,68 +298,76 @@
   }
 }
 
-// A starving job is offered also where it does not fit: capacity is reserved for it there.
-void OfferRouter::offer_for_reservation(Pass& pass) {
+// Offers one task of a starving job to a partition in which it does not fit, so that the controller there
+// reserves capacity for it.
+void OfferRouter::offer_for_reservation(RoutingPass& pass) {
   const std::size_t turn =
       ++offers_without_capacity_[pass.spec().id] / kReservationOffersPerPartition;
   offer_next(pass, turn % pass.partitions.size(), 1);
 }
 
-// Without free capacity anywhere, a job that may preempt others goes where that is possible.
-void OfferRouter::offer_for_preemption(Pass& pass) {
-  const std::size_t partitions = pass.partitions.size();
-  while (!pass.is_done()) {
-    // Partitions take turns, since what could be preempted in one may be protected by its team's
-    // guarantee. Not with every offer, or tasks would be preempted in all of them.
+// Offers the remaining tasks of a job that may preempt others to partitions in which they fit by
+// preemption.
+void OfferRouter::offer_for_preemption(RoutingPass& pass) {
+  const std::size_t partition_count = pass.partitions.size();
+  while (!pass.all_offered()) {
+    // Partitions are tried in turn, since tasks that seem preemptible in one may be protected by their
+    // team's guarantee. Each partition gets several successive offers, since otherwise tasks would be
+    // preempted in all partitions.
     const std::size_t turn =
         ++offers_without_capacity_[pass.spec().id] / kPreemptionOffersPerPartition;
-    std::size_t i = 0;
-    while (i < partitions && !pass.fits[(turn + i) % partitions].fits_by_preemption) ++i;
-    if (i == partitions) return;
-    const std::size_t partition = (turn + i) % partitions;
+    std::size_t offset = 0;
+    while (offset < partition_count &&
+           !pass.fits[(turn + offset) % partition_count].fits_by_preemption)
+      ++offset;
+    if (offset == partition_count) return;
+    const std::size_t partition = (turn + offset) % partition_count;
     offer_next(pass, partition, 1);
     pass.partitions[partition].deduct_preemptible(pass.spec());
     update_fit(pass, partition);
   }
 }
 
-void OfferRouter::route_job(Pass& pass, const Job& job) {
+// Offers the job's waiting tasks to the partitions: by free capacity first, then for the reservation of
+// capacity if the job is starving, or for preemption if it may preempt others.
+void OfferRouter::route_job(RoutingPass& pass, const Job& job) {
   pass.job = &job;
   pass.may_preempt = may_preempt(job, pass.input);
   pass.fits.assign(pass.partitions.size(), {});
-  for (std::size_t p = 0; p < pass.partitions.size(); ++p) update_fit(pass, p);
+  for (std::size_t partition = 0; partition < pass.partitions.size(); ++partition)
+    update_fit(pass, partition);
   const bool is_gang = pass.spec().kind == protocol::Kind::kGang;
-  const std::size_t that_fit = pass.tasks_that_fit();
+  const std::size_t fitting_tasks = pass.tasks_that_fit();
   // A gang starts only if all its tasks fit in one round.
-  if (is_gang && that_fit < job.pending()) return;
+  if (is_gang && fitting_tasks < job.pending()) return;
   const std::optional<std::size_t> starving = starving_tasks(job, pass.input);
-  if (that_fit == 0 && !starving && !pass.may_preempt) return;
-  std::size_t max_tasks = starving ? *starving : std::max(that_fit, kMinTasksOffered);
-  // One task shows whether a job that failed on every machine still does.
+  if (fitting_tasks == 0 && !starving && !pass.may_preempt) return;
+  std::size_t max_tasks = starving ? *starving : std::max(fitting_tasks, kMinTasksOffered);
+  // One task is enough to find out whether a crash-looping job still fails.
   if (!is_gang && pass.input.is_crash_looping(pass.spec().id)) max_tasks = 1;
   pass.tasks = tasks_to_offer(job, max_tasks, pass.input.now);
-  pass.next = 0;
+  pass.next_index = 0;
   if (is_gang && pass.tasks.size() < job.pending()) return;
-  if (that_fit > 0 && pass.spec().kind != protocol::Kind::kService && !pass.spec().one_zone) {
+  if (fitting_tasks > 0 && pass.spec().kind != protocol::Kind::kService && !pass.spec().one_zone) {
     offer_in_proportion(pass);
   } else {
     offer_to_best(pass);
   }
   if (is_gang) return;
-  if (starving && pass.tasks_that_fit() == 0 && !pass.is_done()) offer_for_reservation(pass);
+  if (starving && pass.tasks_that_fit() == 0 && !pass.all_offered()) offer_for_reservation(pass);
   if (pass.may_preempt) offer_for_preemption(pass);
 }
 
 std::map<base::MemberId, protocol::Offers> OfferRouter::route(std::vector<const Job*> jobs,
                                                               const RoutingInput& input) {
   sort_by_precedence(jobs, input);
-  Pass pass = begin_pass(jobs, input);
+  RoutingPass pass = begin_pass(jobs, input);
   for (const Job* job : jobs) route_job(pass, *job);
-  for (auto& [member, offers] : pass.out) {
+  for (auto& [member, offers] : pass.offers_by_member) {
     offers.from = input.self;
     offers.epoch = cache_.view()->epoch;
   }
-  return std::move(pass.out);
+  return std::move(pass.offers_by_member);
 }
 
 }  // namespace saddleslip::coordination
--- a/src/coordination/scheduling/partition_capacity.cpp
+++ b/src/coordination/scheduling/partition_capacity.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr double kNoRequest = 1e9;  // tasks that fit if the job requests nothing
+constexpr double kUnlimitedTasks = 1e9;  // how many tasks fit if the job requests no resources
 constexpr double kRoundingError = 1e-9;
 
 }  // namespace
@@ -29,11 +29,12 @@
 }
 
 std::size_t PartitionCapacity::Candidate::tasks_that_fit(const Resources& request) const {
-  double fits = kNoRequest;
+  double fitting_tasks = kUnlimitedTasks;
   for (std::size_t i = 0; i < free.v.size(); ++i) {
-    if (request.v[i] > 0) fits = std::min(fits, free.v[i] / request.v[i] + kRoundingError);
+    if (request.v[i] > 0)
+      fitting_tasks = std::min(fitting_tasks, free.v[i] / request.v[i] + kRoundingError);
   }
-  return static_cast<std::size_t>(std::max(0.0, std::floor(fits)));
+  return static_cast<std::size_t>(std::max(0.0, std::floor(fitting_tasks)));
 }
 
 PartitionFit PartitionCapacity::fit(const JobSpec& spec,
@@ -44,15 +45,15 @@
     if ((!may_preempt && !candidate.free.fits(spec.request)) || !candidate.may_run(spec)) continue;
     const MachineStatus& machine = *candidate.machine;
     const std::size_t tasks = candidate.tasks_that_fit(spec.request);
-    // Asked only where the answer matters: this is the costly part.
+    // Evaluated only if it affects the result, since the image lookup is expensive.
     const bool has_image =
         (tasks > 0 || !fit.fits_by_preemption_with_image) && machine.has_image(spec.image);
     if (tasks > 0) {
-      const bool is_reachable_zone = controller_zones.contains(machine.zone);
+      const bool in_controller_zone = controller_zones.contains(machine.zone);
       fit.tasks_that_fit += tasks;
       fit.has_image |= has_image;
-      fit.has_reachable_zone |= is_reachable_zone;
-      fit.has_image_in_reachable_zone |= has_image && is_reachable_zone;
+      fit.in_controller_zone |= in_controller_zone;
+      fit.has_image_in_controller_zone |= has_image && in_controller_zone;
     }
     const bool may_improve =
         !fit.fits_by_preemption || (has_image && !fit.fits_by_preemption_with_image);
--- a/src/coordination/scheduling/partition_capacity.h
+++ b/src/coordination/scheduling/partition_capacity.h
@@ -1,4 +1,5 @@
-// What one controller's machines can still take, as far as the controller that routes knows.
+// The free and preemptible capacity of one controller's machines, from the last statuses that the routing
+// controller received.
 #pragma once
 
 #include <cstddef>
@@ -11,20 +12,22 @@
 
 namespace saddleslip::coordination {
 
-// How well a partition suits one job.
+// How many tasks of one job a partition has capacity for, and which placement preferences it meets.
 struct PartitionFit {
   std::size_t tasks_that_fit = 0;
-  // Of the machines with free capacity for a task:
-  bool has_image = false;                    // on one of them the image is cached
-  bool has_reachable_zone = false;           // one is in a zone that has a controller
-  bool has_image_in_reachable_zone = false;  // both are true of the same machine
-  // Counting also the capacity of lower-ranking tasks that could be preempted:
+  // Whether a machine with free capacity for a task has the image cached, is in a zone that has a
+  // controller, or both at once.
+  bool has_image = false;
+  bool in_controller_zone = false;
+  bool has_image_in_controller_zone = false;
+  // Whether a task fits on a machine if tasks of lower rank are preempted there, and whether that is so on
+  // a machine that has the image cached.
   bool fits_by_preemption = false;
   bool fits_by_preemption_with_image = false;
 };
 
-// The machines of one controller that are candidates for new tasks, less what was offered to that
-// controller in this pass of routing. Refers to statuses that must outlive it.
+// The candidate machines of one controller for new tasks, less the capacity for tasks that were offered to
+// that controller in the present routing pass. Holds pointers to machine statuses, which must outlive it.
 class PartitionCapacity {
  public:
   explicit PartitionCapacity(base::MemberId member) : member_(std::move(member)) {}
@@ -32,18 +35,19 @@
   const base::MemberId& member() const { return member_; }
   double free_cores() const { return free_cores_; }
 
-  // Counts the machine's free cores towards the partition's.
+  // Adds the machine's free cores to the total of the partition.
   void add_free_cores(const protocol::MachineStatus& machine) {
     free_cores_ += machine.free.cores();
   }
-  // Makes the machine a candidate.
+  // Adds the machine to the candidates for new tasks.
   void add_candidate(const protocol::MachineStatus& machine) {
     candidates_.push_back({&machine, machine.free, machine.preemptible});
   }
 
+  // Returns how well the partition suits the job. `may_preempt` is whether the job may preempt others.
   PartitionFit fit(const protocol::JobSpec& spec, const std::set<std::string>& controller_zones,
                    bool may_preempt) const;
-  // Deducts so many tasks of the job from free capacity, as far as there is any.
+  // Deducts the requests of `tasks` tasks of the job from the free capacity, or of as many as fit.
   void deduct_free(const protocol::JobSpec& spec, std::size_t tasks);
   // Deducts one task of the job from the preemptible capacity of the first machine that fits it.
   void deduct_preemptible(const protocol::JobSpec& spec);
--- a/src/coordination/scheduling/preemption_planner.cpp
+++ b/src/coordination/scheduling/preemption_planner.cpp
@@ -18,15 +18,15 @@
 
 namespace {
 
-// Nothing more is evicted for a job until so long after: its victims need time to end.
+// The minimum time between evictions for the same job, in which its victims can end.
 constexpr Seconds kPreemptionInterval{6.0};
-// Victims that free a machine with the image end within this, or the image is fetched elsewhere.
-constexpr Seconds kPreferPreemptionFor{1.5};
-constexpr double kNoCores = 1e-6;  // less is a rounding error
+// If preemption has not freed a machine with the image within this time, the image is fetched elsewhere.
+constexpr Seconds kPreferPreemptionDuration{1.5};
+constexpr double kCoresRoundingError = 1e-6;
 
 }  // namespace
 
-// The cores of tasks that were told to stop and have not ended yet, by team.
+// Returns the cores of tasks that are being evicted and have not ended yet, by team.
 std::map<std::string, double> PreemptionPlanner::stopping_cores() const {
   std::map<std::string, double> cores;
   for (const auto& [id, machine] : std::as_const(machines_)) {
@@ -40,16 +40,16 @@
   return cores;
 }
 
-// By how many cores one more task of the job would exceed its team's maximum.
+// Returns by how many cores one more task of the job would exceed its team's maximum.
 double PreemptionPlanner::cores_over_quota(const JobSpec& spec) const {
   if (!cache_.has_quota_limit(spec.team)) return 0;
   const base::Team& team = settings_.teams.at(spec.team);
-  Resources use = cache_.team_use(spec.team);
-  use += spec.request;
-  return team.max_cores > 0 ? std::max(0.0, use.cores() - team.max_cores) : 0;
+  Resources usage = cache_.team_use(spec.team);
+  usage += spec.request;
+  return team.max_cores > 0 ? std::max(0.0, usage.cores() - team.max_cores) : 0;
 }
 
-// The resources of tasks on the machine that were told to stop and have not ended yet.
+// Returns the resources of tasks on the machine that are being evicted and have not ended yet.
 Resources PreemptionPlanner::stopping_resources(const Machine& machine) const {
   Resources resources;
   const auto& assignments = cache_.assignments_on(machine.last_heartbeat.machine);
@@ -73,9 +73,9 @@
 bool PreemptionPlanner::prefers_preemption(const Job& job, Time now) const {
   const JobSpec& spec = job.record.spec;
   if (spec.rank > protocol::Rank::kUrgent || !priorities_.start_within(spec)) return false;
-  const auto since = preempted_for_at_.find(spec.id);
-  if (since != preempted_for_at_.end() &&
-      base::between(since->second, now) > kPreferPreemptionFor) {
+  const auto preemption = last_preemption_at_.find(spec.id);
+  if (preemption != last_preemption_at_.end() &&
+      base::between(preemption->second, now) > kPreferPreemptionDuration) {
     return false;
   }
   const auto& machines = std::as_const(machines_);
@@ -92,34 +92,34 @@
 bool PreemptionPlanner::may_preempt(const Preemptor& preemptor, const Job& other) const {
   const JobSpec& spec = preemptor.spec();
   const JobSpec& other_spec = other.record.spec;
-  const bool is_over_quota = preemptor.cores_over_quota > kNoCores;
-  // At its team's maximum only the team's own lower-ranking tasks can make way.
+  const bool is_over_quota = preemptor.cores_over_quota > kCoresRoundingError;
+  // If the team is at its maximum, only lower-ranking tasks of the same team can be preempted.
   if (is_over_quota && other_spec.team != spec.team) return false;
-  // A victim counts with the rank that it inherits from its dependents, the preemptor with its own: so
-  // no victim ever preempts what it was stopped for.
+  // The victim's inherited rank is compared with the preemptor's own rank. A victim therefore never
+  // preempts the job that it was stopped for.
   if (priorities_.rank(other) > spec.rank) return true;
   if (is_over_quota) return false;
   if (!priorities_.is_guaranteed(*preemptor.job) || other_spec.team == spec.team ||
       other_spec.kind == protocol::Kind::kService || priorities_.is_guaranteed(other)) {
     return false;
   }
-  return is_beyond_guarantee(preemptor, other_spec.team);
+  return exceeds_guarantee(preemptor, other_spec.team);
 }
 
-// Does the team run more than its guarantee, once all that is being stopped has ended? No more than
-// that is preempted by guaranteed jobs: a victim within the guarantee would preempt others in turn,
-// without end.
-bool PreemptionPlanner::is_beyond_guarantee(const Preemptor& preemptor,
-                                            const std::string& team_name) const {
+// Returns whether the team still uses more than its guarantee once all tasks that are being stopped have
+// ended. Guaranteed jobs preempt only the excess: a victim within its team's guarantee would be entitled to
+// preempt other tasks in turn, without end.
+bool PreemptionPlanner::exceeds_guarantee(const Preemptor& preemptor,
+                                          const std::string& team_name) const {
   const auto team = settings_.teams.find(team_name);
   if (team == settings_.teams.end()) return false;
   const auto stopping = preemptor.stopping_cores.find(team_name);
   const double stopping_cores = stopping == preemptor.stopping_cores.end() ? 0 : stopping->second;
   return cache_.team_use(team_name).cores() - stopping_cores >
-         team->second.guaranteed_cores + kNoCores;
+         team->second.guaranteed_cores + kCoresRoundingError;
 }
 
-// The tasks on the machine that may be preempted, the one with the least work lost first.
+// Returns the tasks on the machine that may be preempted, in ascending order of the work lost.
 std::vector<PreemptionPlanner::Victim> PreemptionPlanner::victims_on(const Preemptor& preemptor,
                                                                      const Machine& machine,
                                                                      Time now) const {
@@ -131,44 +131,46 @@
       continue;
     }
     const auto started_at = machine.ran.find(task);
-    const Seconds lost =
+    const Seconds work_lost =
         started_at == machine.ran.end() ? Seconds(0) : base::between(started_at->second, now);
-    victims.push_back({task, job->record.spec.request, lost});
+    victims.push_back({task, job->record.spec.request, work_lost});
   }
   std::sort(victims.begin(), victims.end(),
-            [](const Victim& a, const Victim& b) { return a.lost < b.lost; });
+            [](const Victim& a, const Victim& b) { return a.work_lost < b.work_lost; });
   return victims;
 }
 
-// What must be evicted from this machine for one task of the job; none if that cannot be done.
-std::optional<PreemptionPlanner::EvictionPlan> PreemptionPlanner::plan_on(
+// Returns the tasks to evict from this machine so that one task of the job fits there, or nullopt if
+// evictions cannot free enough capacity.
+std::optional<PreemptionPlanner::EvictionPlan> PreemptionPlanner::plan_eviction(
     const Preemptor& preemptor, const Machine& machine, Time now) const {
   const Resources& request = preemptor.spec().request;
   Resources available = capacity_.of(machine).free;
   available += stopping_resources(machine);
-  const auto taken = preemptor.taken.find(machine.last_heartbeat.machine);
-  if (taken != preemptor.taken.end()) available -= taken->second;
-  // Spares the search for victims. A guaranteed job may preempt more than what ranks lower.
+  const auto claimed = preemptor.claimed.find(machine.last_heartbeat.machine);
+  if (claimed != preemptor.claimed.end()) available -= claimed->second;
+  // Skips the search for victims if they could not free enough. This does not hold for guaranteed jobs,
+  // which may preempt more than the lower-ranking tasks that `preemptible` counts.
   if (!priorities_.is_guaranteed(*preemptor.job)) {
-    Resources most = available;
-    most += capacity_.of(machine).preemptible;
-    if (!most.fits(request)) return {};
+    Resources maximum = available;
+    maximum += capacity_.of(machine).preemptible;
+    if (!maximum.fits(request)) return {};
   }
   EvictionPlan plan;
   double cores_over_quota = preemptor.cores_over_quota;
   for (const Victim& victim : victims_on(preemptor, machine, now)) {
-    if (available.fits(request) && cores_over_quota < kNoCores) break;
+    if (available.fits(request) && cores_over_quota < kCoresRoundingError) break;
     cores_over_quota -= victim.request.cores();
     available += victim.request;
-    plan.lost_core_seconds += victim.lost.count() * victim.request.cores();
+    plan.lost_core_seconds += victim.work_lost.count() * victim.request.cores();
     plan.tasks.push_back(victim.task);
   }
-  if (!available.fits(request) || cores_over_quota > kNoCores) return {};
+  if (!available.fits(request) || cores_over_quota > kCoresRoundingError) return {};
   return plan;
 }
 
-// Frees capacity for one task of the job, on the machine on which the least work is lost. False: there
-// is no such machine.
+// Evicts tasks for one task of the job, on the machine on which this loses the least work. Returns false if
+// there is no machine on which evictions can free enough capacity.
 bool PreemptionPlanner::preempt_for_one_task(Preemptor& preemptor, Time now) {
   const JobSpec& spec = preemptor.spec();
   const bool needs_image = prefers_preemption(*preemptor.job, now);
@@ -179,7 +181,7 @@
         reservations_.is_reserved_for_other(id, spec.id)) {
       continue;
     }
-    std::optional<EvictionPlan> plan = plan_on(preemptor, machine, now);
+    std::optional<EvictionPlan> plan = plan_eviction(preemptor, machine, now);
     if (!plan || (best && plan->lost_core_seconds >= best_plan.lost_core_seconds)) continue;
     best = &machine;
     best_plan = std::move(*plan);
@@ -193,8 +195,8 @@
                               Time now) {
   const JobSpec& spec = preemptor.spec();
   const base::MachineId& id = machine.last_heartbeat.machine;
-  preemptor.taken[id] += spec.request;
-  // Without the reservation the victims would be started here again, and be stopped again.
+  preemptor.claimed[id] += spec.request;
+  // Without the reservation the victims would be restarted on this machine and preempted again.
   reservations_.reserve_preempted_capacity(id, spec.id, base::after(now, kPreemptionInterval));
   for (const TaskId& victim : plan.tasks) {
     spdlog::info("task preempted: task={}/{} machine={} for_job={}", victim.job.get(), victim.no,
@@ -205,15 +207,15 @@
       preemptor.stopping_cores[job->record.spec.team] += job->record.spec.request.cores();
     }
   }
-  preempted_for_at_[spec.id] = now;
+  last_preemption_at_[spec.id] = now;
 }
 
 void PreemptionPlanner::preempt(const std::vector<UnplacedJob>& jobs, Time now) {
-  std::erase_if(preempted_for_at_, [&](const auto& entry) {
+  std::erase_if(last_preemption_at_, [&](const auto& entry) {
     return base::between(entry.second, now) > kPreemptionInterval || !cache_.job(entry.first);
   });
   std::map<std::string, double> stopping;
-  // Only guaranteed jobs ask for this.
+  // The stopping cores are used only for guaranteed jobs.
   if (std::any_of(jobs.begin(), jobs.end(), [&](const UnplacedJob& unplaced) {
         return priorities_.is_guaranteed(*unplaced.job);
       })) {
@@ -221,9 +223,9 @@
   }
   for (const UnplacedJob& unplaced : jobs) {
     const JobSpec& spec = unplaced.job->record.spec;
-    if (!priorities_.may_displace(*unplaced.job) || preempted_for_at_.contains(spec.id)) continue;
+    if (!priorities_.may_preempt(*unplaced.job) || last_preemption_at_.contains(spec.id)) continue;
     Preemptor preemptor{unplaced.job, cores_over_quota(spec), std::move(stopping), {}};
-    for (std::size_t left = unplaced.tasks; left > 0; --left) {
+    for (std::size_t remaining = unplaced.tasks; remaining > 0; --remaining) {
       if (!preempt_for_one_task(preemptor, now)) break;
     }
     stopping = std::move(preemptor.stopping_cores);
--- a/src/coordination/scheduling/preemption_planner.h
+++ b/src/coordination/scheduling/preemption_planner.h
@@ -1,4 +1,4 @@
-// Preemption: tasks are stopped to free capacity for a waiting job that may displace them.
+// Preemption: stops tasks to free capacity for waiting jobs that have precedence.
 #pragma once
 
 #include <cstddef>
@@ -16,15 +16,15 @@
 
 namespace saddleslip::coordination {
 
-// A job with tasks that found no machine in this round.
+// A job with waiting tasks that were not placed on a machine in this scheduling round.
 struct UnplacedJob {
   const storage::Job* job = nullptr;
-  std::size_t tasks = 0;
+  std::size_t tasks = 0;  // the number of those tasks
 };
 
-// Chooses the victims with the least work lost, marks them for eviction on their machines, and
-// reserves the capacity that they free. Remembers for which jobs it did so, to give the victims time to
-// end. Takes the time as an argument. Not safe for use from several threads at once.
+// Chooses the tasks whose preemption loses the least work, marks them for eviction on their machines and
+// reserves the capacity that they free. Does not preempt for the same job again until its victims have had
+// time to end. Times are arguments. Not safe for use from several threads at once.
 class PreemptionPlanner {
  public:
   // All references must outlive the planner.
@@ -38,29 +38,32 @@
         machines_(machines),
         reservations_(reservations) {}
 
-  // Evicts tasks for these jobs, in their order, as far as they may preempt others. Requires
-  // priorities that are up to date.
+  // Evicts tasks for those of these jobs that may preempt others, in the order given. Requires up-to-date
+  // priorities.
   void preempt(const std::vector<UnplacedJob>& jobs, base::Time now);
 
-  // Should the job rather preempt tasks where its image is cached than fetch the image elsewhere?
-  // For a moment only: the victims must have ended by then.
+  // Returns whether the job should preempt tasks on a machine that has its image cached instead of fetching
+  // the image on another machine. Becomes false shortly after the eviction of tasks for the job, by which time
+  // they should have ended.
   bool prefers_preemption(const storage::Job& job, base::Time now) const;
 
  private:
-  // A job that may preempt others, and what was evicted for it and for jobs before it.
+  // A job that may preempt others, and the effects of the evictions in this round so far.
   struct Preemptor {
     const storage::Job* job;
-    double cores_over_quota;                               // that its team must give up first
-    std::map<std::string, double> stopping_cores;          // by team
-    std::map<base::MachineId, protocol::Resources> taken;  // capacity that was freed for the job
+    double cores_over_quota;                       // cores that its team must give up first
+    std::map<std::string, double> stopping_cores;  // cores of tasks that are being stopped, by team
+    // Capacity that is already set aside for other tasks of the job.
+    std::map<base::MachineId, protocol::Resources> claimed;
 
     const protocol::JobSpec& spec() const { return job->record.spec; }
   };
   struct Victim {
     base::TaskId task;
     protocol::Resources request;
-    base::Seconds lost;  // how long it ran
+    base::Seconds work_lost;  // how long it has run
   };
+  // The tasks to evict from a machine so that one task of the preemptor fits there.
   struct EvictionPlan {
     std::vector<base::TaskId> tasks;
     double lost_core_seconds = 0;
@@ -70,13 +73,13 @@
   double cores_over_quota(const protocol::JobSpec& spec) const;
   protocol::Resources stopping_resources(const storage::Machine& machine) const;
   bool may_preempt(const Preemptor& preemptor, const storage::Job& other) const;
-  bool is_beyond_guarantee(const Preemptor& preemptor, const std::string& team) const;
+  bool exceeds_guarantee(const Preemptor& preemptor, const std::string& team) const;
   bool is_candidate(const storage::Machine& machine, const protocol::JobSpec& spec,
                     base::Time now) const;
   std::vector<Victim> victims_on(const Preemptor& preemptor, const storage::Machine& machine,
                                  base::Time now) const;
-  std::optional<EvictionPlan> plan_on(const Preemptor& preemptor, const storage::Machine& machine,
-                                      base::Time now) const;
+  std::optional<EvictionPlan> plan_eviction(const Preemptor& preemptor,
+                                            const storage::Machine& machine, base::Time now) const;
   bool preempt_for_one_task(Preemptor& preemptor, base::Time now);
   void evict(Preemptor& preemptor, storage::Machine& machine, const EvictionPlan& plan,
              base::Time now);
@@ -87,7 +90,7 @@
   const CapacityCalculator& capacity_;
   MachineRegistry& machines_;
   CapacityReservations& reservations_;
-  std::map<base::JobId, base::Time> preempted_for_at_;
+  std::map<base::JobId, base::Time> last_preemption_at_;  // by the job it was for
 };
 
 }  // namespace saddleslip::coordination
--- a/src/coordination/scheduling/scheduling_round.cpp
+++ b/src/coordination/scheduling/scheduling_round.cpp
@@ -31,7 +31,7 @@
   const Machine* best = nullptr;
   // A reserved machine is partly idle, so the number of reservations is limited even if most waiting
   // jobs are starving.
-  if (reservations_.starving_count() > machines_.size() / kMachinesPerReservation) return;
+  if (reservations_.count_for_starving_jobs() > machines_.size() / kMachinesPerReservation) return;
   for (const auto& [id, machine] : machines_) {
     if (reservations_.is_reserved_for(id, spec.id)) return;
     if (reservations_.is_reserved(id) || machine.cordoned || !is_schedulable(machine, now) ||
@@ -279,7 +279,7 @@
                machine.last_heartbeat.spot))
     return -1;
   if (reservations_.is_reserved_for_other(machine.last_heartbeat.machine, spec.id)) return -1;
-  if (failures_.avoids(spec.id, machine.last_heartbeat.machine, now)) return -1;
+  if (failures_.must_avoid(spec.id, machine.last_heartbeat.machine, now)) return -1;
   const bool is_fetched_in_time = !start_within || fetch_time(machine, spec) < *start_within * 0.75;
   const int image_pass = machine.has_image(spec.image)          ? 0
                          : machine.pulling.contains(spec.image) ? 2
@@ -334,7 +334,7 @@
                   completion.task.no, completion.machine.get(), completion.why);
     if (completion.done) {
       failures_.record_success(completion.machine);
-      failures_.mark_sound(completion.task.job);
+      failures_.mark_known_good(completion.task.job);
     } else if (completion.why == protocol::to_string(Cause::kError)) {
       failures_.record_failure(completion.task.job, completion.machine, run_before_end(completion),
                                now);
--- a/tests/capacity_reservations_test.cpp
+++ b/tests/capacity_reservations_test.cpp
@@ -40,7 +40,7 @@
   EXPECT_TRUE(reservations_.is_reserved_for(kMachine, kStarved));
   reservations_.reserve_preempted_capacity(kSecond, kOther, later(6));
   EXPECT_TRUE(reservations_.is_reserved_for(kSecond, kOther));
-  EXPECT_EQ(reservations_.starving_count(), 1u);
+  EXPECT_EQ(reservations_.count_for_starving_jobs(), 1u);
 }
 
 TEST_F(CapacityReservationsTest, FulfilEndsOnlyTheReservationOfThatJob) {
--- a/tests/failure_tracker_test.cpp
+++ b/tests/failure_tracker_test.cpp
@@ -57,14 +57,14 @@
 TEST_F(FailureTrackerTest, SoundJobFailsOnOneMachineMachineIsFaulty) {
   fail_sound_job_beside_broken_one();
   EXPECT_FALSE(tracker_.is_faulty(m1_));  // nothing is known of the job yet
-  tracker_.mark_sound(sound_);
+  tracker_.mark_known_good(sound_);
   EXPECT_TRUE(tracker_.is_faulty(m1_));
   EXPECT_FALSE(tracker_.is_faulty(m2_));
 }
 
 TEST_F(FailureTrackerTest, SoundJobIsForgottenEvidenceAgainstTheMachineStays) {
   fail_sound_job_beside_broken_one();
-  tracker_.mark_sound(sound_);
+  tracker_.mark_known_good(sound_);
   tracker_.forget_job(sound_);
   EXPECT_TRUE(tracker_.is_faulty(m1_));
 }
@@ -73,7 +73,7 @@
   fail(sound_, m1_, 0);
   tracker_.record_success(m1_);
   fail(sound_, m1_, 1);
-  tracker_.mark_sound(sound_);
+  tracker_.mark_known_good(sound_);
   tracker_.record_success(m1_);
   EXPECT_FALSE(tracker_.is_faulty(m1_));
   fail(sound_, m1_, 2);
@@ -117,22 +117,22 @@
     EXPECT_TRUE(tracker_.may_retry(broken_, at_seconds(t)));
   }
   EXPECT_FALSE(tracker_.may_retry(broken_, at_seconds(t - 1)));
-  tracker_.mark_sound(broken_);
+  tracker_.mark_known_good(broken_);
   EXPECT_TRUE(tracker_.may_retry(broken_, at_seconds(t - 60)));
 }
 
 // A task that fails only after a while runs for that while on a healthy machine as well.
 TEST_F(FailureTrackerTest, JobFailsAfterAWhileIsSoundOnlyIfItRunsLonger) {
   fail(broken_, m1_, 0, 20);
-  EXPECT_GT(tracker_.long_run(broken_), Seconds(20));
-  EXPECT_GT(tracker_.long_run(sound_), Seconds(1));
+  EXPECT_GT(tracker_.known_good_run_time(broken_), Seconds(20));
+  EXPECT_GT(tracker_.known_good_run_time(sound_), Seconds(1));
 }
 
 TEST_F(FailureTrackerTest, JobFailedOnAMachineAvoidsItForAWhile) {
   fail(sound_, m1_, 0);
-  EXPECT_TRUE(tracker_.avoids(sound_, m1_, at_seconds(10)));
-  EXPECT_FALSE(tracker_.avoids(sound_, m2_, at_seconds(10)));
-  EXPECT_FALSE(tracker_.avoids(sound_, m1_, at_seconds(40)));
+  EXPECT_TRUE(tracker_.must_avoid(sound_, m1_, at_seconds(10)));
+  EXPECT_FALSE(tracker_.must_avoid(sound_, m2_, at_seconds(10)));
+  EXPECT_FALSE(tracker_.must_avoid(sound_, m1_, at_seconds(40)));
 }
 
 }  // namespace saddleslip::coordination
--- a/tests/job_priorities_test.cpp
+++ b/tests/job_priorities_test.cpp
@@ -94,8 +94,8 @@
   settings_.teams["t"].guaranteed_cores = 0;
   add(make_job(kFirst, Rank::kIdle));
   add(make_urgent_dependent());
-  EXPECT_FALSE(priorities_.may_displace(job(kFirst)));
-  EXPECT_TRUE(priorities_.may_displace(job(kLast)));
+  EXPECT_FALSE(priorities_.may_preempt(job(kFirst)));
+  EXPECT_TRUE(priorities_.may_preempt(job(kLast)));
 }
 
 // Each job requests 8 of the team's 10 guaranteed cores.
--- a/tests/offer_router_test.cpp
+++ b/tests/offer_router_test.cpp
@@ -148,7 +148,7 @@
   partition.deduct_free(spec, 1);
   const PartitionFit fit = partition.fit(spec, {"zone-a"}, false);
   EXPECT_EQ(fit.tasks_that_fit, 1u);
-  EXPECT_TRUE(fit.has_reachable_zone);
+  EXPECT_TRUE(fit.in_controller_zone);
   EXPECT_FALSE(fit.has_image);
   EXPECT_DOUBLE_EQ(partition.free_cores(), 5);
 }
