--- a/src/coordination/scheduling/capacity_reservations.h
+++ b/src/coordination/scheduling/capacity_reservations.h
@@ -1,8 +1,8 @@
 // Capacity reservations: machines that accept new tasks of only one job until an expiry time.
 //
-// Without a reservation, a large task would never start under sustained overload, since smaller tasks
-// take all capacity that becomes free, and capacity freed by preemption could go to another job than the
-// one that it was freed for.
+// Without a reservation, a large task would never start under sustained overload, since smaller
+// tasks take all capacity that becomes free, and capacity freed by preemption could go to another
+// job than the one that it was freed for.
 #pragma once
 
 #include <map>
@@ -11,24 +11,26 @@
 
 namespace saddleslip::coordination {
 
-// The reservations of one controller's machines, at most one for each machine. The cache must outlive this
-// object. Times are arguments. Not safe for use from several threads at once.
+// The reservations of one controller's machines, at most one for each machine. The cache must
+// outlive this object. Times are arguments. Not safe for use from several threads at once.
 class CapacityReservations {
  public:
   explicit CapacityReservations(const storage::StateCache& cache) : cache_(cache) {}
 
-  // Reserves a machine for a starving job until one of the job's tasks starts there. Replaces the machine's
-  // present reservation, if any.
+  // Reserves a machine for a starving job until one of the job's tasks starts there. Replaces the
+  // machine's present reservation, if any.
   void reserve_for_starving_job(const base::MachineId& machine, const base::JobId& job,
                                 base::Time expires_at);
-  // Reserves a machine on which tasks are being preempted for the job. Has no effect if the machine is
-  // reserved already.
+  // Reserves a machine on which tasks are being preempted for the job. Has no effect if the machine
+  // is reserved already.
   void reserve_preempted_capacity(const base::MachineId& machine, const base::JobId& job,
                                   base::Time expires_at);
 
-  // Ends the machine's reservation if it is for this job. To be called when a task of the job starts there.
+  // Ends the machine's reservation if it is for this job. To be called when a task of the job
+  // starts there.
   void fulfil(const base::MachineId& machine, const base::JobId& job);
-  // Removes reservations that have expired, and those for jobs that have ended or have no pending task.
+  // Removes reservations that have expired, and those for jobs that have ended or have no pending
+  // task.
   void expire(base::Time now);
 
   bool is_reserved(const base::MachineId& machine) const { return by_machine_.contains(machine); }
--- a/src/coordination/scheduling/completions.cpp
+++ b/src/coordination/scheduling/completions.cpp
@@ -19,8 +19,8 @@
 
 }  // namespace
 
-// Adds the attempts assigned to the machine that have certainly ended. `machine` is null if the machine
-// has not sent a heartbeat to this controller.
+// Adds the attempts assigned to the machine that have certainly ended. `machine` is null if the
+// machine has not sent a heartbeat to this controller.
 void Controller::collect_completions_on(const MachineId& id, Machine* machine, Time now,
                                         std::vector<RoundPlan::Completion>& completions) {
   const auto& assignments = cache_.assignments_on(id);
@@ -47,8 +47,8 @@
     if (reported.contains(task)) continue;
     completions.push_back({task, id, "worker lease expired", false});
   }
-  // Delayed heartbeats of an agent incarnation whose lease expired must not make its attempts count as
-  // running again.
+  // Delayed heartbeats of an agent incarnation whose lease expired must not make its attempts count
+  // as running again.
   if (machine) machines_.end_agent_incarnation(*machine);
 }
 
@@ -60,10 +60,10 @@
   }
 }
 
-// Returns whether the completion may be recorded later, together with others of the same task record.
-// Deferring is safe while other tasks of the record still run on this controller's machines: the
-// capacity already counts as free, and if the machine is lost before the completion is recorded, the
-// task is started again and ends at once, since its result is kept.
+// Returns whether the completion may be recorded later, together with others of the same task
+// record. Deferring is safe while other tasks of the record still run on this controller's
+// machines: the capacity already counts as free, and if the machine is lost before the completion
+// is recorded, the task is started again and ends at once, since its result is kept.
 bool Controller::can_defer(const RoundPlan::Completion& completion, const std::set<TaskId>& ended,
                            Time now) {
   const Job* job = cache_.job(completion.task.job);
@@ -91,10 +91,10 @@
     plan.completions.push_back(std::move(completion));
 }
 
-// Handles task records that were written under a larger value limit of the store and exceed the present
-// one: such a record can be rewritten only once enough of its tasks have ended, with all these ends in
-// one write. Removes the completions that must wait for more ends; returns the tasks whose completions
-// must be recorded together.
+// Handles task records that were written under a larger value limit of the store and exceed the
+// present one: such a record can be rewritten only once enough of its tasks have ended, with all
+// these ends in one write. Removes the completions that must wait for more ends; returns the tasks
+// whose completions must be recorded together.
 std::set<TaskId> Controller::settle_large_records(std::vector<RoundPlan::Completion>& completions,
                                                   const RecordBatch& batch) const {
   struct LargeRecord {
@@ -139,7 +139,8 @@
   for (const RoundPlan::Completion& completion : completions) ended.insert(completion.task);
   attempts_.keep_completions(ended);
   const std::set<TaskId> together = settle_large_records(completions, batch);
-  // After a crash there may be more completions than one transaction holds: higher tiers come first.
+  // After a crash there may be more completions than one transaction holds: higher tiers come
+  // first.
   std::map<int, std::vector<RoundPlan::Completion>> due;  // by tier
   std::vector<RoundPlan::Completion> deferred;
   for (RoundPlan::Completion& completion : completions) {
@@ -159,8 +160,8 @@
   return deferred;
 }
 
-// Records deferred completions, the oldest first, if their task record is written in this round anyway
-// or the write budget has a surplus.
+// Records deferred completions, the oldest first, if their task record is written in this round
+// anyway or the write budget has a surplus.
 void Controller::record_deferred_completions(std::vector<RoundPlan::Completion> completions,
                                              WriteBudget write_budget, Time now, RecordBatch& batch,
                                              RoundPlan& plan) {
--- a/src/coordination/scheduling/failure_tracker.cpp
+++ b/src/coordination/scheduling/failure_tracker.cpp
@@ -11,16 +11,16 @@
 
 namespace {
 
-// A machine is faulty after this many failures of jobs known to be good, or when this many unrelated jobs
-// failed on it and on no other machine.
+// A machine is faulty after this many failures of jobs known to be good, or when this many
+// unrelated jobs failed on it and on no other machine.
 constexpr int kFaultyAfterFailures = 2;
 constexpr int kFaultyAfterSoleFailures = 3;
 constexpr std::size_t kCrashLoopMachines = 2;   // a job that failed on this many is crash-looping
 constexpr Seconds kAvoidMachineDuration{30.0};  // after a failure of the job on the machine
 constexpr Seconds kMinBackoff{2.0};             // doubles with each further failure
 constexpr Seconds kMaxBackoff{60.0};
-// A run of a job's task shows that the job is good if it lasts for at least the minimum, so that it did not
-// fail at its start, and longer than the job's longest failed run by this factor.
+// A run of a job's task shows that the job is good if it lasts for at least the minimum, so that it
+// did not fail at its start, and longer than the job's longest failed run by this factor.
 constexpr Seconds kMinKnownGoodRun{8.0};
 constexpr double kKnownGoodRunFactor = 2.0;
 
--- a/src/coordination/scheduling/failure_tracker.h
+++ b/src/coordination/scheduling/failure_tracker.h
@@ -1,10 +1,10 @@
 // Failure tracking: distinguishes faulty machines from jobs that fail on every machine.
 //
-// A single failed task does not show whether the machine is faulty or the job itself is broken. Failures
-// count against a machine only if the job is known to be good, because its tasks complete or run for long
-// on other machines, or if several unrelated jobs failed on that machine and on no other. A job that
-// fails on several machines and is not known to be good is crash-looping: its retries back off, so that it
-// does not take capacity, image fetches and writes from other jobs.
+// A single failed task does not show whether the machine is faulty or the job itself is broken.
+// Failures count against a machine only if the job is known to be good, because its tasks complete
+// or run for long on other machines, or if several unrelated jobs failed on that machine and on no
+// other. A job that fails on several machines and is not known to be good is crash-looping: its
+// retries back off, so that it does not take capacity, image fetches and writes from other jobs.
 #pragma once
 
 #include <map>
@@ -16,8 +16,8 @@
 
 namespace saddleslip::coordination {
 
-// The failures of tasks by job and machine. Times are arguments. Not safe for use from several threads at
-// once.
+// The failures of tasks by job and machine. Times are arguments. Not safe for use from several
+// threads at once.
 class FailureTracker {
  public:
   // Records that an attempt of `job` ended with an error on `machine` after running for `ran`.
@@ -25,11 +25,11 @@
                       base::Time now);
   // Records that a task completed on `machine`: earlier failures there no longer count against it.
   void record_success(const base::MachineId& machine);
-  // Marks `job` as known to be good, since its tasks complete or run for long. From now on its failures
-  // count against the machines on which they occur.
+  // Marks `job` as known to be good, since its tasks complete or run for long. From now on its
+  // failures count against the machines on which they occur.
   void mark_known_good(const base::JobId& job);
-  // Forgets a job that has ended or was cancelled. Failures of it that already count against machines
-  // remain.
+  // Forgets a job that has ended or was cancelled. Failures of it that already count against
+  // machines remain.
   void forget_job(const base::JobId& job);
   void forget_machine(const base::MachineId& machine);
 
@@ -38,7 +38,8 @@
   bool is_crash_looping(const base::JobId& job) const;
   // Returns whether tasks of the job may be started now. False while the job's retry backoff lasts.
   bool may_retry(const base::JobId& job, base::Time now) const;
-  // Returns whether tasks of the job must not start on the machine now, since one failed there recently.
+  // Returns whether tasks of the job must not start on the machine now, since one failed there
+  // recently.
   bool must_avoid(const base::JobId& job, const base::MachineId& machine, base::Time now) const;
   // Returns how long a task of the job must run to show that the job is good.
   base::Seconds known_good_run_time(const base::JobId& job) const;
--- a/src/coordination/scheduling/job_priorities.cpp
+++ b/src/coordination/scheduling/job_priorities.cpp
@@ -21,8 +21,8 @@
 constexpr double kLearningRate = 0.05;       // weight of a new run time in its class's ratio
 constexpr double kMinRunTimeRatio = 0.2, kMaxRunTimeRatio = 5.0;
 constexpr Seconds kMinRunTime{1.0};
-// Seconds between the end of a job and the start of its dependent: a scheduling round, an image fetch and
-// the commit of a record.
+// Seconds between the end of a job and the start of its dependent: a scheduling round, an image
+// fetch and the commit of a record.
 constexpr double kDependentStartDelay = 3.0;
 
 }  // namespace
@@ -209,7 +209,8 @@
 
 std::optional<std::size_t> JobPriorities::starving_tasks(const Job& job, Time now) const {
   if (job.pending() == 0) return {};
-  // A job without any started task has waited since it could start, also before this process first saw it.
+  // A job without any started task has waited since it could start, also before this process first
+  // saw it.
   const bool has_started = job.assigned > 0 || job.done > 0;
   const double waited_seconds = has_started ? base::between(job.last_progress_at, now).count()
                                             : time_of_day(now) - job.startable_since();
--- a/src/coordination/scheduling/offer_pool.h
+++ b/src/coordination/scheduling/offer_pool.h
@@ -1,5 +1,5 @@
-// The offer pool: the waiting tasks that this controller may start on its own machines. They were offered
-// to it, by itself or by another controller, and the offer has not expired.
+// The offer pool: the waiting tasks that this controller may start on its own machines. They were
+// offered to it, by itself or by another controller, and the offer has not expired.
 #pragma once
 
 #include <deque>
@@ -24,14 +24,14 @@
   base::Time expires_at{};
 };
 
-// Keeps offers until they expire. The settings must outlive the pool. Times are arguments. Not safe for use
-// from several threads at once.
+// Keeps offers until they expire. The settings must outlive the pool. Times are arguments. Not safe
+// for use from several threads at once.
 class OfferPool {
  public:
   explicit OfferPool(const base::Settings& settings) : settings_(settings) {}
 
-  // Adds offers, each of which expires after 2.5 scheduling rounds. If the pool is full, the oldest offers
-  // are removed.
+  // Adds offers, each of which expires after 2.5 scheduling rounds. If the pool is full, the oldest
+  // offers are removed.
   void add(const protocol::Offers& offers, base::Time now);
   // Removes the offers that have expired.
   void expire(base::Time now);
--- a/src/coordination/scheduling/offer_router.cpp
+++ b/src/coordination/scheduling/offer_router.cpp
@@ -20,16 +20,17 @@
 
 namespace {
 
-// For this long the controller that accepted a new job offers its tasks; after that its home controller does.
+// For this long the controller that accepted a new job offers its tasks; after that its home
+// controller does.
 constexpr Seconds kFirstOffersDuration{0.6};
-// The number of successive offers of a job to the same partition without free capacity, before the next
-// partition is tried. A reservation takes longer to free capacity than preemption does.
+// The number of successive offers of a job to the same partition without free capacity, before the
+// next partition is tried. A reservation takes longer to free capacity than preemption does.
 constexpr std::size_t kPreemptionOffersPerPartition = 2;
 constexpr std::size_t kReservationOffersPerPartition = 40;
 // A task that still waits is offered again after this many scheduling rounds.
 constexpr double kOfferLifetimeRounds = 1.2;
-// A job that may preempt others offers up to this many tasks in one routing pass even if fewer fit into
-// free capacity.
+// A job that may preempt others offers up to this many tasks in one routing pass even if fewer fit
+// into free capacity.
 constexpr std::size_t kMinTasksOffered = 8;
 constexpr int kStarvingTier = -1;  // before the tiers of all other jobs
 
@@ -50,8 +51,8 @@
   }
 }
 
-// Returns how well a partition suits a job; higher is better. A cached image and free capacity in a zone
-// that has a controller take precedence over the amount of free capacity.
+// Returns how well a partition suits a job; higher is better. A cached image and free capacity in a
+// zone that has a controller take precedence over the amount of free capacity.
 int partition_preference(const PartitionFit& fit, bool by_preemption) {
   if (fit.has_image_in_controller_zone) return 4;
   if (fit.has_image) return 3;
@@ -61,8 +62,9 @@
 
 }  // namespace
 
-// The state of one call of route(): the partitions' remaining capacity, the offers made so far and, for the
-// job that is being routed, how it fits each partition and which of its tasks are yet to be offered.
+// The state of one call of route(): the partitions' remaining capacity, the offers made so far and,
+// for the job that is being routed, how it fits each partition and which of its tasks are yet to be
+// offered.
 struct OfferRouter::RoutingPass {
   const RoutingInput& input;
   std::vector<PartitionCapacity> partitions;
@@ -155,8 +157,8 @@
   for (std::size_t i = 0; i < order.size(); ++i) jobs[i] = order[i].job;
 }
 
-// Starts a routing pass. In a busy cluster most machines have no capacity for any waiting task, so these are
-// excluded once here instead of being checked for each job.
+// Starts a routing pass. In a busy cluster most machines have no capacity for any waiting task, so
+// these are excluded once here instead of being checked for each job.
 OfferRouter::RoutingPass OfferRouter::begin_pass(const std::vector<const Job*>& jobs,
                                                  const RoutingInput& input) const {
   std::optional<Resources> minimum_request, minimum_preempting_request;
@@ -218,8 +220,9 @@
   pass.next_index += tasks;
 }
 
-// Offers the job's tasks to the partitions in proportion to how many fit there. Tasks of the same record go
-// to the same partition where possible, so that two controllers seldom write the same record.
+// Offers the job's tasks to the partitions in proportion to how many fit there. Tasks of the same
+// record go to the same partition where possible, so that two controllers seldom write the same
+// record.
 void OfferRouter::offer_in_proportion(RoutingPass& pass) {
   const std::size_t partition_count = pass.partitions.size();
   const std::size_t total_fitting = pass.tasks_that_fit();
@@ -257,7 +260,8 @@
     update_fit(pass, partition);
 }
 
-// Returns the partition that suits one more task of the job best, or nullopt if none has capacity for it.
+// Returns the partition that suits one more task of the job best, or nullopt if none has capacity
+// for it.
 std::optional<std::size_t> OfferRouter::best_partition(const RoutingPass& pass) const {
   const bool must_start_soon = pass.spec().rank <= protocol::Rank::kUrgent &&
                                priorities_.start_within(pass.spec()).has_value();
@@ -278,8 +282,8 @@
   return best;
 }
 
-// Offers the job's tasks one by one to the partition that suits them best at that point. For a job that
-// must keep to one zone, a partition is offered as many tasks at once as fit there.
+// Offers the job's tasks one by one to the partition that suits them best at that point. For a job
+// that must keep to one zone, a partition is offered as many tasks at once as fit there.
 void OfferRouter::offer_to_best(RoutingPass& pass) {
   while (!pass.all_offered()) {
     const std::optional<std::size_t> best = best_partition(pass);
@@ -298,8 +302,8 @@
   }
 }
 
-// Offers one task of a starving job to a partition in which it does not fit, so that the controller there
-// reserves capacity for it.
+// Offers one task of a starving job to a partition in which it does not fit, so that the controller
+// there reserves capacity for it.
 void OfferRouter::offer_for_reservation(RoutingPass& pass) {
   const std::size_t turn =
       ++offers_without_capacity_[pass.spec().id] / kReservationOffersPerPartition;
@@ -311,9 +315,9 @@
 void OfferRouter::offer_for_preemption(RoutingPass& pass) {
   const std::size_t partition_count = pass.partitions.size();
   while (!pass.all_offered()) {
-    // Partitions are tried in turn, since tasks that seem preemptible in one may be protected by their
-    // team's guarantee. Each partition gets several successive offers, since otherwise tasks would be
-    // preempted in all partitions.
+    // Partitions are tried in turn, since tasks that seem preemptible in one may be protected by
+    // their team's guarantee. Each partition gets several successive offers, since otherwise tasks
+    // would be preempted in all partitions.
     const std::size_t turn =
         ++offers_without_capacity_[pass.spec().id] / kPreemptionOffersPerPartition;
     std::size_t offset = 0;
@@ -328,8 +332,8 @@
   }
 }
 
-// Offers the job's waiting tasks to the partitions: by free capacity first, then for the reservation of
-// capacity if the job is starving, or for preemption if it may preempt others.
+// Offers the job's waiting tasks to the partitions: by free capacity first, then for the
+// reservation of capacity if the job is starving, or for preemption if it may preempt others.
 void OfferRouter::route_job(RoutingPass& pass, const Job& job) {
   pass.job = &job;
   pass.may_preempt = may_preempt(job, pass.input);
--- a/src/coordination/scheduling/offer_router.h
+++ b/src/coordination/scheduling/offer_router.h
@@ -1,8 +1,8 @@
-// Routing: decides which controller is offered which waiting tasks. A job's home controller splits the
-// job's waiting tasks among the controllers' partitions of machines by their free capacity. A task that
-// still waits when its offer expires is offered again, possibly to another partition. A task that was
-// offered to two controllers is started only once, since a start commits only if the task's record in the
-// store still has the expected version.
+// Routing: decides which controller is offered which waiting tasks. A job's home controller splits
+// the job's waiting tasks among the controllers' partitions of machines by their free capacity. A
+// task that still waits when its offer expires is offered again, possibly to another partition. A
+// task that was offered to two controllers is started only once, since a start commits only if the
+// task's record in the store still has the expected version.
 #pragma once
 
 #include <cstddef>
@@ -34,8 +34,8 @@
   std::function<bool(const base::JobId&)> is_crash_looping;
 };
 
-// Routes waiting tasks and records when each task was offered, so that a task is not offered again before
-// its offer has expired. Times are arguments. Not safe for use from several threads at once.
+// Routes waiting tasks and records when each task was offered, so that a task is not offered again
+// before its offer has expired. Times are arguments. Not safe for use from several threads at once.
 class OfferRouter {
  public:
   // All references must outlive the router.
@@ -43,24 +43,25 @@
               const JobPriorities& priorities, const FailureTracker& failures)
       : settings_(settings), cache_(cache), priorities_(priorities), failures_(failures) {}
 
-  // Records that the job was submitted to this controller. This controller then makes the first offers of
-  // the job's tasks even if it is not the job's home, since the home may be down.
+  // Records that the job was submitted to this controller. This controller then makes the first
+  // offers of the job's tasks even if it is not the job's home, since the home may be down.
   void add_submitted_job(const base::JobId& job) { submitted_here_.insert(job); }
-  // Forgets all offers, so that every waiting task may be offered again at once. To be called when the view
-  // has changed, since tasks may have been offered to a controller that is no longer a member.
+  // Forgets all offers, so that every waiting task may be offered again at once. To be called when
+  // the view has changed, since tasks may have been offered to a controller that is no longer a
+  // member.
   void forget_offers() { offered_at_.clear(); }
-  // Forgets offers that could not be delivered to the other controller, so that their tasks may be offered
-  // again at once.
+  // Forgets offers that could not be delivered to the other controller, so that their tasks may be
+  // offered again at once.
   void forget_offers(const protocol::Offers& undelivered);
-  // Removes expired offers and the state of jobs that have ended. Does nothing if called again within the
-  // lifetime of an offer.
+  // Removes expired offers and the state of jobs that have ended. Does nothing if called again
+  // within the lifetime of an offer.
   void expire(base::Time now);
 
   // Returns the jobs with pending tasks that this controller routes. Requires an installed view.
   std::vector<const storage::Job*> jobs_to_route(const protocol::ControllerIncarnation& self,
                                                  base::Time now) const;
-  // Splits the waiting tasks of these jobs among the partitions and returns the offers for each member.
-  // Requires at least one job, an installed view and up-to-date priorities.
+  // Splits the waiting tasks of these jobs among the partitions and returns the offers for each
+  // member. Requires at least one job, an installed view and up-to-date priorities.
   std::map<base::MemberId, protocol::Offers> route(std::vector<const storage::Job*> jobs,
                                                    const RoutingInput& input);
 
--- a/src/coordination/scheduling/packing.cpp
+++ b/src/coordination/scheduling/packing.cpp
@@ -25,8 +25,8 @@
   std::vector<std::size_t> groups;
 };
 
-// The best group for a bin at the time of scoring. When a bin is scored again, its earlier entries stay
-// in the queue; an entry is outdated if its generation is not the latest one of its candidate.
+// The best group for a bin at the time of scoring. When a bin is scored again, its earlier entries
+// stay in the queue; an entry is outdated if its generation is not the latest one of its candidate.
 struct QueueEntry {
   double score;
   std::size_t bin;
@@ -70,7 +70,8 @@
     queue.pop();
     if (top.generation != generations[top.candidate]) continue;
     Group& group = groups[top.group];
-    // Placements in other bins may have exhausted the group, its zone or its team's quota since scoring.
+    // Placements in other bins may have exhausted the group, its zone or its team's quota since
+    // scoring.
     const bool may_place = group.count > 0 && (!group.allowed || group.allowed(top.bin));
     if (may_place) {
       placements.push_back({top.group, top.bin, top.score});
@@ -84,8 +85,8 @@
   }
 }
 
-// Returns, for each resource, the smallest request of these groups. No group fits a bin with less free
-// capacity.
+// Returns, for each resource, the smallest request of these groups. No group fits a bin with less
+// free capacity.
 Resources minimum_request(const std::vector<Group>& groups,
                           const std::vector<std::size_t>& tier_groups) {
   Resources minimum = groups[tier_groups.front()].request;
--- a/src/coordination/scheduling/packing.h
+++ b/src/coordination/scheduling/packing.h
@@ -1,7 +1,7 @@
 // Vector bin packing: assigns waiting tasks to machines.
 //
-// The score is the dot product of the heuristic for heterogeneous bins (Gabay and Zaourar, section 3.3),
-// divided by the squared length of the vector of free capacity. Pure functions without state.
+// The score is the dot product of the heuristic for heterogeneous bins (Gabay and Zaourar, section
+// 3.3), divided by the squared length of the vector of free capacity. Pure functions without state.
 #pragma once
 
 #include <functional>
@@ -18,13 +18,13 @@
   Resources request;
   std::size_t count = 0;
   int tier = 0;  // groups of lower tiers are packed first
-  // Returns the pass over the tier in which a bin is tried for this group: lower passes first, bins with
-  // a negative pass never. Called once for each bin with enough capacity, so the result must not change
-  // during packing. If unset, all bins are in pass 0.
+  // Returns the pass over the tier in which a bin is tried for this group: lower passes first, bins
+  // with a negative pass never. Called once for each bin with enough capacity, so the result must
+  // not change during packing. If unset, all bins are in pass 0.
   std::function<int(std::size_t bin)> pass;
-  // Returns whether one more task of the group may be placed in the bin; called before each placement. A
-  // rejected bin stays rejected until packing ends, since capacity, quotas and zones only fill up. If
-  // unset, every placement is allowed.
+  // Returns whether one more task of the group may be placed in the bin; called before each
+  // placement. A rejected bin stays rejected until packing ends, since capacity, quotas and zones
+  // only fill up. If unset, every placement is allowed.
   std::function<bool(std::size_t bin)> allowed;
   // Called after each placement of a task of the group. May be unset.
   std::function<void(std::size_t bin)> placed;
@@ -42,15 +42,15 @@
   double score;
 };
 
-// Returns how well the request suits the free capacity; higher is better. Both are divided by `scale`,
-// resource by resource; resources with a scale of 0 are ignored.
+// Returns how well the request suits the free capacity; higher is better. Both are divided by
+// `scale`, resource by resource; resources with a scale of 0 are ignored.
 double score(const Resources& request, const Resources& free, const Resources& scale);
 
-// Places the groups' tasks and returns the placements in the order in which they were made. Updates the
-// groups' counts and the bins' free capacity. `scale` holds, for each resource, the largest capacity of
-// any machine that sends heartbeats. Within a tier and pass, the pair of group and bin with the highest
-// score is placed first; ties go to the bin with the lower index, then to the group with the lower
-// index. After each placement only the changed bin is scored again.
+// Places the groups' tasks and returns the placements in the order in which they were made. Updates
+// the groups' counts and the bins' free capacity. `scale` holds, for each resource, the largest
+// capacity of any machine that sends heartbeats. Within a tier and pass, the pair of group and bin
+// with the highest score is placed first; ties go to the bin with the lower index, then to the
+// group with the lower index. After each placement only the changed bin is scored again.
 std::vector<Placement> pack(std::vector<Group>& groups, std::vector<Bin>& bins,
                             const Resources& scale);
 
--- a/src/coordination/scheduling/partition_capacity.h
+++ b/src/coordination/scheduling/partition_capacity.h
@@ -1,5 +1,5 @@
-// The free and preemptible capacity of one controller's machines, from the last statuses that the routing
-// controller received.
+// The free and preemptible capacity of one controller's machines, from the last statuses that the
+// routing controller received.
 #pragma once
 
 #include <cstddef>
@@ -20,14 +20,15 @@
   bool has_image = false;
   bool in_controller_zone = false;
   bool has_image_in_controller_zone = false;
-  // Whether a task fits on a machine if tasks of lower rank are preempted there, and whether that is so on
-  // a machine that has the image cached.
+  // Whether a task fits on a machine if tasks of lower rank are preempted there, and whether that
+  // is so on a machine that has the image cached.
   bool fits_by_preemption = false;
   bool fits_by_preemption_with_image = false;
 };
 
-// The candidate machines of one controller for new tasks, less the capacity for tasks that were offered to
-// that controller in the present routing pass. Holds pointers to machine statuses, which must outlive it.
+// The candidate machines of one controller for new tasks, less the capacity for tasks that were
+// offered to that controller in the present routing pass. Holds pointers to machine statuses, which
+// must outlive it.
 class PartitionCapacity {
  public:
   explicit PartitionCapacity(base::MemberId member) : member_(std::move(member)) {}
@@ -44,7 +45,8 @@
     candidates_.push_back({&machine, machine.free, machine.preemptible});
   }
 
-  // Returns how well the partition suits the job. `may_preempt` is whether the job may preempt others.
+  // Returns how well the partition suits the job. `may_preempt` is whether the job may preempt
+  // others.
   PartitionFit fit(const protocol::JobSpec& spec, const std::set<std::string>& controller_zones,
                    bool may_preempt) const;
   // Deducts the requests of `tasks` tasks of the job from the free capacity, or of as many as fit.
--- a/src/coordination/scheduling/preemption_planner.cpp
+++ b/src/coordination/scheduling/preemption_planner.cpp
@@ -20,7 +20,8 @@
 
 // The minimum time between evictions for the same job, in which its victims can end.
 constexpr Seconds kPreemptionInterval{6.0};
-// If preemption has not freed a machine with the image within this time, the image is fetched elsewhere.
+// If preemption has not freed a machine with the image within this time, the image is fetched
+// elsewhere.
 constexpr Seconds kPreferPreemptionDuration{1.5};
 constexpr double kCoresRoundingError = 1e-6;
 
@@ -106,9 +107,9 @@
   return exceeds_guarantee(preemptor, other_spec.team);
 }
 
-// Returns whether the team still uses more than its guarantee once all tasks that are being stopped have
-// ended. Guaranteed jobs preempt only the excess: a victim within its team's guarantee would be entitled to
-// preempt other tasks in turn, without end.
+// Returns whether the team still uses more than its guarantee once all tasks that are being stopped
+// have ended. Guaranteed jobs preempt only the excess: a victim within its team's guarantee would
+// be entitled to preempt other tasks in turn, without end.
 bool PreemptionPlanner::exceeds_guarantee(const Preemptor& preemptor,
                                           const std::string& team_name) const {
   const auto team = settings_.teams.find(team_name);
@@ -140,8 +141,8 @@
   return victims;
 }
 
-// Returns the tasks to evict from this machine so that one task of the job fits there, or nullopt if
-// evictions cannot free enough capacity.
+// Returns the tasks to evict from this machine so that one task of the job fits there, or nullopt
+// if evictions cannot free enough capacity.
 std::optional<PreemptionPlanner::EvictionPlan> PreemptionPlanner::plan_eviction(
     const Preemptor& preemptor, const Machine& machine, Time now) const {
   const Resources& request = preemptor.spec().request;
@@ -149,8 +150,8 @@
   available += stopping_resources(machine);
   const auto claimed = preemptor.claimed.find(machine.last_heartbeat.machine);
   if (claimed != preemptor.claimed.end()) available -= claimed->second;
-  // Skips the search for victims if they could not free enough. This does not hold for guaranteed jobs,
-  // which may preempt more than the lower-ranking tasks that `preemptible` counts.
+  // Skips the search for victims if they could not free enough. This does not hold for guaranteed
+  // jobs, which may preempt more than the lower-ranking tasks that `preemptible` counts.
   if (!priorities_.is_guaranteed(*preemptor.job)) {
     Resources maximum = available;
     maximum += capacity_.of(machine).preemptible;
@@ -169,8 +170,8 @@
   return plan;
 }
 
-// Evicts tasks for one task of the job, on the machine on which this loses the least work. Returns false if
-// there is no machine on which evictions can free enough capacity.
+// Evicts tasks for one task of the job, on the machine on which this loses the least work. Returns
+// false if there is no machine on which evictions can free enough capacity.
 bool PreemptionPlanner::preempt_for_one_task(Preemptor& preemptor, Time now) {
   const JobSpec& spec = preemptor.spec();
   const bool needs_image = prefers_preemption(*preemptor.job, now);
--- a/src/coordination/scheduling/preemption_planner.h
+++ b/src/coordination/scheduling/preemption_planner.h
@@ -22,9 +22,10 @@
   std::size_t tasks = 0;  // the number of those tasks
 };
 
-// Chooses the tasks whose preemption loses the least work, marks them for eviction on their machines and
-// reserves the capacity that they free. Does not preempt for the same job again until its victims have had
-// time to end. Times are arguments. Not safe for use from several threads at once.
+// Chooses the tasks whose preemption loses the least work, marks them for eviction on their
+// machines and reserves the capacity that they free. Does not preempt for the same job again until
+// its victims have had time to end. Times are arguments. Not safe for use from several threads at
+// once.
 class PreemptionPlanner {
  public:
   // All references must outlive the planner.
@@ -38,13 +39,13 @@
         machines_(machines),
         reservations_(reservations) {}
 
-  // Evicts tasks for those of these jobs that may preempt others, in the order given. Requires up-to-date
-  // priorities.
+  // Evicts tasks for those of these jobs that may preempt others, in the order given. Requires
+  // up-to-date priorities.
   void preempt(const std::vector<UnplacedJob>& jobs, base::Time now);
 
-  // Returns whether the job should preempt tasks on a machine that has its image cached instead of fetching
-  // the image on another machine. Becomes false shortly after the eviction of tasks for the job, by which time
-  // they should have ended.
+  // Returns whether the job should preempt tasks on a machine that has its image cached instead of
+  // fetching the image on another machine. Becomes false shortly after the eviction of tasks for
+  // the job, by which time they should have ended.
   bool prefers_preemption(const storage::Job& job, base::Time now) const;
 
  private:
--- a/src/coordination/scheduling/record_batch.cpp
+++ b/src/coordination/scheduling/record_batch.cpp
@@ -22,9 +22,9 @@
 // A finalization writes the job's final state, its record and its serialization key.
 constexpr std::size_t kWritesPerFinalization = 3;
 
-// Returns whether transactions that start tasks of the job must be serialized. That is the case if the
-// job has zone constraints and several task records, since no single record then shows the zones of all
-// its tasks.
+// Returns whether transactions that start tasks of the job must be serialized. That is the case if
+// the job has zone constraints and several task records, since no single record then shows the
+// zones of all its tasks.
 bool needs_serialized_starts(const Job& job) {
   const auto& spec = job.record.spec;
   return (spec.one_zone || spec.spread) && job.chunks.size() > 1;
@@ -80,8 +80,8 @@
 
 std::optional<Attempt> RecordBatch::add_start(const TaskId& task, Assignment assignment) {
   const Job* job = cache_.job(task.job);
-  // Every start is checked here, no matter which controller offered the task: no task starts before the
-  // job's dependencies are recorded as done, or after the job was cancelled.
+  // Every start is checked here, no matter which controller offered the task: no task starts before
+  // the job's dependencies are recorded as done, or after the job was cancelled.
   if (!job || job->blocked || job->cancelled()) return {};
   if (!record_fits_start(*job, task.no, assignment)) return {};
   const auto& spec = job->record.spec;
@@ -105,9 +105,9 @@
   return assignment.attempt;
 }
 
-// Returns whether the task's record, with one more assignment, stays within the store's limit on values.
-// A record that was written under a larger limit accepts starts again once enough of its tasks have
-// ended.
+// Returns whether the task's record, with one more assignment, stays within the store's limit on
+// values. A record that was written under a larger limit accepts starts again once enough of its
+// tasks have ended.
 bool RecordBatch::record_fits_start(const Job& job, TaskNo task,
                                     const Assignment& assignment) const {
   const RecordEdit* edit = find_edit(job, task);
@@ -177,8 +177,8 @@
   return transaction;
 }
 
-// Adds the precondition that the undivided chunk of a split record is still at the cached version: until
-// a piece has a record of its own, its state is derived from that chunk.
+// Adds the precondition that the undivided chunk of a split record is still at the cached version:
+// until a piece has a record of its own, its state is derived from that chunk.
 void RecordBatch::guard_whole_chunk(Transaction& transaction, const Job& job, std::uint32_t piece) {
   if (job.whole.empty()) return;
   const std::uint32_t chunk = piece / job.record.pieces_of_chunk();
@@ -186,9 +186,9 @@
       job.whole[chunk].version;
 }
 
-// Serializes the starts of teams with a quota and of jobs with zone constraints across all controllers:
-// every such transaction writes the same key, so that the cached counts at the key's version include all
-// earlier starts.
+// Serializes the starts of teams with a quota and of jobs with zone constraints across all
+// controllers: every such transaction writes the same key, so that the cached counts at the key's
+// version include all earlier starts.
 void RecordBatch::add_serialization_keys(Transaction& transaction,
                                          const protocol::ControllerIncarnation& self) const {
   for (const auto& keys : {team_keys_, job_keys_}) {
--- a/src/coordination/scheduling/record_batch.h
+++ b/src/coordination/scheduling/record_batch.h
@@ -1,6 +1,6 @@
-// Collects the changes that one scheduling round makes to task records into a single transaction, within
-// the limits of the state service. The transaction is based on the records in the state cache, and each
-// record's cached version is a precondition of its commit.
+// Collects the changes that one scheduling round makes to task records into a single transaction,
+// within the limits of the state service. The transaction is based on the records in the state
+// cache, and each record's cached version is a precondition of its commit.
 #pragma once
 
 #include <cstdint>
@@ -13,8 +13,8 @@
 
 namespace saddleslip::coordination {
 
-// The task record changes of one round. The settings and the cache must outlive the batch, and the cache
-// must not change while the batch exists. Not safe for use from several threads at once.
+// The task record changes of one round. The settings and the cache must outlive the batch, and the
+// cache must not change while the batch exists. Not safe for use from several threads at once.
 class RecordBatch {
  public:
   RecordBatch(const base::Settings& settings, const storage::StateCache& cache)
@@ -32,23 +32,24 @@
     base::TaskNo task = 0;
     bool done = false;
   };
-  // Returns whether the task record, with these completions, stays within the store's limit on values.
-  // A record that was written under a larger limit can exceed it until more tasks have completed.
+  // Returns whether the task record, with these completions, stays within the store's limit on
+  // values. A record that was written under a larger limit can exceed it until more tasks have
+  // completed.
   bool fits_with_completions(const storage::Job& job, std::uint32_t chunk,
                              const std::vector<TaskCompletion>& completions) const;
 
-  // Records that an attempt has ended: the task is done, or returns to the waiting tasks. Returns false
-  // if the job is unknown or the transaction is full.
+  // Records that an attempt has ended: the task is done, or returns to the waiting tasks. Returns
+  // false if the job is unknown or the transaction is full.
   bool add_completion(const base::TaskId& task, bool done);
-  // Records the start of a task and returns the number of its attempt. Returns nullopt if the job may not
-  // start, or if the transaction or the task record is full.
+  // Records the start of a task and returns the number of its attempt. Returns nullopt if the job
+  // may not start, or if the transaction or the task record is full.
   std::optional<base::Attempt> add_start(const base::TaskId& task, protocol::Assignment assignment);
 
   // Returns whether a change was rejected because the transaction is full.
   bool is_full() const { return is_full_; }
   bool empty() const { return edits_.empty(); }
-  // Builds the transaction. Its commit fails if the membership view has another version than `view`. The
-  // transaction also finalizes each job whose last completion is in the batch.
+  // Builds the transaction. Its commit fails if the membership view has another version than
+  // `view`. The transaction also finalizes each job whose last completion is in the batch.
   protocol::Transaction build(const protocol::ControllerIncarnation& self, base::Version view,
                               double time_of_day) const;
 
@@ -79,8 +80,8 @@
   const base::Settings& settings_;
   const storage::StateCache& cache_;
   std::map<ChunkId, RecordEdit> edits_;
-  // Keys that serialize starts: every transaction that starts tasks of the team or job writes its key, so
-  // that of two concurrent ones only one commits.
+  // Keys that serialize starts: every transaction that starts tasks of the team or job writes its
+  // key, so that of two concurrent ones only one commits.
   std::set<std::string> team_keys_;  // of teams with a quota
   std::set<std::string> job_keys_;   // of jobs with zone constraints
   std::size_t estimated_bytes_ = 0;  // size of the transaction
--- a/src/coordination/scheduling/scheduling_round.cpp
+++ b/src/coordination/scheduling/scheduling_round.cpp
@@ -1,5 +1,5 @@
-// The scheduling round of a controller: assigns waiting tasks to machines and collects the starts and
-// completions of tasks into one transaction.
+// The scheduling round of a controller: assigns waiting tasks to machines and collects the starts
+// and completions of tasks into one transaction.
 #include <algorithm>
 #include <cmath>
 
@@ -24,13 +24,13 @@
 }  // namespace
 
 // Reserves a machine for a starving job until one of the job's tasks fits on it. Without the
-// reservation, smaller tasks would take all capacity that becomes free under sustained overload, and a
-// large task would never start.
+// reservation, smaller tasks would take all capacity that becomes free under sustained overload,
+// and a large task would never start.
 void Controller::reserve_capacity(const Job& job, Time now) {
   const auto& spec = job.record.spec;
   const Machine* best = nullptr;
-  // A reserved machine is partly idle, so the number of reservations is limited even if most waiting
-  // jobs are starving.
+  // A reserved machine is partly idle, so the number of reservations is limited even if most
+  // waiting jobs are starving.
   if (reservations_.count_for_starving_jobs() > machines_.size() / kMachinesPerReservation) return;
   for (const auto& [id, machine] : machines_) {
     if (reservations_.is_reserved_for(id, spec.id)) return;
@@ -235,8 +235,8 @@
   pack(groups, open.bins, open.scale);
 }
 
-// Returns whether one more task of the job may start on the machine that sent this heartbeat. `planned`
-// is what this round has already planned for the job's team.
+// Returns whether one more task of the job may start on the machine that sent this heartbeat.
+// `planned` is what this round has already planned for the job's team.
 bool Controller::may_start(const WaitingJob& waiting_job, const Heartbeat& heartbeat,
                            const Resources& planned) const {
   const auto& spec = waiting_job.job->record.spec;
@@ -267,11 +267,11 @@
   });
 }
 
-// Returns the packing pass in which a machine is tried for the job: lower passes first, negative ones
-// never. Machines with a cached image come first, since fetching it can take longer than all other
-// steps of a start. Services prefer zones that have a controller, because a network partition between
-// zones makes all machines of the other zones unreachable; other jobs prefer the zones without one, to
-// leave that capacity to services.
+// Returns the packing pass in which a machine is tried for the job: lower passes first, negative
+// ones never. Machines with a cached image come first, since fetching it can take longer than all
+// other steps of a start. Services prefer zones that have a controller, because a network partition
+// between zones makes all machines of the other zones unreachable; other jobs prefer the zones
+// without one, to leave that capacity to services.
 int Controller::preference(const protocol::JobSpec& spec, const Machine& machine,
                            std::optional<Seconds> start_within, bool prefers_preemption,
                            Time now) const {
@@ -301,8 +301,8 @@
   plan.starts = std::move(recorded);
 }
 
-// Frees capacity for the tasks that were not placed: reserves machines for starving jobs and preempts
-// tasks for jobs that may displace others.
+// Frees capacity for the tasks that were not placed: reserves machines for starving jobs and
+// preempts tasks for jobs that may displace others.
 void Controller::free_capacity(const std::vector<WaitingJob>& waiting, const RoundPlan& plan,
                                Time now) {
   for (const RoundPlan::Start& start : plan.starts) {
@@ -361,8 +361,8 @@
   }
   for (auto& [id, batch] : by_machine) {
     Machine& machine = machines_.at(id);
-    // Each batch that starts tasks has a fencing token of its own: once the agent has reported a higher
-    // token, it no longer executes a delayed copy of this batch.
+    // Each batch that starts tasks has a fencing token of its own: once the agent has reported a
+    // higher token, it no longer executes a delayed copy of this batch.
     machine.fencing_token = FencingToken(machine.fencing_token.get() + 1);
     machine.fence_floor = machine.fencing_token;
     if (!machine.commands_lost) batches.push_back(std::move(batch));
--- a/tests/failure_tracker_test.cpp
+++ b/tests/failure_tracker_test.cpp
@@ -1,4 +1,4 @@
-// Which machine, or which job, is to blame for failed tasks.
+// Tests of the attribution of task failures to machines and jobs.
 #include "coordination/scheduling/failure_tracker.h"
 
 #include <gtest/gtest.h>
@@ -14,125 +14,130 @@
 
 class FailureTrackerTest : public ::testing::Test {
  protected:
-  void fail(const JobId& job, const MachineId& machine, double s, double ran = 0) {
-    tracker_.record_failure(job, machine, Seconds(ran), at_seconds(s));
+  void fail(const JobId& job, const MachineId& machine, double seconds, double ran = 0) {
+    tracker_.record_failure(job, machine, Seconds(ran), at_seconds(seconds));
   }
   void fail_on_all_machines(const JobId& job, int times) {
-    for (int i = 0; i < times; ++i) {
-      for (const MachineId& machine : {m1_, m2_, m3_}) fail(job, machine, i);
+    for (int second = 0; second < times; ++second) {
+      for (const MachineId& machine : {m1_, m2_, m3_}) fail(job, machine, second);
     }
   }
-  // The job fails on three machines; the third one was started together with the second one.
+  // The job fails on three machines. The last failure falls into the backoff after the second one,
+  // as when the two tasks were started together.
   void fail_on_three_machines(const JobId& job) {
     fail(job, m1_, 0);
     fail(job, m2_, 0);
     fail(job, m3_, 0.1);
   }
 
-  // The sound job fails on the first machine alone, the broken one there and elsewhere.
-  void fail_sound_job_beside_broken_one() {
-    fail(broken_, m1_, 0);
-    fail(broken_, m2_, 0);
-    fail(sound_, m1_, 0);
-    fail(sound_, m1_, 0);
+  // The good job fails on the first machine only, the broken job on the first and the second
+  // machine.
+  void fail_good_and_broken_job() {
+    fail(broken_job_, m1_, 0);
+    fail(broken_job_, m2_, 0);
+    fail(good_job_, m1_, 0);
+    fail(good_job_, m1_, 0);
   }
 
   FailureTracker tracker_;
-  const JobId broken_{"broken"}, sound_{"sound"}, other_{"other"}, third_{"third"};
+  const JobId broken_job_{"broken"}, good_job_{"sound"}, other_job_{"other"}, third_job_{"third"};
   const MachineId m1_{"m1"}, m2_{"m2"}, m3_{"m3"};
 };
 
-// A job that was submitted with a mistake must not get machines returned, however often it fails.
-TEST_F(FailureTrackerTest, JobFailsOnEveryMachineNoMachineIsFaulty) {
-  fail_on_all_machines(broken_, 20);
+// A broken job must not cause machines to be returned, however often it fails.
+TEST_F(FailureTrackerTest, JobFailingOnEveryMachineMakesNoMachineFaulty) {
+  fail_on_all_machines(broken_job_, 20);
   for (const MachineId& machine : {m1_, m2_, m3_}) EXPECT_FALSE(tracker_.is_faulty(machine));
 }
 
-TEST_F(FailureTrackerTest, JobFailsOnEveryMachineIsCrashLooping) {
-  fail_on_all_machines(broken_, 20);
-  EXPECT_TRUE(tracker_.is_crash_looping(broken_));
+TEST_F(FailureTrackerTest, JobFailingOnEveryMachineIsCrashLooping) {
+  fail_on_all_machines(broken_job_, 20);
+  EXPECT_TRUE(tracker_.is_crash_looping(broken_job_));
 }
 
-// A faulty machine is found by a job that succeeds elsewhere, also with a broken one beside it.
-TEST_F(FailureTrackerTest, SoundJobFailsOnOneMachineMachineIsFaulty) {
-  fail_sound_job_beside_broken_one();
-  EXPECT_FALSE(tracker_.is_faulty(m1_));  // nothing is known of the job yet
-  tracker_.mark_known_good(sound_);
+// A machine is faulty if it fails a job that succeeds on other machines, even if a broken job fails
+// there too.
+TEST_F(FailureTrackerTest, FailuresOfKnownGoodJobMakeMachineFaulty) {
+  fail_good_and_broken_job();
+  EXPECT_FALSE(tracker_.is_faulty(m1_));  // the job is not known to be good yet
+  tracker_.mark_known_good(good_job_);
   EXPECT_TRUE(tracker_.is_faulty(m1_));
   EXPECT_FALSE(tracker_.is_faulty(m2_));
 }
 
-TEST_F(FailureTrackerTest, SoundJobIsForgottenEvidenceAgainstTheMachineStays) {
-  fail_sound_job_beside_broken_one();
-  tracker_.mark_known_good(sound_);
-  tracker_.forget_job(sound_);
+TEST_F(FailureTrackerTest, FailuresStillCountAfterKnownGoodJobIsForgotten) {
+  fail_good_and_broken_job();
+  tracker_.mark_known_good(good_job_);
+  tracker_.forget_job(good_job_);
   EXPECT_TRUE(tracker_.is_faulty(m1_));
 }
 
-TEST_F(FailureTrackerTest, SuccessOnTheMachineClearsEarlierFailures) {
-  fail(sound_, m1_, 0);
+TEST_F(FailureTrackerTest, SuccessOnMachineClearsEarlierFailures) {
+  fail(good_job_, m1_, 0);
   tracker_.record_success(m1_);
-  fail(sound_, m1_, 1);
-  tracker_.mark_known_good(sound_);
+  fail(good_job_, m1_, 1);
+  tracker_.mark_known_good(good_job_);
   tracker_.record_success(m1_);
   EXPECT_FALSE(tracker_.is_faulty(m1_));
-  fail(sound_, m1_, 2);
+  fail(good_job_, m1_, 2);
   EXPECT_FALSE(tracker_.is_faulty(m1_));
-  fail(sound_, m1_, 3);
+  fail(good_job_, m1_, 3);
   EXPECT_TRUE(tracker_.is_faulty(m1_));
 }
 
-// Where nothing succeeds elsewhere: several unrelated jobs that failed on this machine alone.
-TEST_F(FailureTrackerTest, ThreeJobsFailOnOneMachineAloneMachineIsFaulty) {
-  for (const JobId& job : {sound_, other_, broken_}) fail(job, m1_, 0);
+// A machine is also faulty if several unrelated jobs failed only there, even if none of them
+// succeeded elsewhere.
+TEST_F(FailureTrackerTest, ThreeJobsFailingOnOneMachineOnlyMakeItFaulty) {
+  for (const JobId& job : {good_job_, other_job_, broken_job_}) fail(job, m1_, 0);
   EXPECT_TRUE(tracker_.is_faulty(m1_));
 }
 
-TEST_F(FailureTrackerTest, OneOfThreeJobsFailsElsewhereTooItNoLongerCounts) {
-  for (const JobId& job : {sound_, other_, broken_}) fail(job, m1_, 0);
-  fail(broken_, m2_, 1);
+TEST_F(FailureTrackerTest, JobThatAlsoFailsElsewhereDoesNotCountAgainstMachine) {
+  for (const JobId& job : {good_job_, other_job_, broken_job_}) fail(job, m1_, 0);
+  fail(broken_job_, m2_, 1);
   EXPECT_FALSE(tracker_.is_faulty(m1_));
-  fail(third_, m1_, 2);
+  fail(third_job_, m1_, 2);
   EXPECT_TRUE(tracker_.is_faulty(m1_));
 }
 
-TEST_F(FailureTrackerTest, JobFailsOnOneMachineMayBeRetriedAtOnce) {
-  fail(broken_, m1_, 0);
-  EXPECT_TRUE(tracker_.may_retry(broken_, at_seconds(0)));
+TEST_F(FailureTrackerTest, JobFailingOnOneMachineMayBeRetriedAtOnce) {
+  fail(broken_job_, m1_, 0);
+  EXPECT_TRUE(tracker_.may_retry(broken_job_, at_seconds(0)));
 }
 
-TEST_F(FailureTrackerTest, JobFailsOnSeveralMachinesRetryIsDelayed) {
-  fail_on_three_machines(broken_);
-  EXPECT_FALSE(tracker_.may_retry(broken_, at_seconds(1.9)));
-  EXPECT_TRUE(tracker_.may_retry(broken_, at_seconds(2)));
+TEST_F(FailureTrackerTest, RetryOfJobFailingOnSeveralMachinesIsDelayed) {
+  fail_on_three_machines(broken_job_);
+  EXPECT_FALSE(tracker_.may_retry(broken_job_, at_seconds(1.9)));
+  EXPECT_TRUE(tracker_.may_retry(broken_job_, at_seconds(2)));
 }
 
-// Retries of a job that fails everywhere must not take capacity and writes from others.
-TEST_F(FailureTrackerTest, JobGoesOnFailingDelayGrowsUpToABound) {
-  fail_on_three_machines(broken_);
-  double t = 2;
+// Retries of a crash-looping job must not take capacity and writes from other jobs.
+TEST_F(FailureTrackerTest, RetryDelayGrowsUpToALimit) {
+  fail_on_three_machines(broken_job_);
+  double seconds = 2;
   for (int i = 0; i < 10; ++i) {
-    fail(broken_, m1_, t);
-    t += 60;
-    EXPECT_TRUE(tracker_.may_retry(broken_, at_seconds(t)));
+    fail(broken_job_, m1_, seconds);
+    seconds += 60;
+    EXPECT_TRUE(tracker_.may_retry(broken_job_, at_seconds(seconds)));
   }
-  EXPECT_FALSE(tracker_.may_retry(broken_, at_seconds(t - 1)));
-  tracker_.mark_known_good(broken_);
-  EXPECT_TRUE(tracker_.may_retry(broken_, at_seconds(t - 60)));
+  EXPECT_FALSE(tracker_.may_retry(broken_job_, at_seconds(seconds - 1)));
+  tracker_.mark_known_good(broken_job_);
+  EXPECT_TRUE(tracker_.may_retry(broken_job_, at_seconds(seconds - 60)));
 }
 
-// A task that fails only after a while runs for that while on a healthy machine as well.
-TEST_F(FailureTrackerTest, JobFailsAfterAWhileIsSoundOnlyIfItRunsLonger) {
-  fail(broken_, m1_, 0, 20);
-  EXPECT_GT(tracker_.known_good_run_time(broken_), Seconds(20));
-  EXPECT_GT(tracker_.known_good_run_time(sound_), Seconds(1));
+// If a job's tasks fail only after some time, a run of that length does not show that the job is
+// good.
+TEST_F(FailureTrackerTest, KnownGoodRunTimeExceedsLongestFailedRun) {
+  fail(broken_job_, m1_, 0, 20);
+  EXPECT_GT(tracker_.known_good_run_time(broken_job_), Seconds(20));
+  EXPECT_GT(tracker_.known_good_run_time(good_job_), Seconds(1));
 }
 
-TEST_F(FailureTrackerTest, JobFailedOnAMachineAvoidsItForAWhile) {
-  fail(sound_, m1_, 0);
-  EXPECT_TRUE(tracker_.must_avoid(sound_, m1_, at_seconds(10)));
-  EXPECT_FALSE(tracker_.must_avoid(sound_, m2_, at_seconds(10)));
-  EXPECT_FALSE(tracker_.must_avoid(sound_, m1_, at_seconds(40)));
+TEST_F(FailureTrackerTest, JobAvoidsMachineForSomeTimeAfterFailure) {
+  fail(good_job_, m1_, 0);
+  EXPECT_TRUE(tracker_.must_avoid(good_job_, m1_, at_seconds(10)));
+  EXPECT_FALSE(tracker_.must_avoid(good_job_, m2_, at_seconds(10)));
+  EXPECT_FALSE(tracker_.must_avoid(good_job_, m1_, at_seconds(40)));
 }
 
 }  // namespace saddleslip::coordination
--- a/tests/job_priorities_test.cpp
+++ b/tests/job_priorities_test.cpp
@@ -1,4 +1,5 @@
-// What jobs inherit from the jobs that depend on them.
+// Tests of job priorities: inheritance from dependents, guaranteed quotas and starvation of blocked
+// jobs.
 #include "coordination/scheduling/job_priorities.h"
 
 #include <gtest/gtest.h>
@@ -29,21 +30,24 @@
                  now_);
     priorities_.update(now_);
   }
-  // An urgent job that depends on the first one.
+  // Makes an urgent job with a deadline that depends on kFirst.
   static protocol::JobRecord make_urgent_dependent() {
     protocol::JobRecord record = make_job(kLast, Rank::kUrgent, {kFirst});
     record.spec.deadline = Seconds(200);
     return record;
   }
-  // Three jobs, each of which depends on the one before. The last one is due at 1200 s.
-  void add_chain() {
+  // Adds a chain of three jobs, each of which depends on the previous one. The last one is due at
+  // 1200 s.
+  void add_dependency_chain() {
     add(make_job(kFirst, Rank::kIdle));
     add(make_job(kMiddle, Rank::kStandard, {kFirst}));
     protocol::JobRecord last = make_urgent_dependent();
     last.spec.dependencies = {kMiddle};
     add(last);
   }
-  void finish_first(double at) { cache_.remember_final(kFirst, {protocol::JobStatus::kDone, at}); }
+  void finish_first_job(double at) {
+    cache_.remember_final(kFirst, {protocol::JobStatus::kDone, at});
+  }
   const storage::Job& job(const JobId& id) const { return *cache_.job(id); }
 
   base::Settings settings_;
@@ -55,31 +59,31 @@
 
 }  // namespace
 
-TEST_F(JobPrioritiesTest, DependentOfHigherRankPassesItsRankOn) {
+TEST_F(JobPrioritiesTest, JobInheritsHigherRankOfDependent) {
   add(make_job(kFirst, Rank::kIdle));
   add(make_job(kMiddle, Rank::kStandard, {kFirst}));
   EXPECT_EQ(priorities_.rank(job(kFirst)), Rank::kStandard);
 }
 
-TEST_F(JobPrioritiesTest, ChainOfDependentsPassesTheHighestRankOn) {
-  add_chain();
+TEST_F(JobPrioritiesTest, JobInheritsHighestRankOfDependencyChain) {
+  add_dependency_chain();
   EXPECT_EQ(priorities_.rank(job(kFirst)), Rank::kUrgent);
   EXPECT_EQ(priorities_.rank(job(kMiddle)), Rank::kUrgent);
 }
 
-// Each must be done so early that what depends on it can still run.
-TEST_F(JobPrioritiesTest, ChainOfDependentsPassesTheDueTimeOn) {
+// Each job must complete early enough for its dependents to run before their own due times.
+TEST_F(JobPrioritiesTest, JobInheritsDueTimeOfDependencyChain) {
   add(make_job(kFirst, Rank::kIdle));
   const double alone = priorities_.due(job(kFirst), now_);
-  add_chain();
+  add_dependency_chain();
   EXPECT_DOUBLE_EQ(priorities_.due(job(kLast), now_), 1200);
   EXPECT_LT(priorities_.due(job(kMiddle), now_), 1200 - 20);
   EXPECT_LT(priorities_.due(job(kFirst), now_), 1200 - 40);
   EXPECT_LT(priorities_.due(job(kFirst), now_), alone);
 }
 
-// The dependent may come when the others are well under way, and may be cancelled.
-TEST_F(JobPrioritiesTest, DependentCancelledPassesNothingOn) {
+// A dependent may be submitted, or cancelled, after the job that it depends on has started.
+TEST_F(JobPrioritiesTest, JobInheritsNothingFromCancelledDependent) {
   add(make_job(kFirst, Rank::kIdle));
   protocol::JobRecord dependent = make_urgent_dependent();
   add(dependent);
@@ -89,7 +93,7 @@
   EXPECT_EQ(priorities_.rank(job(kFirst)), Rank::kIdle);
 }
 
-// An inherited rank makes an array go first, and stops no other work.
+// An inherited rank gives a job precedence but does not allow it to preempt other tasks.
 TEST_F(JobPrioritiesTest, InheritedRankDoesNotAllowPreemption) {
   settings_.teams["t"].guaranteed_cores = 0;
   add(make_job(kFirst, Rank::kIdle));
@@ -99,20 +103,20 @@
 }
 
 // Each job requests 8 of the team's 10 guaranteed cores.
-TEST_F(JobPrioritiesTest, BlockedJobHoldsNoShareOfAGuarantee) {
+TEST_F(JobPrioritiesTest, BlockedJobUsesNoneOfTheGuarantee) {
   add(make_job(kFirst, Rank::kStandard));
   add(make_job(kMiddle, Rank::kStandard, {kFirst}));
   EXPECT_TRUE(priorities_.is_guaranteed(job(kFirst)));
   EXPECT_FALSE(priorities_.is_guaranteed(job(kMiddle)));
 }
 
-// The guarantee goes to jobs in the order in which they become ready.
-TEST_F(JobPrioritiesTest, BlockedJobBecomesReadyComesAfterThoseThatWereReadyBefore) {
+// Jobs use up the guarantee in the order in which they become ready to start.
+TEST_F(JobPrioritiesTest, UnblockedJobComesAfterJobsThatWereReadyBefore) {
   add(make_job(kFirst, Rank::kStandard));
   add(make_job(kMiddle, Rank::kStandard, {kFirst}));
   add(make_job(kLast, Rank::kStandard));
   cache_.apply({protocol::job_key(kFirst), protocol::Json(), base::Version(++revision_)}, now_);
-  finish_first(1050);
+  finish_first_job(1050);
   priorities_.update(now_);
   EXPECT_FALSE(job(kMiddle).blocked);
   EXPECT_DOUBLE_EQ(job(kMiddle).startable_since(), 1050);
@@ -120,14 +124,14 @@
   EXPECT_FALSE(priorities_.is_guaranteed(job(kMiddle)));
 }
 
-// Waiting for other jobs is not waiting for capacity.
-TEST_F(JobPrioritiesTest, BlockedJobStarvesOnlyFromWhenItIsReady) {
+// The time for which a job is blocked by its dependencies does not count as waiting for capacity.
+TEST_F(JobPrioritiesTest, StarvationTimeStartsWhenTheJobIsReady) {
   add(make_job(kFirst, Rank::kStandard));
   add(make_job(kMiddle, Rank::kStandard, {kFirst}));
   const Time later = base::after(now_, Seconds(500));
   EXPECT_TRUE(priorities_.starving_tasks(job(kFirst), later));
   EXPECT_FALSE(priorities_.starving_tasks(job(kMiddle), later));
-  finish_first(1480);
+  finish_first_job(1480);
   EXPECT_FALSE(priorities_.starving_tasks(job(kMiddle), later));
   EXPECT_TRUE(priorities_.starving_tasks(job(kMiddle), base::after(later, Seconds(110))));
 }
--- a/tests/offer_pool_test.cpp
+++ b/tests/offer_pool_test.cpp
@@ -1,3 +1,4 @@
+// Tests of the pool of offers: order, expiry and the limit on its size.
 #include "coordination/scheduling/offer_pool.h"
 
 #include <gtest/gtest.h>
@@ -11,7 +12,7 @@
 
 const JobId kJob("run-000001");
 
-protocol::Offers offers_of(base::TaskNo first, base::TaskNo count) {
+protocol::Offers make_offers(base::TaskNo first, base::TaskNo count) {
   protocol::Offers offers;
   offers.offers.push_back({kJob, {{first, count}}});
   return offers;
@@ -31,8 +32,8 @@
 }  // namespace
 
 TEST_F(OfferPoolTest, OffersKeepTheirOrderAndRanges) {
-  pool_.add(offers_of(0, 3), now_);
-  pool_.add(offers_of(8, 2), now_);
+  pool_.add(make_offers(0, 3), now_);
+  pool_.add(make_offers(8, 2), now_);
   ASSERT_EQ(pool_.offers().size(), 2u);
   EXPECT_EQ(pool_.offers()[0].job, kJob);
   EXPECT_EQ(pool_.offers()[0].ranges[0].count, 3u);
@@ -40,8 +41,8 @@
 }
 
 TEST_F(OfferPoolTest, OffersExpireAfterTwoAndAHalfRounds) {
-  pool_.add(offers_of(0, 3), now_);
-  pool_.add(offers_of(8, 2), after_rounds(1));
+  pool_.add(make_offers(0, 3), now_);
+  pool_.add(make_offers(8, 2), after_rounds(1));
   pool_.expire(after_rounds(2.4));
   EXPECT_EQ(pool_.offers().size(), 2u);
   pool_.expire(after_rounds(2.6));
@@ -49,8 +50,8 @@
   EXPECT_EQ(pool_.offers()[0].ranges[0].first, 8u);
 }
 
-TEST_F(OfferPoolTest, OldestOffersGiveWayToTooMany) {
-  for (base::TaskNo i = 0; i < 5000; ++i) pool_.add(offers_of(i, 1), now_);
+TEST_F(OfferPoolTest, OldestOffersAreRemovedWhenThePoolIsFull) {
+  for (base::TaskNo task = 0; task < 5000; ++task) pool_.add(make_offers(task, 1), now_);
   EXPECT_EQ(pool_.offers().size(), 4096u);
   EXPECT_EQ(pool_.offers().back().ranges[0].first, 4999u);
 }
--- a/tests/offer_router_test.cpp
+++ b/tests/offer_router_test.cpp
@@ -1,3 +1,4 @@
+// Tests of the router: which controller is offered which waiting tasks, and when.
 #include "coordination/scheduling/offer_router.h"
 
 #include "coordination/scheduling/partition_capacity.h"
@@ -33,8 +34,8 @@
   return count;
 }
 
-// This controller is the only member, so that it is the home of every job; a peer's machines are
-// known to it all the same.
+// This controller is the only member of the view and therefore the home of every job. The routing
+// input also contains the partition of a peer, so that tasks can be split between two partitions.
 class OfferRouterTest : public SchedulingTest {
  protected:
   OfferRouterTest() {
@@ -49,14 +50,14 @@
     const auto jobs = router_.jobs_to_route(self_, now);
     if (jobs.empty()) return {};
     priorities_.update(now);
-    return router_.route(
-        jobs, {now, self_, {{kSelf, {&own_}}, {kPeer, {&of_peer_}}}, [this](const JobId&) {
-                 return is_crash_looping_;
-               }});
+    return router_.route(jobs, {now,
+                                self_,
+                                {{kSelf, {&own_machine_}}, {kPeer, {&peer_machine_}}},
+                                [this](const JobId&) { return is_crash_looping_; }});
   }
 
   ControllerIncarnation self_{kSelf, base::Incarnation(1)};
-  MachineStatus own_ = make_machine("m1", 8), of_peer_ = make_machine("m2", 4);
+  MachineStatus own_machine_ = make_machine("m1", 8), peer_machine_ = make_machine("m2", 4);
   bool is_crash_looping_ = false;
   OfferRouter router_{settings_, cache_, priorities_, failures_};
 };
@@ -72,7 +73,7 @@
   EXPECT_EQ(offers[kPeer].epoch, base::Epoch(1));
 }
 
-TEST_F(OfferRouterTest, TaskIsOfferedAgainOnlyAfterAWhile) {
+TEST_F(OfferRouterTest, TaskIsNotOfferedAgainBeforeItsOfferExpires) {
   add_job(make_spec(kJob, 1, 4));
   const double round = settings_.tuning.round_period.count();
   EXPECT_EQ(route(1).size(), 1u);
@@ -80,12 +81,12 @@
   EXPECT_EQ(route(1 + 1.3 * round).size(), 1u);
 }
 
-TEST_F(OfferRouterTest, UndeliveredOffersAreMadeAgainAtOnce) {
+TEST_F(OfferRouterTest, TasksOfUndeliveredOffersAreOfferedAgainAtOnce) {
   add_job(make_spec(kJob, 1, 4));
   const auto offers = route(1);
   router_.forget_offers(offers.begin()->second);
   EXPECT_EQ(route(1).size(), 1u);
-  router_.forget_offers();  // a view was installed
+  router_.forget_offers();  // as after the installation of a view
   EXPECT_EQ(route(1).size(), 1u);
 }
 
@@ -96,28 +97,28 @@
   EXPECT_EQ(route(0.1).size(), 1u);
 }
 
-TEST_F(OfferRouterTest, ClosedMachinesAreNoCandidates) {
-  own_.open = false;
+TEST_F(OfferRouterTest, MachinesThatAcceptNoNewTasksAreNoCandidates) {
+  own_machine_.open = false;
   add_job(make_spec(kJob, 3, 4));
   auto offers = route(1);
   EXPECT_FALSE(offers.contains(kSelf));
   EXPECT_EQ(count_tasks(offers[kPeer]), 1u);
 }
 
-TEST_F(OfferRouterTest, CachedImageBeatsMoreFreeCapacity) {
-  of_peer_.images = {"image"};
+TEST_F(OfferRouterTest, CachedImageTakesPrecedenceOverMoreFreeCapacity) {
+  peer_machine_.images = {"image"};
   protocol::JobSpec spec = make_spec(kJob, 1, 4);
   spec.kind = protocol::Kind::kService;
   add_job(spec);
   EXPECT_TRUE(route(1).contains(kPeer));
 }
 
-TEST_F(OfferRouterTest, GangIsOfferedOnlyIfAllOfItFits) {
+TEST_F(OfferRouterTest, GangIsOfferedOnlyIfAllItsTasksFit) {
   protocol::JobSpec spec = make_spec(kJob, 4, 4);
   spec.kind = protocol::Kind::kGang;
   add_job(spec);
   EXPECT_TRUE(route(1).empty());
-  own_.free.v[0] = 12;
+  own_machine_.free.v[0] = 12;
   EXPECT_EQ(route(1).size(), 2u);
 }
 
@@ -129,21 +130,21 @@
   EXPECT_EQ(count_tasks(offers.begin()->second), 1u);
 }
 
-TEST_F(OfferRouterTest, UrgentTaskGoesWhereItCanPreempt) {
-  own_.free.v[0] = 0;
-  of_peer_.free.v[0] = 0;
-  of_peer_.preemptible.v = {4, 0, 1};
+TEST_F(OfferRouterTest, UrgentTaskIsOfferedWhereItFitsByPreemption) {
+  own_machine_.free.v[0] = 0;
+  peer_machine_.free.v[0] = 0;
+  peer_machine_.preemptible.v = {4, 0, 1};
   protocol::JobSpec spec = make_spec(kJob, 1, 4);
   spec.rank = protocol::Rank::kUrgent;
   add_job(spec);
   EXPECT_TRUE(route(1).contains(kPeer));
 }
 
-TEST_F(OfferRouterTest, PartitionFitCountsTasksAndDeductsWhatWasOffered) {
+TEST_F(OfferRouterTest, PartitionFitCountsTasksAfterDeductingOfferedOnes) {
   const protocol::JobSpec spec = make_spec(kJob, 4, 3);
   PartitionCapacity partition(kSelf);
-  partition.add_free_cores(own_);
-  partition.add_candidate(own_);
+  partition.add_free_cores(own_machine_);
+  partition.add_candidate(own_machine_);
   EXPECT_EQ(partition.fit(spec, {}, false).tasks_that_fit, 2u);
   partition.deduct_free(spec, 1);
   const PartitionFit fit = partition.fit(spec, {"zone-a"}, false);
--- a/tests/packing_test.cpp
+++ b/tests/packing_test.cpp
@@ -1,4 +1,4 @@
-// Where tasks are placed.
+// Tests of the vector bin packing that places tasks on machines.
 #include "coordination/scheduling/packing.h"
 
 #include <gtest/gtest.h>
@@ -25,38 +25,41 @@
   return group;
 }
 
-// A request of as many gigabytes of memory as cores.
-Resources make_even(double cores) {
+// Returns resources with equal numbers of cores and gigabytes of memory.
+Resources make_equal_resources(double cores) {
   return make_resources(cores, cores);
 }
 
 }  // namespace
 
-// s = (1/8, 1/4), r = (4/8, 8/32): the dot product over the squared length of r.
-TEST(Packing, ScoreOfARequestIsItsScalarProjectionOnTheFreeCapacity) {
+// With request shares (1/8, 1/4) and free shares (4/8, 8/32), the score is their dot product
+// divided by the squared length of the free shares.
+TEST(Packing, ScoreIsDotProductOverSquaredLengthOfFreeCapacity) {
   EXPECT_NEAR(score(make_resources(1, 8), make_resources(4, 8), make_resources(8, 32)),
               (0.125 * 0.5 + 0.25 * 0.25) / (0.25 + 0.0625), 1e-12);
 }
 
-TEST(Packing, ResourceThatNoMachineHasIsNotScored) {
+TEST(Packing, ScoreIgnoresResourceThatNoMachineHas) {
   EXPECT_NEAR(score(make_resources(1, 8), make_resources(4, 8), make_resources(8, 0)),
               0.125 * 0.5 / 0.25, 1e-12);
 }
 
-TEST(Packing, SeveralPairsFitTheBestIsPlacedFirst) {
-  std::vector<Group> groups = {make_group(make_even(1), 1, 0), make_group(make_even(4), 1, 0)};
-  std::vector<Bin> bins = {{make_even(8)}, {make_even(4)}};
-  const auto placements = pack(groups, bins, make_even(8));
+TEST(Packing, PairWithTheHighestScoreIsPlacedFirst) {
+  std::vector<Group> groups = {make_group(make_equal_resources(1), 1, 0),
+                               make_group(make_equal_resources(4), 1, 0)};
+  std::vector<Bin> bins = {{make_equal_resources(8)}, {make_equal_resources(4)}};
+  const auto placements = pack(groups, bins, make_equal_resources(8));
   ASSERT_EQ(placements.size(), 2u);
   EXPECT_EQ(placements[0].group, 1u);
   EXPECT_EQ(placements[0].bin, 1u);
   EXPECT_EQ(placements[1].bin, 0u);
 }
 
-TEST(Packing, GroupsOfSeveralTiersArePlacedByTierWithoutOverfilling) {
-  std::vector<Group> groups = {make_group(make_even(4), 3, 1), make_group(make_even(1), 2, 0)};
-  std::vector<Bin> bins = {{make_even(4)}, {make_even(5)}};
-  const auto placements = pack(groups, bins, make_even(5));
+TEST(Packing, LowerTiersArePlacedFirstWithoutExceedingCapacity) {
+  std::vector<Group> groups = {make_group(make_equal_resources(4), 3, 1),
+                               make_group(make_equal_resources(1), 2, 0)};
+  std::vector<Bin> bins = {{make_equal_resources(4)}, {make_equal_resources(5)}};
+  const auto placements = pack(groups, bins, make_equal_resources(5));
   ASSERT_EQ(placements.size(), 3u);
   EXPECT_EQ(placements[0].group, 1u);
   EXPECT_EQ(placements[1].group, 1u);
@@ -65,64 +68,67 @@
 
 namespace {
 
-// A place in the order of tiers and, within a tier, of passes.
+// The order of placement: by tier and, within a tier, by pass.
 struct Precedence {
   int tier = 0, pass = 0;
   auto operator<=>(const Precedence&) const = default;
 };
 
-// None: the group may not be placed there.
-std::optional<Precedence> precedence_of(const Group& group, const Bin& bin, std::size_t index) {
-  const int pass = group.pass ? group.pass(index) : 0;
+// Returns the precedence of placing a task of the group in the bin, or nullopt if that is not
+// possible.
+std::optional<Precedence> precedence_of(const Group& group, const Bin& bin, std::size_t bin_index) {
+  const int pass = group.pass ? group.pass(bin_index) : 0;
   if (group.count == 0 || !bin.free.fits(group.request) || pass < 0) return std::nullopt;
-  if (group.allowed && !group.allowed(index)) return std::nullopt;
+  if (group.allowed && !group.allowed(bin_index)) return std::nullopt;
   return Precedence{group.tier, pass};
 }
 
-// The definition, without any optimization: of all pairs that fit, again and again the best one.
-std::vector<Placement> pack_by_definition(std::vector<Group> groups, std::vector<Bin> bins,
-                                          const Resources& scale) {
-  std::vector<Placement> out;
+// Reference implementation without optimizations: repeatedly places the best of all pairs that fit.
+std::vector<Placement> pack_by_reference(std::vector<Group> groups, std::vector<Bin> bins,
+                                         const Resources& scale) {
+  std::vector<Placement> placements;
   for (;;) {
     std::optional<Placement> best;
-    Precedence first;
-    for (std::size_t b = 0; b < bins.size(); ++b) {
-      for (std::size_t g = 0; g < groups.size(); ++g) {
-        const auto precedence = precedence_of(groups[g], bins[b], b);
+    Precedence best_precedence;
+    for (std::size_t bin = 0; bin < bins.size(); ++bin) {
+      for (std::size_t group = 0; group < groups.size(); ++group) {
+        const auto precedence = precedence_of(groups[group], bins[bin], bin);
         if (!precedence) continue;
-        const double s = score(groups[g].request, bins[b].free, scale);
-        if (best && (*precedence > first || (*precedence == first && s <= best->score))) continue;
-        best = Placement{g, b, s};
-        first = *precedence;
+        const double pair_score = score(groups[group].request, bins[bin].free, scale);
+        if (best && (*precedence > best_precedence ||
+                     (*precedence == best_precedence && pair_score <= best->score)))
+          continue;
+        best = Placement{group, bin, pair_score};
+        best_precedence = *precedence;
       }
     }
-    if (!best) return out;
-    out.push_back(*best);
+    if (!best) return placements;
+    placements.push_back(*best);
     --groups[best->group].count;
     bins[best->bin].free -= groups[best->group].request;
     if (groups[best->group].placed) groups[best->group].placed(best->bin);
   }
 }
 
-// Random instances with the rules that quotas and zones bring in. The same seed gives the same ones.
+// Generates random packing instances. The seed is fixed, so every run tests the same instances.
 class RandomInstances {
  public:
   std::vector<Bin> make_bins() {
     std::vector<Bin> bins;
-    for (int b = 0, n = 1 + pick(9); b < n; ++b)
+    for (int bin = 0, count = 1 + pick(9); bin < count; ++bin)
       bins.push_back({make_resources(2 + 2 * pick(4), 4 * pick(6))});
     return bins;
   }
   std::vector<Group> make_groups() {
     std::vector<Group> groups;
-    for (int g = 0, n = 1 + pick(8); g < n; ++g) {
+    for (int group_index = 0, group_count = 1 + pick(8); group_index < group_count; ++group_index) {
       const Resources request = make_resources(1 + pick(3), 2 * pick(3));
       const auto count = static_cast<std::size_t>(pick(6));
       Group group = make_group(request, count, pick(3));
       const int salt = pick(5);
       if (salt > 0) {
-        group.pass = [salt](std::size_t b) {
-          return static_cast<int>((b * 7 + 3u) % 4) - salt / 4;
+        group.pass = [salt](std::size_t bin) {
+          return static_cast<int>((bin * 7 + 3u) % 4) - salt / 4;
         };
       }
       groups.push_back(std::move(group));
@@ -132,25 +138,27 @@
   int make_budget() { return 4 + pick(30); }
 
  private:
-  int pick(int n) { return static_cast<int>(random_() % static_cast<unsigned>(n)); }
+  int pick(int count) { return static_cast<int>(random_() % static_cast<unsigned>(count)); }
 
   std::mt19937 random_{7};
 };
 
-// The groups share a budget, as of a quota, and may have to keep to one half of the bins, as to a zone.
-std::vector<Group> with_rules(std::vector<Group> groups, int budget) {
-  struct Rules {
+// Adds constraints like those of quotas and zones: all groups share a budget of placements, and
+// some placements restrict later ones to one half of the bins.
+std::vector<Group> with_constraints(std::vector<Group> groups, int budget) {
+  struct Constraints {
     int budget = 0;
     int half = -1;
   };
-  const auto rules = std::make_shared<Rules>(Rules{budget, -1});
+  const auto constraints = std::make_shared<Constraints>(Constraints{budget, -1});
   for (Group& group : groups) {
-    group.allowed = [rules](std::size_t b) {
-      return rules->budget > 0 && (rules->half < 0 || rules->half == static_cast<int>(b % 2));
+    group.allowed = [constraints](std::size_t bin) {
+      return constraints->budget > 0 &&
+             (constraints->half < 0 || constraints->half == static_cast<int>(bin % 2));
     };
-    group.placed = [rules](std::size_t b) {
-      --rules->budget;
-      if (rules->budget % 3 == 0) rules->half = static_cast<int>(b % 2);
+    group.placed = [constraints](std::size_t bin) {
+      --constraints->budget;
+      if (constraints->budget % 3 == 0) constraints->half = static_cast<int>(bin % 2);
     };
   }
   return groups;
@@ -158,15 +166,15 @@
 
 }  // namespace
 
-TEST(Packing, RandomInstancesArePackedAsTheDefinitionSaysTiesIncluded) {
+TEST(Packing, RandomInstancesArePackedAsByReferenceIncludingTies) {
   RandomInstances random;
   for (int instance = 0; instance < 300; ++instance) {
     auto bins = random.make_bins();
     const auto groups = random.make_groups();
     const int budget = random.make_budget();
     const Resources scale = make_resources(8, 20);
-    const auto expected = pack_by_definition(with_rules(groups, budget), bins, scale);
-    auto with_budget = with_rules(groups, budget);
+    const auto expected = pack_by_definition(with_constraints(groups, budget), bins, scale);
+    auto with_budget = with_constraints(groups, budget);
     const auto placements = pack(with_budget, bins, scale);
     ASSERT_EQ(placements.size(), expected.size()) << "instance " << instance;
     for (std::size_t i = 0; i < placements.size(); ++i) {
--- a/tests/preemption_planner_test.cpp
+++ b/tests/preemption_planner_test.cpp
@@ -1,3 +1,4 @@
+// Tests of preemption: which tasks are evicted for which job.
 #include "coordination/scheduling/preemption_planner.h"
 
 #include "machine_fixture.h"
@@ -10,7 +11,7 @@
 using protocol::Rank;
 using protocol::TaskState;
 
-// One machine, full of four tasks of kOther that started one second after the other.
+// One machine that is filled by four tasks of the idle job kOther, which started one second apart.
 class PreemptionPlannerTest : public MachineFixture {
  protected:
   PreemptionPlannerTest() {
@@ -18,11 +19,11 @@
     add_job(kOther, Rank::kIdle);
     assign(kOther,
            {{0, assignment(1)}, {1, assignment(2)}, {2, assignment(3)}, {3, assignment(4)}});
-    auto last = heartbeat(0, 10);
+    auto last_heartbeat = heartbeat(0, 10);
     for (base::TaskNo task = 0; task < 4; ++task) {
-      last.sequence = base::Sequence(task + 1);
-      report(last, {kOther, task}, task + 1, TaskState::kRunning);
-      registry_.record_heartbeat(last, HeartbeatSource::kAgent, at(task));
+      last_heartbeat.sequence = base::Sequence(task + 1);
+      report(last_heartbeat, {kOther, task}, task + 1, TaskState::kRunning);
+      registry_.record_heartbeat(last_heartbeat, HeartbeatSource::kAgent, at(task));
     }
   }
   void preempt_for(Rank rank, std::size_t tasks, double seconds = 4) {
@@ -45,7 +46,7 @@
   EXPECT_EQ(evicted(), (std::set{TaskId{kOther, 3}}));
 }
 
-TEST_F(PreemptionPlannerTest, EachTaskOfTheJobGetsCapacityOfItsOwn) {
+TEST_F(PreemptionPlannerTest, CapacityIsFreedForEachTaskOfTheJob) {
   preempt_for(Rank::kUrgent, 2);
   EXPECT_EQ(evicted(), (std::set{TaskId{kOther, 2}, TaskId{kOther, 3}}));
 }
@@ -60,19 +61,19 @@
   EXPECT_TRUE(evicted().empty());
 }
 
-TEST_F(PreemptionPlannerTest, VictimsHaveTimeToEndBeforeMoreIsEvicted) {
+TEST_F(PreemptionPlannerTest, NothingMoreIsEvictedBeforeTheVictimsHadTimeToEnd) {
   preempt_for(Rank::kUrgent, 1);
   preempt_for(Rank::kUrgent, 2, 5);
   EXPECT_EQ(evicted().size(), 1u);
 }
 
-TEST_F(PreemptionPlannerTest, MachineThatIsReservedForAnotherJobIsLeftAlone) {
+TEST_F(PreemptionPlannerTest, NothingIsEvictedFromMachineReservedForAnotherJob) {
   reservations_.reserve_for_starving_job(kMachine, kOther, at(60));
   preempt_for(Rank::kUrgent, 1);
   EXPECT_TRUE(evicted().empty());
 }
 
-TEST_F(PreemptionPlannerTest, CordonedMachineIsLeftAlone) {
+TEST_F(PreemptionPlannerTest, NothingIsEvictedFromCordonedMachine) {
   registry_.drain(kMachine);
   preempt_for(Rank::kUrgent, 1);
   EXPECT_TRUE(evicted().empty());
--- a/tests/scheduling_fixture.h
+++ b/tests/scheduling_fixture.h
@@ -1,4 +1,4 @@
-// Jobs and settings for the unit tests of scheduling.
+// Test fixture with jobs, settings and a state cache for the unit tests of scheduling.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -9,7 +9,8 @@
 
 namespace saddleslip::coordination {
 
-// A state cache to which a test adds jobs, as the state service would.
+// A state cache that a test changes by applying job records, as changes from the state service are
+// applied.
 class SchedulingTest : public ::testing::Test {
  protected:
   static protocol::JobSpec make_spec(const base::JobId& id, base::TaskNo tasks, double cores) {
