--- a/src/coordination/scheduling/capacity_reservations.h
+++ b/src/coordination/scheduling/capacity_reservations.h
@@ -12,13 +12,14 @@
 namespace saddleslip::coordination {
 
 // The reservations of one controller's machines, at most one for each machine. The cache must
-// outlive this object. Times are arguments. Not safe for use from several threads at once.
+// outlive this object. The current time is passed as an argument. Not safe for use from several
+// threads at once.
 class CapacityReservations {
  public:
   explicit CapacityReservations(const storage::StateCache& cache) : cache_(cache) {}
 
   // Reserves a machine for a starving job until one of the job's tasks starts there. Replaces the
-  // machine's present reservation, if any.
+  // machine's current reservation, if any.
   void reserve_for_starving_job(const base::MachineId& machine, const base::JobId& job,
                                 base::Time expires_at);
   // Reserves a machine on which tasks are being preempted for the job. Has no effect if the machine
--- a/src/coordination/scheduling/completions.cpp
+++ b/src/coordination/scheduling/completions.cpp
@@ -70,7 +70,7 @@
   if (!completion.done || !job || job->cancelled()) return false;
   const Time first_seen_at = attempts_.note_completion(completion.task, now);
   if (base::between(first_seen_at, now) > settings_.tuning.record_within) return false;
-  // A team near its limit needs the quota that the task still takes up until its end is recorded.
+  // A team near its limit needs the quota that the task uses until its completion is recorded.
   if (cache_.has_quota_limit(job->record.spec.team)) {
     const base::Team& team = settings_.teams.at(job->record.spec.team);
     const Resources usage = cache_.team_use(job->record.spec.team);
@@ -91,10 +91,10 @@
     plan.completions.push_back(std::move(completion));
 }
 
-// Handles task records that were written under a larger value limit of the store and exceed the
-// present one: such a record can be rewritten only once enough of its tasks have ended, with all
-// these ends in one write. Removes the completions that must wait for more ends; returns the tasks
-// whose completions must be recorded together.
+// Handles task records that exceed the state service's limit on the size of a value, because they
+// were written under a larger limit. Such a record can be rewritten only once enough of its tasks
+// have ended, with all these completions in one write. Removes the completions that must wait for
+// more of them; returns the tasks whose completions must be recorded together.
 std::set<TaskId> Controller::settle_large_records(std::vector<RoundPlan::Completion>& completions,
                                                   const RecordBatch& batch) const {
   struct LargeRecord {
--- a/src/coordination/scheduling/failure_tracker.h
+++ b/src/coordination/scheduling/failure_tracker.h
@@ -16,8 +16,8 @@
 
 namespace saddleslip::coordination {
 
-// The failures of tasks by job and machine. Times are arguments. Not safe for use from several
-// threads at once.
+// The failures of tasks by job and machine. The current time is passed as an argument. Not safe for
+// use from several threads at once.
 class FailureTracker {
  public:
   // Records that an attempt of `job` ended with an error on `machine` after running for `ran`.
--- a/src/coordination/scheduling/job_priorities.cpp
+++ b/src/coordination/scheduling/job_priorities.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr Seconds kUpdateInterval{0.5};  // while no jobs are added or removed
+constexpr Seconds kUpdateInterval{0.5};  // between updates while no jobs are added or removed
 // One in this many pending tasks of a starving job is placed before all other jobs.
 constexpr std::size_t kPendingPerStarving = 4;
 constexpr double kNoDeadlineDue = 1e15;      // later than the due times of all jobs with a deadline
@@ -69,7 +69,8 @@
 
 std::vector<const Job*> JobPriorities::jobs_in_dependency_order() const {
   const auto& dependency_graph = cache_.dependency_graph();
-  std::map<base::JobId, std::size_t> live_dependencies;  // count of those not in the order yet
+  // The number of unfinished dependencies of each job that are not in `order` yet.
+  std::map<base::JobId, std::size_t> live_dependencies;
   std::vector<const Job*> order;
   for (const auto& [dependency, dependents] : dependency_graph.waited_for()) {
     const Job* job = cache_.job(dependency);
--- a/src/coordination/scheduling/job_priorities.h
+++ b/src/coordination/scheduling/job_priorities.h
@@ -12,7 +12,8 @@
 namespace saddleslip::coordination {
 
 // Computes the priorities of the jobs in the state cache. The settings and the cache must outlive
-// this object. Times are arguments. Not safe for use from several threads at once.
+// this object. The current time is passed as an argument. Not safe for use from several threads at
+// once.
 class JobPriorities {
  public:
   JobPriorities(const base::Settings& settings, const storage::StateCache& cache)
--- a/src/coordination/scheduling/offer_pool.h
+++ b/src/coordination/scheduling/offer_pool.h
@@ -24,8 +24,8 @@
   base::Time expires_at{};
 };
 
-// Keeps offers until they expire. The settings must outlive the pool. Times are arguments. Not safe
-// for use from several threads at once.
+// Keeps offers until they expire. The settings must outlive the pool. The current time is passed as
+// an argument. Not safe for use from several threads at once.
 class OfferPool {
  public:
   explicit OfferPool(const base::Settings& settings) : settings_(settings) {}
--- a/src/coordination/scheduling/offer_router.h
+++ b/src/coordination/scheduling/offer_router.h
@@ -2,7 +2,7 @@
 // the job's waiting tasks among the controllers' partitions of machines by their free capacity. A
 // task that still waits when its offer expires is offered again, possibly to another partition. A
 // task that was offered to two controllers is started only once, since a start commits only if the
-// task's record in the store still has the expected version.
+// task's record in the state service still has the expected version.
 #pragma once
 
 #include <cstddef>
@@ -35,7 +35,8 @@
 };
 
 // Routes waiting tasks and records when each task was offered, so that a task is not offered again
-// before its offer has expired. Times are arguments. Not safe for use from several threads at once.
+// before its offer has expired. The current time is passed as an argument. Not safe for use from
+// several threads at once.
 class OfferRouter {
  public:
   // All references must outlive the router.
--- a/src/coordination/scheduling/packing.cpp
+++ b/src/coordination/scheduling/packing.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-// A bin and the groups of the present tier and pass that may still be placed in it.
+// A bin and the groups of the current tier and pass that may still be placed in it.
 struct BinCandidate {
   std::size_t bin;
   std::vector<std::size_t> groups;
--- a/src/coordination/scheduling/partition_capacity.h
+++ b/src/coordination/scheduling/partition_capacity.h
@@ -27,7 +27,7 @@
 };
 
 // The candidate machines of one controller for new tasks, less the capacity for tasks that were
-// offered to that controller in the present routing pass. Holds pointers to machine statuses, which
+// offered to that controller in the current routing pass. Holds pointers to machine statuses, which
 // must outlive it.
 class PartitionCapacity {
  public:
--- a/src/coordination/scheduling/preemption_planner.h
+++ b/src/coordination/scheduling/preemption_planner.h
@@ -24,8 +24,8 @@
 
 // Chooses the tasks whose preemption loses the least work, marks them for eviction on their
 // machines and reserves the capacity that they free. Does not preempt for the same job again until
-// its victims have had time to end. Times are arguments. Not safe for use from several threads at
-// once.
+// its victims have had time to end. The current time is passed as an argument. Not safe for use
+// from several threads at once.
 class PreemptionPlanner {
  public:
   // All references must outlive the planner.
--- a/src/coordination/scheduling/record_batch.cpp
+++ b/src/coordination/scheduling/record_batch.cpp
@@ -105,9 +105,9 @@
   return assignment.attempt;
 }
 
-// Returns whether the task's record, with one more assignment, stays within the store's limit on
-// values. A record that was written under a larger limit accepts starts again once enough of its
-// tasks have ended.
+// Returns whether the task's record, with one more assignment, stays within the state service's
+// limit on the size of a value. A record that was written under a larger limit accepts starts again
+// once enough of its tasks have ended.
 bool RecordBatch::record_fits_start(const Job& job, TaskNo task,
                                     const Assignment& assignment) const {
   const RecordEdit* edit = find_edit(job, task);
--- a/src/coordination/scheduling/record_batch.h
+++ b/src/coordination/scheduling/record_batch.h
@@ -32,9 +32,9 @@
     base::TaskNo task = 0;
     bool done = false;
   };
-  // Returns whether the task record, with these completions, stays within the store's limit on
-  // values. A record that was written under a larger limit can exceed it until more tasks have
-  // completed.
+  // Returns whether the task record, with these completions, stays within the state service's limit
+  // on the size of a value. A record that was written under a larger limit can exceed the current
+  // one until enough of its tasks have completed.
   bool fits_with_completions(const storage::Job& job, std::uint32_t chunk,
                              const std::vector<TaskCompletion>& completions) const;
 
