--- a/src/coordination/scheduling/scheduling_round.cpp
+++ b/src/coordination/scheduling/scheduling_round.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr Seconds kPeerStatusMaxAge{4.0};  // a peer whose last status is older gets no offers
+constexpr Seconds kPartitionStatusMaxAge{4.0};  // with an older status a partition gets no offers
 constexpr Seconds kReservationDuration{60.0};
 // The controller reserves at most one in this many of its machines for starving jobs, plus one.
 constexpr std::size_t kMachinesPerReservation = 20;
@@ -80,7 +80,7 @@
   if (jobs.empty()) return {};
   priorities_.update(now);
   RoutingInput input{now, self_, {}, [&](const JobId& job) { return is_crash_looping(job, now); }};
-  for (auto& [member, machines] : partitions(now, kPeerStatusMaxAge)) {
+  for (auto& [member, machines] : partitions(now, kPartitionStatusMaxAge)) {
     input.partitions.push_back({member, std::move(machines)});
   }
   return offer_router_.route(jobs, input);
