--- a/tests/packing_test.cpp
+++ b/tests/packing_test.cpp
@@ -173,7 +173,7 @@
     const auto groups = random.make_groups();
     const int budget = random.make_budget();
     const Resources scale = make_resources(8, 20);
-    const auto expected = pack_by_definition(with_constraints(groups, budget), bins, scale);
+    const auto expected = pack_by_reference(with_constraints(groups, budget), bins, scale);
     auto with_budget = with_constraints(groups, budget);
     const auto placements = pack(with_budget, bins, scale);
     ASSERT_EQ(placements.size(), expected.size()) << "instance " << instance;
