--- a/src/coordination/records/admission.h
+++ b/src/coordination/records/admission.h
@@ -1,4 +1,7 @@
-// Submissions and cancellations: what is refused, and what is committed before a user is answered.
+// Admission of submitted jobs, and cancellation of jobs.
+//
+// The functions check a submission and build the transactions that must be committed before the
+// user gets a response. They change no state.
 #pragma once
 
 #include <optional>
@@ -9,27 +12,33 @@
 
 namespace saddleslip::coordination {
 
-// The reason for a 422: the job can never run.
+// Returns why the job can never run, as the error text of a 422 response, or nothing if it can run:
+// some machine type must fit a task, and the team's quota must hold the job.
 std::optional<std::string> never_runs(const protocol::JobSpec& spec, const base::Settings& settings,
                                       const std::vector<protocol::MachineType>& catalogue);
 
-// What the acceptance of a job depends on, besides what its user asks.
+// The inputs to a job's record that do not come from its user.
 struct AcceptanceContext {
   double time_of_day = 0;
-  std::size_t partitions = 1;         // among how many controllers the machines are parted
-  std::size_t value_bytes = 0;        // the most that a value of the store holds
-  bool dependency_cancelled = false;  // a job that it needs is cancelled, and so is this one
+  std::size_t partitions = 1;         // number of controllers that share the machines
+  std::size_t value_bytes = 0;        // maximum size of a value in the store
+  bool dependency_cancelled = false;  // a dependency is cancelled, which cancels this job too
 };
-// The record that an accepted job gets; the jobs that it needs are kept apart if they do not fit.
+// Returns the record of a newly accepted job. Its dependencies are stored in separate lists if the
+// record would not fit into one value of the store.
 protocol::JobRecord accepted_record(const protocol::JobSpec& spec,
                                     const AcceptanceContext& context);
-// Commits it. `lists` is the version of the record that names its need lists, if it has such.
+// Returns the transaction that accepts the job. `lists` is the version of the key that names the
+// job's dependency lists, and is used only if the job has such lists.
 protocol::Transaction acceptance(const protocol::JobRecord& record, base::Version lists = {});
-// The lists of what a job needs, in transactions that the store takes. All of them are committed before the
-// job's own record: what is accepted is complete.
+// Returns the transactions that write the job's dependency lists, each within the store's limits.
+// All of them must be committed before the job's record, so that an accepted job always has all its
+// dependencies.
 std::vector<protocol::Transaction> dependency_list_writes(const protocol::JobRecord& record,
                                                           base::Version lists,
                                                           const base::Settings& settings);
+// Returns the transaction that marks the job as cancelled. It fails if the job's record is no
+// longer at this version.
 protocol::Transaction cancellation(const protocol::JobRecord& job, base::Version version);
 
 }  // namespace saddleslip::coordination
--- a/src/coordination/records/finalization.h
+++ b/src/coordination/records/finalization.h
@@ -1,6 +1,6 @@
-// Finalization: the record of a job that is over gives way to a small final state (a tombstone).
+// Finalization: replaces the record of a finished job with a small final state (a tombstone).
 //
-// Free functions over the state cache; they return the transaction to commit and change nothing.
+// Free functions over the state cache. They return the transaction to commit and change no state.
 #pragma once
 
 #include <cstddef>
@@ -12,19 +12,21 @@
 
 namespace saddleslip::coordination {
 
-// Is the job done or cancelled, with none of its tasks assigned to a machine any more?
+// Returns whether the job is done or cancelled and none of its tasks is assigned to a machine.
 bool may_finalize(const storage::Job& job);
 
-// Adds to `txn` the writes and preconditions that replace the job's record by its final state.
-// `time_of_day` is in seconds since the epoch and becomes the time at which the job ended.
-void add_finalization(protocol::Transaction& txn, const storage::Job& job, double time_of_day);
+// Adds the writes and preconditions that replace the job's record with its final state.
+// `time_of_day`, in seconds since the epoch, is recorded as the end time of the job.
+void add_finalization(protocol::Transaction& transaction, const storage::Job& job,
+                      double time_of_day);
 
-// Adds preconditions that the records of the job's tasks are as the state cache has them, up to the
-// number of preconditions that a transaction of `txn_ops` writes may hold.
-void guard_task_records(protocol::Transaction& txn, const storage::Job& job, std::size_t txn_ops);
+// Adds preconditions that the job's task records are unchanged since the state cache read them, up
+// to the number of preconditions allowed in a transaction of `txn_ops` writes.
+void guard_task_records(protocol::Transaction& transaction, const storage::Job& job,
+                        std::size_t txn_ops);
 
-// The transaction that finalizes the first job which is over and whose home is `self`; none if there
-// is no such job, or no view.
+// Returns the transaction that finalizes the first finished job whose home controller is `self`, or
+// nothing if there is no such job or no view.
 std::optional<protocol::Transaction> finalize_one_job(const storage::StateCache& cache,
                                                       const protocol::ControllerIncarnation& self,
                                                       const base::Settings& settings,
--- a/src/coordination/records/garbage_collection.cpp
+++ b/src/coordination/records/garbage_collection.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// The job that a record of tasks or of dependencies belongs to.
+// Returns the job that a task record or dependency list belongs to.
 std::optional<JobId> job_of_record(const std::string& key) {
   const auto chunk = protocol::parse_chunk_key(key);
   return chunk ? chunk->job : protocol::job_of_dependency_key(key);
@@ -20,21 +20,22 @@
                                            const ControllerIncarnation& self,
                                            const base::Settings& settings) {
   if (!cache.view()) return {};
-  Transaction txn;
+  Transaction transaction;
   for (const auto& [key, version] : cache.orphans()) {
-    if (txn.writes.size() >= settings.txn_ops) break;
-    // Hashed like a job's id, so that the members share the work.
-    const ControllerIncarnation* home = home_of(*cache.view(), JobId(key));
-    if (!home || *home != self) continue;
-    txn.preconditions[key] = version;
-    // Only what belongs to no job: one that the state cache has not received yet is not over.
+    if (transaction.writes.size() >= settings.txn_ops) break;
+    // The key is hashed like a job id, which distributes the work over the members.
+    const ControllerIncarnation* home_controller = home_of(*cache.view(), JobId(key));
+    if (!home_controller || *home_controller != self) continue;
+    transaction.preconditions[key] = version;
+    // The job's record must not exist in the store. A job that the state cache has not received yet
+    // may still be live.
     if (const auto job = job_of_record(key)) {
-      txn.preconditions[protocol::job_key(*job)] = protocol::Version(0);
+      transaction.preconditions[protocol::job_key(*job)] = protocol::Version(0);
     }
-    txn.writes.push_back({key, {}, {}});
+    transaction.writes.push_back({key, {}, {}});
   }
-  if (txn.writes.empty()) return {};
-  return txn;
+  if (transaction.writes.empty()) return {};
+  return transaction;
 }
 
 }  // namespace saddleslip::coordination
--- a/src/coordination/records/garbage_collection.h
+++ b/src/coordination/records/garbage_collection.h
@@ -1,4 +1,4 @@
-// Garbage collection: removes records that belonged to jobs which are over.
+// Garbage collection: removes the remaining records of finished jobs from the store.
 #pragma once
 
 #include <optional>
@@ -9,8 +9,9 @@
 
 namespace saddleslip::coordination {
 
-// The transaction that removes orphaned records whose home is `self`, as many as one transaction may
-// write; none if there are no such records, or no view.
+// Returns the transaction that removes orphaned records whose home controller is `self`, up to the
+// number of writes that one transaction may hold. Returns nothing if there are no such records or
+// no view.
 std::optional<protocol::Transaction> collect_garbage(const storage::StateCache& cache,
                                                      const protocol::ControllerIncarnation& self,
                                                      const base::Settings& settings);
--- a/src/coordination/records/maintenance.cpp
+++ b/src/coordination/records/maintenance.cpp
@@ -1,5 +1,5 @@
-// What a controller does in each round besides placing tasks: silent machines, and services that
-// move away from machines that are drained.
+// The maintenance that a controller does in each round besides placing tasks: it detects silent
+// machines and moves services off machines that are being drained.
 #include <algorithm>
 
 #include "base/log.h"
@@ -11,19 +11,30 @@
 
 namespace {
 
-constexpr Seconds kUnheardFor{0.3};
-constexpr Seconds kLostReply{6.0};
-constexpr Seconds kFindsOwner{6.0};  // beyond an interval, for an agent whose controller has ended
-constexpr double kLeastLeaseShare = 0.35;   // of a worker lease, before silence counts
-constexpr std::size_t kFewSilentShare = 5;  // one machine of so many may be silent by itself
-constexpr double kReleasedAnyway = 6.0;     // worker leases of silence
-constexpr Seconds kRoomToMove{1.5};
-constexpr Seconds kSettled{35.0};  // a start that is undone sooner was none
+// How long the list of owned machines without a heartbeat is reused before it is computed again.
+constexpr Seconds kUnheardListMaxAge{0.3};
+// How long an agent whose response was lost may take to report again.
+constexpr Seconds kLostResponseTimeout{6.0};
+constexpr Seconds kOwnerSearchTime{6.0};  // beyond an interval, for an agent whose controller ended
+constexpr double kMinLeaseShare =
+    // The limits on silence are at least this share of a worker lease.
+    0.35;
+constexpr std::size_t kMachinesPerExpectedSilent =
+    // One machine in this many may fall silent by itself; more at once indicate a network fault.
+    5;
+constexpr double kUnconditionalReleaseLeases =
+    // After this many worker leases of silence, a machine is released in any case.
+    6.0;
+// Peers whose last status is older than this are ignored when services are moved.
+constexpr Seconds kMaxPeerStatusAge{1.5};
+constexpr Seconds kMinRunTimeBeforeMove{
+    // A service that is stopped sooner does not count as started.
+    35.0};
 
 }  // namespace
 
 const std::vector<MachineId>& Controller::unheard_owned(Time now) {
-  if (base::between(unheard_owned_at_, now) < kUnheardFor &&
+  if (base::between(unheard_owned_at_, now) < kUnheardListMaxAge &&
       unheard_owned_at_ > view_installed_at_) {
     return unheard_owned_;
   }
@@ -35,33 +46,39 @@
   return unheard_owned_;
 }
 
-// Stops one service on a machine that is being emptied, if it finds room with its image elsewhere now.
-void Controller::move_service_away(Machine& m, const Partitions& known, Time now) {
-  const MachineId& id = m.last_heartbeat.machine;
-  // One service at a time, and none that a user would still count as just started.
-  const bool moving = std::any_of(m.evict.begin(), m.evict.end(), [&](const TaskId& t) {
-    return cache_.assignments_on(id).contains(t);
-  });
-  if (moving) return;
-  for (const auto& [task, since] : m.ran) {
+// Stops one service on a machine that is being drained, if another machine has room for it and
+// holds its image.
+void Controller::move_service_away(Machine& machine, const Partitions& known_partitions, Time now) {
+  const MachineId& id = machine.last_heartbeat.machine;
+  // Moves one service at a time, and none that started so recently that its user would not count it
+  // as started.
+  const bool is_moving =
+      std::any_of(machine.evict.begin(), machine.evict.end(),
+                  [&](const TaskId& task) { return cache_.assignments_on(id).contains(task); });
+  if (is_moving) return;
+  for (const auto& [task, since] : machine.ran) {
     const Job* job = cache_.job(task.job);
-    if (!job || job->record.spec.kind != Kind::kService || m.evict.contains(task) ||
-        base::between(since, now) < kSettled) {
+    if (!job || job->record.spec.kind != Kind::kService || machine.evict.contains(task) ||
+        base::between(since, now) < kMinRunTimeBeforeMove) {
       continue;
     }
-    // The leader's view of room is a second old: look again, or the service would wait for an
-    // image, or for room.
+    // The leader's capacity data is up to a second old, so it is checked again here: otherwise the
+    // service might have to wait for capacity or for an image.
     const auto& spec = job->record.spec;
-    const auto takes = [&](const MachineStatus* r) {
-      return r->open && r->id != id && r->tasks > 0 && r->free.fits(spec.request) &&
-             may_run(spec, r->type, r->zone, r->spot) && r->has_image(spec.image);
+    const auto can_host = [&](const MachineStatus* candidate) {
+      return candidate->open && candidate->id != id && candidate->tasks > 0 &&
+             candidate->free.fits(spec.request) &&
+             may_run(spec, candidate->type, candidate->zone, candidate->spot) &&
+             candidate->has_image(spec.image);
     };
-    const bool fits = std::any_of(known.begin(), known.end(), [&](const auto& partition) {
-      return std::any_of(partition.second.begin(), partition.second.end(), takes);
-    });
+    const bool fits =
+        std::any_of(known_partitions.begin(), known_partitions.end(), [&](const auto& partition) {
+          return std::any_of(partition.second.begin(), partition.second.end(), can_host);
+        });
     if (!fits) continue;
-    spdlog::info("{}/{} moves away from {}", task.job.get(), task.no, id.get());
-    m.evict.insert(task);
+    spdlog::info("service is moved to another machine: task={}/{} machine={}", task.job.get(),
+                 task.no, id.get());
+    machine.evict.insert(task);
     return;
   }
 }
@@ -69,24 +86,28 @@
 Controller::SilenceLimits Controller::silence_limits() const {
   const Seconds configured = settings_.tuning.silent_release;
   if (configured.count() > 0) return {configured, configured};
-  const auto patience = [&](double heartbeats, Seconds more) {
-    return std::max(settings_.heartbeat_interval * heartbeats + more,
-                    settings_.worker_lease * kLeastLeaseShare);
+  const auto limit_for = [&](double heartbeats, Seconds margin) {
+    return std::max(settings_.heartbeat_interval * heartbeats + margin,
+                    settings_.worker_lease * kMinLeaseShare);
   };
-  // An agent whose response was lost waits for it, tries the next controller and is redirected here.
-  const Seconds unheard = std::max(patience(1.75, Seconds(1.0)), kLostReply);
-  // One that gets no responses sends less often, since it goes from controller to controller.
-  return {unheard, patience(2.5, Seconds(2.0))};
+  // An agent whose response was lost first waits for it, then tries the next controller, which
+  // redirects it to this one.
+  const Seconds unheard = std::max(limit_for(1.75, Seconds(1.0)), kLostResponseTimeout);
+  // An agent that receives no responses reports less often, since it tries one controller after
+  // another.
+  return {unheard, limit_for(2.5, Seconds(2.0))};
 }
 
-// Requests the release of cordoned machines that are empty, and moves services off draining ones.
+// Requests the release of cordoned machines that are empty, and moves services off machines that
+// are being drained.
 void Controller::progress_drains(Time now) {
-  std::optional<Partitions> known;
-  for (auto& [id, m] : machines_) {
-    m.release_requested = m.cordoned && cache_.assignments_on(id).empty() && !capacity(m).active;
-    if (!m.draining || !is_schedulable(m, now)) continue;
-    if (!known) known = partitions(now, kRoomToMove);
-    move_service_away(m, *known, now);
+  std::optional<Partitions> known_partitions;
+  for (auto& [id, machine] : machines_) {
+    machine.release_requested =
+        machine.cordoned && cache_.assignments_on(id).empty() && !capacity(machine).active;
+    if (!machine.draining || !is_schedulable(machine, now)) continue;
+    if (!known_partitions) known_partitions = partitions(now, kMaxPeerStatusAge);
+    move_service_away(machine, *known_partitions, now);
   }
 }
 
@@ -95,15 +116,18 @@
   const Seconds interval = settings_.heartbeat_interval;
   SilenceCensus census;
   census.owned = machines_.size();
-  for (auto& [id, m] : machines_) {
-    const bool is_past_notice = m.taken_at && now > *m.taken_at;
-    // While this controller had no authority, agents went from one to the next: that is no silence.
-    const Seconds unheard = base::between(std::max(m.last_heartbeat_at, listening_since()), now);
+  for (auto& [id, machine] : machines_) {
+    const bool is_past_notice = machine.taken_at && now > *machine.taken_at;
+    // While this controller had no authority, agents tried other controllers, so that time does not
+    // count as silence.
+    const Seconds unheard =
+        base::between(std::max(machine.last_heartbeat_at, listening_since()), now);
     const bool is_silent = unheard > (is_past_notice ? interval * 2.0 : limits.unheard);
-    // Heartbeats that arrive while no response does, or late copies of a dead machine's.
-    const bool is_half_open =
-        m.is_half_open() &&
-        base::between(std::max(*m.half_open_since, listening_since()), now) > limits.unanswered;
+    // A half-open machine: its heartbeats arrive but responses do not reach it, or the heartbeats
+    // are late copies from a dead machine.
+    const bool is_half_open = machine.is_half_open() &&
+                              base::between(std::max(*machine.half_open_since, listening_since()),
+                                            now) > limits.unanswered;
     if (is_silent || is_half_open) census.silent.insert(id);
     if (is_silent || is_half_open || unheard > interval * storage::kOverdue) ++census.overdue;
   }
@@ -113,40 +137,43 @@
     ++census.owned;
     const Time since = owned_since_.try_emplace(id, now).first->second;
     const Seconds unheard = base::between(std::max(since, listening_since()), now);
-    // Agents whose controller has ended need a while to find their new one.
-    const Seconds finding_owner = interval + kFindsOwner;
+    // Agents whose controller has ended need some time to find their new owner.
+    const Seconds finding_owner = interval + kOwnerSearchTime;
     if (unheard > std::max(limits.unheard, finding_owner)) census.silent.insert(id);
     if (unheard > finding_owner) ++census.overdue;
   }
   return census;
 }
 
-// One silent machine is most likely dead, and its release is the fastest proof. When many fall silent
-// at once the network is at fault: they may all be well, and come back, not all in the same instant.
-// Overdue machines count as well: they do not fall silent at the same time, and the first fifth of a
-// zone that is cut off must not be released before the rest is missed.
+// A single silent machine is most likely dead, and releasing it proves it soonest. When many become
+// silent at once, the network is the likely cause: the machines may be healthy and return at
+// different times. Overdue machines are counted too, because the machines of a zone that is cut off
+// do not become silent at the same time: the first fifth of them must not be released before the
+// others are noticed.
 bool Controller::may_release_silent(const SilenceCensus& census, Time now) {
-  const std::size_t few = std::max<std::size_t>(1, census.owned / kFewSilentShare);
-  if (census.overdue > few) many_silent_at_ = now;
+  const std::size_t expected_silent =
+      std::max<std::size_t>(1, census.owned / kMachinesPerExpectedSilent);
+  if (census.overdue > expected_silent) many_silent_at_ = now;
   return !many_silent_at_ || base::between(*many_silent_at_, now) >
                                  settings_.worker_lease * 0.5 + settings_.heartbeat_interval * 4.0;
 }
 
 void Controller::update_silent_machines(const SilenceCensus& census, Time now) {
   const bool may_release = may_release_silent(census, now);
-  std::set<MachineId> next;
+  std::set<MachineId> next_silent;
   for (const MachineId& id : census.silent) {
-    const auto at = machines_.find(id);
-    const Time since = at == machines_.end()        ? owned_since_[id]
-                       : at->second.half_open_since ? *at->second.half_open_since
-                                                    : at->second.last_heartbeat_at;
-    const bool is_known = silent_machines_.contains(id);
-    const bool is_long = base::between(since, now) > settings_.worker_lease * kReleasedAnyway;
-    if (!may_release && !is_known && !is_long) continue;
-    if (!is_known) spdlog::info("silent machine to be released machine={}", id.get());
-    next.insert(id);
+    const auto found = machines_.find(id);
+    const Time since = found == machines_.end()        ? owned_since_[id]
+                       : found->second.half_open_since ? *found->second.half_open_since
+                                                       : found->second.last_heartbeat_at;
+    const bool is_already_silent = silent_machines_.contains(id);
+    const bool exceeds_final_limit =
+        base::between(since, now) > settings_.worker_lease * kUnconditionalReleaseLeases;
+    if (!may_release && !is_already_silent && !exceeds_final_limit) continue;
+    if (!is_already_silent) spdlog::info("silent machine to be released: machine={}", id.get());
+    next_silent.insert(id);
   }
-  silent_machines_ = std::move(next);
+  silent_machines_ = std::move(next_silent);
 }
 
 void Controller::housekeeping(Time now) {
--- a/src/coordination/records/record_splitting.cpp
+++ b/src/coordination/records/record_splitting.cpp
@@ -10,21 +10,22 @@
 
 namespace {
 
-// How many of the job's tasks fit into one value of the store.
+// Returns how many of the job's tasks fit into one value of the store.
 TaskNo tasks_per_value(const JobRecord& record, const base::Settings& settings) {
   return protocol::chunk_size(record.chunk, 1, settings.value_bytes);
 }
 
 Transaction split(const storage::Job& job, protocol::Version view, const base::Settings& settings) {
-  JobRecord next = job.record;
-  next.piece = tasks_per_value(job.record, settings);
-  const std::string key = protocol::job_key(next.spec.id);
-  Transaction txn;
-  txn.preconditions[protocol::kViewKey] = view;
-  // Starts are guarded by this version: none can be put on the unsplit records after this.
-  txn.preconditions[key] = job.version;
-  txn.writes.push_back({key, to_json(next), {}});
-  return txn;
+  JobRecord split_record = job.record;
+  split_record.piece = tasks_per_value(job.record, settings);
+  const std::string key = protocol::job_key(split_record.spec.id);
+  Transaction transaction;
+  transaction.preconditions[protocol::kViewKey] = view;
+  // Task starts have this version as a precondition, so none can be recorded in the unsplit task
+  // records after this.
+  transaction.preconditions[key] = job.version;
+  transaction.writes.push_back({key, to_json(split_record), {}});
+  return transaction;
 }
 
 }  // namespace
@@ -43,8 +44,8 @@
   if (cache.format() < protocol::kFormatWithPieces) return {};
   for (const auto& [id, job] : cache.jobs()) {
     if (job.cancelled_on_record() || !needs_splitting(job, settings)) continue;
-    const ControllerIncarnation* home = home_of(*cache.view(), id);
-    if (home && *home == self) return split(job, view, settings);
+    const ControllerIncarnation* home_controller = home_of(*cache.view(), id);
+    if (home_controller && *home_controller == self) return split(job, view, settings);
   }
   return {};
 }
--- a/src/coordination/records/record_splitting.h
+++ b/src/coordination/records/record_splitting.h
@@ -1,7 +1,7 @@
-// Splitting of task records that are larger than a value of the store may be.
+// Splitting of task records that exceed the store's limit on the size of a value.
 //
-// Limits of the store may fall while jobs run that were accepted under larger ones. The tasks of such
-// a job are then recorded in pieces, which its job record names.
+// The limit may be lowered while jobs run that were accepted under a larger one. The tasks of such
+// a job are then recorded in smaller pieces, whose size is stored in the job's record.
 #pragma once
 
 #include <optional>
@@ -12,12 +12,13 @@
 
 namespace saddleslip::coordination {
 
-// Does one record of the job's tasks hold more of them than fit into a value of the store?
+// Returns whether a task record of the job covers more tasks than fit into one value of the store.
 bool needs_splitting(const storage::Job& job, const base::Settings& settings);
 
-// The transaction that splits the task records of the first job that needs it and whose home is
-// `self`; none if there is no such job, or while some controller can't read pieces yet. It holds only
-// under the view of version `view`. Requires: the state cache has a view.
+// Returns the transaction that splits the task records of the first job that needs it and whose
+// home controller is `self`. Returns nothing if there is no such job, or while some controller
+// cannot read pieces yet. The transaction has the view's version as a precondition. Requires a view
+// in the state cache.
 std::optional<protocol::Transaction> split_one_record(const storage::StateCache& cache,
                                                       const protocol::ControllerIncarnation& self,
                                                       protocol::Version view,
