--- a/src/coordination/fleet/autoscaler.cpp
+++ b/src/coordination/fleet/autoscaler.cpp
@@ -7,13 +7,17 @@
 
 namespace {
 
-constexpr Seconds kCalmBeforeDrain{10.0};  // since a task was last without capacity
-constexpr Seconds kDrainInterval{3.0};     // between two machines to be drained
-constexpr std::size_t kReservedBytes =
-    1024;                                  // of a value of the store, beside the booting machines
-constexpr double kSettleHeartbeats = 2.0;  // intervals after which owners know their machines,
-constexpr Seconds kSettleMargin{1.0};      // and more
-constexpr double kUnheardLeases = 2.0;     // of a worker, before a listed machine is released
+constexpr Seconds kDrainDelayAfterDemand{10.0};  // after the last task without capacity
+constexpr Seconds kDrainInterval{3.0};           // between the drains of two machines
+// The part of a stored value that is not available to the list of booting machines.
+constexpr std::size_t kFleetRecordOverheadBytes = 1024;
+// After a change of leader or of ownership, this many heartbeat intervals and a margin pass until
+// all machines have reported to their owners.
+constexpr double kSettleHeartbeats = 2.0;
+constexpr Seconds kSettleMargin{1.0};
+// A machine of the cloud's list that reports to no member for this many worker leases is
+// released.
+constexpr double kUnreportedLeases = 2.0;
 
 }  // namespace
 
@@ -44,8 +48,8 @@
   return actions;
 }
 
-// To rent while the machines of a partition are unknown would pay for them
-// twice.
+// While the machines of a partition are unknown, demand may already have capacity there, and
+// renting for it would pay twice.
 bool Autoscaler::is_settled(const FleetStatus& fleet) const {
   const Seconds settle = settings_.heartbeat_interval * kSettleHeartbeats + kSettleMargin;
   const Time changed_at = std::max(leader_since_, fleet.view_installed_at);
@@ -54,12 +58,13 @@
 }
 
 bool Autoscaler::may_drain(Time now) const {
-  return base::between(std::max(last_unplaced_work_at_, leader_since_), now) > kCalmBeforeDrain &&
+  return base::between(std::max(last_unplaced_work_at_, leader_since_), now) >
+             kDrainDelayAfterDemand &&
          base::between(last_drain_at_, now) > kDrainInterval;
 }
 
 void Autoscaler::release_failed_boots(const FleetStatus& fleet, std::vector<MachineId>& release) {
-  for (const MachineId& id : booting_.remove_booted(fleet)) {
+  for (const MachineId& id : booting_.remove_finished_boots(fleet)) {
     release.push_back(id);
     releases_.add(id);
   }
@@ -95,45 +100,47 @@
   for (const OwnedMachines& partition : fleet.partitions) {
     for (const MachineStatus* machine : partition.machines) owner[machine->id] = partition.owner;
   }
-  MachineRequests own;
+  MachineRequests own_requests;
   for (const MachineId& id : plan.drain) {
     last_drain_at_ = fleet.now;
     if (owner[id] == fleet.self) {
-      own.drain.push_back(id);
+      own_requests.drain.push_back(id);
     } else {
       requests_.add_drain(owner[id], id);
     }
   }
   for (const MachineId& id : plan.cordon) {
     if (owner[id] == fleet.self) {
-      own.cordon.push_back(id);
+      own_requests.cordon.push_back(id);
     } else {
       requests_.add_cordon(owner[id], id);
     }
   }
-  return own;
+  return own_requests;
 }
 
-void Autoscaler::review_list(const std::vector<CloudMachine>& list, const FleetStatus& fleet) {
-  std::set<MachineId> known = fleet.reporting();
-  for (const protocol::Booting& machine : booting_.all()) known.insert(machine.id);
+void Autoscaler::review_list(const std::vector<CloudMachine>& cloud_machines,
+                             const FleetStatus& fleet) {
+  std::set<MachineId> known_machines = fleet.reporting();
+  for (const protocol::Booting& machine : booting_.all()) known_machines.insert(machine.id);
   std::set<MachineId> listed;
-  for (const CloudMachine& machine : list) {
+  for (const CloudMachine& machine : cloud_machines) {
     listed.insert(machine.id);
-    if (!fleet.is_released(machine.id)) review_machine(machine, known, fleet);
+    if (!fleet.is_released(machine.id)) review_machine(machine, known_machines, fleet);
   }
   releases_.forget_unlisted(listed);
 }
 
-void Autoscaler::review_machine(const CloudMachine& machine, const std::set<MachineId>& known,
+void Autoscaler::review_machine(const CloudMachine& machine,
+                                const std::set<MachineId>& known_machines,
                                 const FleetStatus& fleet) {
   if (machine.state == protocol::CloudState::kFailed) {
     releases_.add(machine.id);
-  } else if (known.contains(machine.id)) {
+  } else if (known_machines.contains(machine.id)) {
     releases_.record_reporting(machine.id);
   } else if (!booting_.adopt(machine, fleet.wall_now)) {
-    const Seconds limit = settings_.worker_lease * kUnheardLeases + settings_.list_lag;
-    releases_.record_unheard(machine.id, fleet, limit);
+    const Seconds limit = settings_.worker_lease * kUnreportedLeases + settings_.list_lag;
+    releases_.record_unreported(machine.id, fleet, limit);
   }
 }
 
@@ -154,11 +161,13 @@
 }
 
 protocol::Transaction Autoscaler::booting_record() const {
-  protocol::Transaction txn;
-  txn.preconditions[protocol::kLeadKey] = cache_.version(protocol::kLeadKey);
-  txn.writes.push_back(
-      {protocol::kFleetKey, to_json(booting_.all(), settings_.value_bytes - kReservedBytes), {}});
-  return txn;
+  protocol::Transaction transaction;
+  transaction.preconditions[protocol::kLeadKey] = cache_.version(protocol::kLeadKey);
+  transaction.writes.push_back(
+      {protocol::kFleetKey,
+       to_json(booting_.all(), settings_.value_bytes - kFleetRecordOverheadBytes),
+       {}});
+  return transaction;
 }
 
 }  // namespace saddleslip::coordination
--- a/src/coordination/fleet/boot_tracker.cpp
+++ b/src/coordination/fleet/boot_tracker.cpp
@@ -9,36 +9,38 @@
 
 namespace {
 
-constexpr Seconds kRecent{180.0};
-constexpr std::size_t kMaxBootsKept = 64;  // of a kind
-// Times the type's usual boot time, and more: the cloud's list and the first
-// heartbeat come late too.
+constexpr Seconds kRecentBootMaxAge{180.0};
+constexpr std::size_t kMaxBootsPerKind = 64;  // recorded boots of one kind of machine
+// A boot is overdue after this factor times the usual boot time of its type, plus the margin: the
+// cloud's list and the first heartbeat are delayed too.
 constexpr double kOverdueFactor = 2;
 constexpr Seconds kOverdueMargin{10.0};
+// A boot has failed after this factor times the usual boot time of its type, plus the margin.
 constexpr double kGivenUpFactor = 4;
 constexpr Seconds kGivenUpMargin{20.0};
-// Times the slowest recent boot of the kind.
+// Factors on the slowest recent boot of the same kind: up to the first, an overdue machine is still
+// likely to come up; after the second, it is given up.
 constexpr double kLikelyOfSlowest = 1.25;
 constexpr double kGivenUpOfSlowest = 1.5;
 
 }  // namespace
 
-void BootTracker::record_boot(const MachineKind& kind, Seconds took, Time now) {
+void BootTracker::record_boot(const MachineKind& kind, Seconds boot_duration, Time now) {
   std::deque<Boot>& boots = boots_[kind];
-  boots.push_back({now, took});
-  if (boots.size() > kMaxBootsKept) boots.pop_front();
+  boots.push_back({now, boot_duration});
+  if (boots.size() > kMaxBootsPerKind) boots.pop_front();
 }
 
 BootTracker::RecentBoots BootTracker::recent(const MachineKind& kind, Time now) const {
-  RecentBoots out;
-  const auto at = boots_.find(kind);
-  if (at == boots_.end()) return out;
-  for (const Boot& boot : at->second) {
-    if (base::between(boot.reported_at, now) > kRecent) continue;
-    ++out.count;
-    out.slowest = std::max(out.slowest, boot.took);
+  RecentBoots recent_boots;
+  const auto found = boots_.find(kind);
+  if (found == boots_.end()) return recent_boots;
+  for (const Boot& boot : found->second) {
+    if (base::between(boot.reported_at, now) > kRecentBootMaxAge) continue;
+    ++recent_boots.count;
+    recent_boots.slowest = std::max(recent_boots.slowest, boot.boot_duration);
   }
-  return out;
+  return recent_boots;
 }
 
 std::size_t BootTracker::recent_of_type(const std::string& type, Time now) const {
@@ -53,18 +55,18 @@
   return age >= usual_boot_time * kOverdueFactor + kOverdueMargin;
 }
 
-bool BootTracker::is_likely(const MachineKind& kind, Seconds age, Seconds usual_boot_time,
-                            const BootingCount& all, Time now) const {
+bool BootTracker::is_likely_to_boot(const MachineKind& kind, Seconds age, Seconds usual_boot_time,
+                                    const BootingCount& all, Time now) const {
   if (!is_overdue(age, usual_boot_time)) return true;
   if (age < recent(kind, now).slowest * kLikelyOfSlowest) return true;
-  // More are overdue than have reported: the whole type is slow, rather than
-  // this machine lost.
+  // If more machines are overdue than have reported lately, boots of the whole type are slow, and
+  // this machine is probably not lost.
   return all.overdue > 1 && all.overdue > recent_of_type(kind.type, now) &&
-         !is_given_up(kind, age, usual_boot_time, now);
+         !has_failed_to_boot(kind, age, usual_boot_time, now);
 }
 
-bool BootTracker::is_given_up(const MachineKind& kind, Seconds age, Seconds usual_boot_time,
-                              Time now) const {
+bool BootTracker::has_failed_to_boot(const MachineKind& kind, Seconds age, Seconds usual_boot_time,
+                                     Time now) const {
   return age >= std::max(usual_boot_time * kGivenUpFactor + kGivenUpMargin,
                          recent(kind, now).slowest * kGivenUpOfSlowest);
 }
--- a/src/coordination/fleet/boot_tracker.h
+++ b/src/coordination/fleet/boot_tracker.h
@@ -1,14 +1,11 @@
-// How long machines take to boot: whether one that was rented can still be
-// counted on.
+// Tracks boot times, to decide whether a rented machine still counts as future capacity.
 //
-// Most machines report within twice the usual boot time of their type. At times
-// all of a kind take several times as long, and a few never report. An overdue
-// machine is judged by the recent boots of its kind: given up too early, a
-// second fleet is rented for the same work; too late, work waits for machines
-// that never come.
+// Most machines report within twice the usual boot time of their type. Sometimes all machines of a
+// kind take several times as long, and a few never report. An overdue machine is therefore judged
+// by the recent boots of its kind: if it is given up too early, a second fleet is rented for the
+// same work; if too late, work waits for machines that never come up.
 //
-// Holds state only; takes the time as an argument. Not safe for use from
-// several threads at once.
+// Holds state only; takes the time as an argument. Not thread-safe.
 #pragma once
 
 #include <deque>
@@ -20,38 +17,43 @@
 
 namespace saddleslip::coordination {
 
-// How many machines of one type, of whatever zone, are rented and have not
-// reported.
+// Counts the rented machines of one type, in any zone, that have not reported yet.
 struct BootingCount {
-  std::size_t overdue = 0;  // later than is usual for the type
+  std::size_t overdue = 0;  // machines that exceed the usual boot time of the type
 };
 
+// Records how long machines took to boot, by kind, and judges the machines that are still booting.
 class BootTracker {
  public:
-  // A machine of this kind first reported so long after it was rented.
-  void record_boot(const MachineKind& kind, base::Seconds took, base::Time now);
+  // Records that a machine of this kind sent its first report this long after it was rented.
+  void record_boot(const MachineKind& kind, base::Seconds boot_duration, base::Time now);
 
-  // Is a machine of this age later than its type's usual boot time explains?
+  // Returns whether a booting machine of this age exceeds the usual boot time of its type, with a
+  // margin.
   static bool is_overdue(base::Seconds age, base::Seconds usual_boot_time);
-  // May it be counted as future capacity? `all` are the machines of its type
-  // that have not reported.
-  bool is_likely(const MachineKind& kind, base::Seconds age, base::Seconds usual_boot_time,
-                 const BootingCount& all, base::Time now) const;
-  // Has it taken so long that it is to be released?
-  bool is_given_up(const MachineKind& kind, base::Seconds age, base::Seconds usual_boot_time,
-                   base::Time now) const;
+  // Returns whether a booting machine counts as future capacity. `booting` counts the machines of
+  // the same type that have not reported.
+  bool is_likely_to_boot(const MachineKind& kind, base::Seconds age, base::Seconds usual_boot_time,
+                         const BootingCount& booting, base::Time now) const;
+  // Returns whether a machine has been booting for so long that it is to be released.
+  bool has_failed_to_boot(const MachineKind& kind, base::Seconds age, base::Seconds usual_boot_time,
+                          base::Time now) const;
 
  private:
+  // A completed boot.
   struct Boot {
     base::Time reported_at{};
-    base::Seconds took{0};
+    base::Seconds boot_duration{0};
   };
+  // A summary of the recent boots of one kind.
   struct RecentBoots {
     std::size_t count = 0;
     base::Seconds slowest{0};
   };
 
+  // Returns the number and the longest duration of the recent boots of one kind.
   RecentBoots recent(const MachineKind& kind, base::Time now) const;
+  // Returns the number of recent boots of all kinds of one machine type.
   std::size_t recent_of_type(const std::string& type, base::Time now) const;
 
   std::map<MachineKind, std::deque<Boot>> boots_;
--- a/src/coordination/fleet/booting_machines.cpp
+++ b/src/coordination/fleet/booting_machines.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr double kAdoptFactor =
-    3;  // times the usual boot time, for a rental of another incarnation
+// A machine rented by another incarnation is adopted up to this factor times its usual boot time.
+constexpr double kMaxAdoptedAgeFactor = 3;
 constexpr Seconds kUnknownBootTime{30.0};
 
 MachineKind kind_of(const Booting& machine) {
@@ -30,7 +30,7 @@
 
 bool BootingMachines::adopt(const CloudMachine& machine, double wall_now) {
   if (machine.state != protocol::CloudState::kStarting ||
-      machine.age >= usual_boot_time(machine.type) * kAdoptFactor) {
+      machine.age >= usual_boot_time(machine.type) * kMaxAdoptedAgeFactor) {
     return false;
   }
   spdlog::info("machine is booting, rented by another incarnation: machine={} type={}",
@@ -40,9 +40,9 @@
   return true;
 }
 
-std::vector<MachineId> BootingMachines::remove_booted(const FleetStatus& fleet) {
+std::vector<MachineId> BootingMachines::remove_finished_boots(const FleetStatus& fleet) {
   const std::set<MachineId> reporting = fleet.reporting();
-  std::vector<MachineId> failed;
+  std::vector<MachineId> failed_boots;
   std::erase_if(machines_, [&](const Booting& machine) {
     const MachineKind kind = kind_of(machine);
     const Seconds age = age_of(machine, fleet.wall_now);
@@ -51,13 +51,14 @@
       return true;
     }
     if (fleet.is_released(machine.id)) return true;
-    if (!boots_.is_given_up(kind, age, usual_boot_time(machine.type), fleet.now)) return false;
+    if (!boots_.has_failed_to_boot(kind, age, usual_boot_time(machine.type), fleet.now))
+      return false;
     spdlog::info("machine never came up, to be released: machine={} age_s={:.0f}", machine.id.get(),
                  age.count());
-    failed.push_back(machine.id);
+    failed_boots.push_back(machine.id);
     return true;
   });
-  return failed;
+  return failed_boots;
 }
 
 std::vector<Booting> BootingMachines::likely(Time now, double wall_now) const {
@@ -66,13 +67,13 @@
     if (BootTracker::is_overdue(age_of(machine, wall_now), usual_boot_time(machine.type)))
       ++by_type[machine.type].overdue;
   }
-  std::vector<Booting> out;
+  std::vector<Booting> likely_machines;
   for (const Booting& machine : machines_) {
-    if (boots_.is_likely(kind_of(machine), age_of(machine, wall_now), usual_boot_time(machine.type),
-                         by_type[machine.type], now))
-      out.push_back(machine);
+    if (boots_.is_likely_to_boot(kind_of(machine), age_of(machine, wall_now),
+                                 usual_boot_time(machine.type), by_type[machine.type], now))
+      likely_machines.push_back(machine);
   }
-  return out;
+  return likely_machines;
 }
 
 Seconds BootingMachines::usual_boot_time(const std::string& type_name) const {
--- a/src/coordination/fleet/booting_machines.h
+++ b/src/coordination/fleet/booting_machines.h
@@ -1,8 +1,7 @@
-// Machines that were rented and have not reported to any member yet.
+// Rented machines that have not reported to any member yet.
 //
-// Holds state only; takes the time as an argument. Rentals are dated by the
-// time of day (`wall_now`, seconds since the epoch), since they outlast a
-// process. Not safe for use from several threads at once.
+// Holds state only; takes the time as an argument. The time of a rental is a time of day
+// (`wall_now`, in seconds since the epoch), because rentals outlast a process. Not thread-safe.
 #pragma once
 
 #include <functional>
@@ -18,27 +17,29 @@
 
 namespace saddleslip::coordination {
 
+// The list of booting machines, which the leader keeps and stores for the next leader.
 class BootingMachines {
  public:
   explicit BootingMachines(const storage::StateCache& cache) : cache_(cache) {}
 
-  // Takes over the machines that the last leader has put on record as booting.
+  // Loads the list of booting machines that the previous leader stored.
   void load() { machines_ = cache_.booting(); }
-  // This member rented a machine.
+  // Adds a machine that this member has just rented.
   void add(const MachineId& id, const MachineKind& kind, double wall_now);
-  // Counts on a machine of the cloud's list, rented by another incarnation, if
-  // it is still booting. False: it has been booting for too long, or is not
-  // booting.
+  // Adds a machine of the cloud's list that another incarnation rented, if it is still booting.
+  // Returns false, and adds nothing, if it is not booting or has been booting for too long.
   bool adopt(const CloudMachine& machine, double wall_now);
-  // Forgets the machines that report by now or were released. Returns those
-  // that take so long that they are to be released, and forgets them too.
-  std::vector<MachineId> remove_booted(const FleetStatus& fleet);
-  // The machines that are likely to come up: their capacity can be counted on.
+  // Removes the machines that have reported, were released, or have taken too long to boot. Returns
+  // the last group, which is to be released.
+  std::vector<MachineId> remove_finished_boots(const FleetStatus& fleet);
+  // Returns the machines that are likely to come up, and so count as future capacity.
   std::vector<protocol::Booting> likely(Time now, double wall_now) const;
+  // Returns all booting machines, also those that are overdue.
   const std::vector<protocol::Booting>& all() const { return machines_; }
 
  private:
-  // By the catalogue; a guess for a type that it lacks.
+  // Returns the usual boot time from the machine catalogue, or a default for a type that is not in
+  // the catalogue.
   Seconds usual_boot_time(const std::string& type) const;
 
   const storage::StateCache& cache_;
--- a/src/coordination/fleet/capacity_backoff.cpp
+++ b/src/coordination/fleet/capacity_backoff.cpp
@@ -7,14 +7,14 @@
 namespace {
 
 constexpr base::Seconds kFirstBackoff{8.0};
-constexpr int kMostDoublings = 3;
+constexpr int kMaxDoublings = 3;
 
 }  // namespace
 
-// Each call that the cloud refuses is one less for the kinds that it has, and
-// for releases.
+// Backs off because the cloud's call limit is shared: a refused request leaves fewer calls for
+// kinds that are available and for releases.
 void CapacityBackoff::record_refusal(const MachineKind& kind, base::Time now) {
-  const int doublings = std::min(refusals_[kind]++, kMostDoublings);
+  const int doublings = std::min(consecutive_refusals_[kind]++, kMaxDoublings);
   retry_at_[kind] = base::after(now, kFirstBackoff * static_cast<double>(1 << doublings));
 }
 
--- a/src/coordination/fleet/capacity_backoff.h
+++ b/src/coordination/fleet/capacity_backoff.h
@@ -1,7 +1,6 @@
-// Backoff after the cloud had no capacity for a kind of machine.
+// Exponential backoff for kinds of machines that the cloud has no capacity for.
 //
-// Holds state only; takes the time as an argument. Not safe for use from
-// several threads at once.
+// Holds state only; takes the time as an argument. Not thread-safe.
 #pragma once
 
 #include <map>
@@ -11,20 +10,21 @@
 
 namespace saddleslip::coordination {
 
+// Keeps, for each kind of machine, when it may be requested again.
 class CapacityBackoff {
  public:
-  // The cloud had fewer machines of this kind than were asked for. The time
-  // until the next try doubles with each such answer in a row, up to a bound.
+  // Records that the cloud had fewer machines of this kind than were requested. The delay until the
+  // next request doubles with each consecutive refusal, up to a limit.
   void record_refusal(const MachineKind& kind, base::Time now);
-  // Machines of this kind were rented: the next backoff is short again.
-  void record_success(const MachineKind& kind) { refusals_.erase(kind); }
+  // Records that machines of this kind were rented, which resets the backoff to its shortest delay.
+  void record_success(const MachineKind& kind) { consecutive_refusals_.erase(kind); }
 
-  // Kinds that are not to be asked for before these times.
+  // Returns, by kind, the time before which no machine of that kind is requested.
   const std::map<MachineKind, base::Time>& retry_at() const { return retry_at_; }
 
  private:
   std::map<MachineKind, base::Time> retry_at_;
-  std::map<MachineKind, int> refusals_;  // in a row
+  std::map<MachineKind, int> consecutive_refusals_;  // since the last success
 };
 
 }  // namespace saddleslip::coordination
--- a/src/coordination/fleet/demand_estimator.h
+++ b/src/coordination/fleet/demand_estimator.h
@@ -1,8 +1,8 @@
-// The demand for machines: which waiting tasks need capacity of their own, and
-// which services could move to other machines.
+// Estimates the demand for machines: which waiting tasks need additional capacity, and which
+// services could move to other machines.
 //
-// Reads the state cache and the priorities of jobs, and keeps no state. Not
-// safe for use while another thread changes these.
+// Reads the state cache and the job priorities, and keeps no state of its own. Must not be used
+// while another thread changes these.
 #pragma once
 
 #include <map>
@@ -17,41 +17,44 @@
 
 namespace saddleslip::coordination {
 
+// Computes the demand of the jobs in the state cache.
 class DemandEstimator {
  public:
   DemandEstimator(const base::Settings& settings, const storage::StateCache& cache,
                   const JobPriorities& priorities)
       : settings_(settings), cache_(cache), priorities_(priorities) {}
 
-  // The waiting tasks that need capacity now, by job: within the quota of their
-  // team, and of arrays with a deadline only as many as must run now to meet
-  // it. Jobs that are crash-looping need none.
+  // Returns the waiting tasks that need capacity now, by job. Counts tasks only within their team's
+  // quota, and tasks of arrays with a deadline only as far as they must run now to meet it.
+  // Crash-looping jobs have no demand.
   std::vector<Demand> waiting(const JobPredicate& is_crash_looping, Time now) const;
 
-  // The services that are assigned to each machine.
+  // Returns the services that are assigned to each machine.
   std::map<MachineId, std::vector<const protocol::JobSpec*>> movable_services() const;
 
-  // The boot time of the machine type that boots fastest; 0 without a
-  // catalogue.
+  // Returns the shortest usual boot time of all machine types, or 0 without a catalogue.
   Seconds shortest_boot_time() const;
 
  private:
-  // An unfinished array with a deadline.
+  // An unfinished array job with a deadline.
   struct DueArray {
-    double due;  // by the time of day
+    double due;  // in seconds since the epoch
     const storage::Job* job;
   };
   using QuotaByTeam = std::map<std::string, Resources>;
 
+  // Returns the unfinished arrays with a deadline, the earliest due time first.
   std::vector<DueArray> due_arrays(const JobPredicate& is_crash_looping, Time now) const;
+  // Returns when the job must be complete, in seconds since the epoch: its deadline, or earlier if
+  // its tasks have to start earlier.
   double due_time(const storage::Job& job, Time now) const;
-  // The cores that all these arrays together must have, beyond those that their
-  // tasks run on.
+  // Returns how many cores these arrays need in addition to the cores that their running tasks use.
   double missing_cores(const std::vector<DueArray>& arrays, Time now) const;
+  // Returns for each array how many of its waiting tasks must get capacity now.
   std::map<base::JobId, std::size_t> timely_tasks(const JobPredicate& is_crash_looping,
                                                   Time now) const;
-  // How many of the job's waiting tasks its team's quota lets start; takes them
-  // from the quota.
+  // Returns how many of the job's waiting tasks may start within the team's quota, and subtracts
+  // them from the remaining quota.
   std::size_t within_quota(const protocol::JobSpec& spec, std::size_t waiting,
                            QuotaByTeam& remaining) const;
 
--- a/src/coordination/fleet/fleet_status.cpp
+++ b/src/coordination/fleet/fleet_status.cpp
@@ -3,11 +3,12 @@
 namespace saddleslip::coordination {
 
 std::set<base::MachineId> FleetStatus::reporting() const {
-  std::set<base::MachineId> out;
+  std::set<base::MachineId> reporting_machines;
   for (const OwnedMachines& partition : partitions) {
-    for (const protocol::MachineStatus* machine : partition.machines) out.insert(machine->id);
+    for (const protocol::MachineStatus* machine : partition.machines)
+      reporting_machines.insert(machine->id);
   }
-  return out;
+  return reporting_machines;
 }
 
 }  // namespace saddleslip::coordination
--- a/src/coordination/fleet/fleet_status.h
+++ b/src/coordination/fleet/fleet_status.h
@@ -1,5 +1,5 @@
-// What the autoscaler is told about the fleet: the machines that members know,
-// and what their owners ask for. Plain data, made anew for each plan.
+// The input of the autoscaler: the machines that report to members, and the requests of their
+// owners. Plain data, built for each plan.
 #pragma once
 
 #include <functional>
@@ -12,40 +12,43 @@
 
 namespace saddleslip::coordination {
 
+// Returns whether a condition holds for a machine.
 using MachinePredicate = std::function<bool(const base::MachineId&)>;
+// Returns whether a condition holds for a job.
 using JobPredicate = std::function<bool(const base::JobId&)>;
 
-// The machines that one member owns, as it last told. The pointers hold as long
-// as the plan is made.
+// The machines of one member, according to its last status report. The pointers must stay valid
+// until the plan is complete.
 struct OwnedMachines {
   base::MemberId owner;
   std::vector<const protocol::MachineStatus*> machines;
 };
 
+// The state of the fleet at the time of a plan.
 struct FleetStatus {
   base::Time now{};
-  double wall_now = 0;                    // seconds since the epoch, by which rentals are dated
-  base::MemberId self;                    // the member that plans
-  base::Time view_installed_at{};         // when the owners of machines last changed
-  std::vector<OwnedMachines> partitions;  // of the members that were heard from lately
-  MachinePredicate is_released;           // has the cloud released it already?
+  double wall_now = 0;                    // in seconds since the epoch, for times of rentals
+  base::MemberId self;                    // the leader, which makes the plan
+  base::Time view_installed_at{};         // when the ownership of machines last changed
+  std::vector<OwnedMachines> partitions;  // of members with a recent status report
+  MachinePredicate is_released;           // whether the cloud has released the machine
 
-  // The machines that report to any of these members.
+  // Returns the machines that report to any of these members.
   std::set<base::MachineId> reporting() const;
 };
 
-// What the owners of machines ask of the leader.
+// Requests of the owners of machines to the leader.
 struct ReleaseRequests {
-  std::set<base::MachineId> requested;  // to be released, since they are silent, idle or faulty
-  // Machines that report to a member that does not own them: alive, whatever
-  // their owner says.
+  std::set<base::MachineId> requested;  // silent, idle or faulty machines to release
+  // Machines that report to a member other than their owner. They are alive even if their owner
+  // considers them silent.
   std::set<base::MachineId> misdirected;
 };
 
-// Machines that an owner is to take out of service.
+// Machines that their owner is asked to take out of service.
 struct MachineRequests {
-  std::vector<base::MachineId> cordon;  // to be cordoned if idle, then released
-  std::vector<base::MachineId> drain;   // to be emptied by moving their services, then released
+  std::vector<base::MachineId> cordon;  // to cordon if idle, and then to release
+  std::vector<base::MachineId> drain;   // to empty by moving their services, and then to release
 };
 
 }  // namespace saddleslip::coordination
--- a/src/coordination/fleet/member_requests.h
+++ b/src/coordination/fleet/member_requests.h
@@ -1,7 +1,7 @@
-// Requests of the leader to other members, kept until they next tell their
-// status: machines that they are to cordon or to drain.
+// Requests of the leader to other members to cordon or drain machines, kept until the next status
+// report of the member.
 //
-// Holds state only. Not safe for use from several threads at once.
+// Holds state only. Not thread-safe.
 #pragma once
 
 #include <map>
@@ -11,15 +11,18 @@
 
 namespace saddleslip::coordination {
 
+// The requests to each member that have not been sent yet.
 class MemberRequests {
  public:
+  // Adds a request to the owner to cordon the machine.
   void add_cordon(const base::MemberId& owner, const base::MachineId& machine) {
     cordon_[owner].insert(machine);
   }
+  // Adds a request to the owner to drain the machine.
   void add_drain(const base::MemberId& owner, const base::MachineId& machine) {
     drain_[owner].insert(machine);
   }
-  // What is asked of this member; it is asked for once.
+  // Returns the requests to this member and removes them, so that each is sent once.
   MachineRequests take(const base::MemberId& owner);
 
  private:
--- a/src/coordination/fleet/scaling_plan.cpp
+++ b/src/coordination/fleet/scaling_plan.cpp
@@ -10,25 +10,28 @@
 
 namespace {
 
-constexpr double kMaxDrainedUse = 0.55;  // a machine with a higher share of cores in use stays
-constexpr std::size_t kMaxRented = 200;  // machines rented by one plan
-constexpr std::size_t kMachinesPerDrain = 40;  // one machine of so many is drained at a time
-
-// Factors on the price of a machine in the wrong zone. Services run where
-// controllers are, and other work should leave these zones to them.
-constexpr double kServiceFarFromControllers = 1.6;
-constexpr double kOtherWorkOnSpotNearControllers = 1.05;
-constexpr double kOtherWorkOnDemandNearControllers = 1.3;  // services run on these machines only
-// By how much a zone that has all machines already is dearer than one that has
+// A machine with a higher share of its cores in use is not drained.
+constexpr double kMaxCoreUseToDrain = 0.55;
+constexpr std::size_t kMaxRentedPerPlan = 200;
+// One plan drains at most one machine in this many, but at least one.
+constexpr std::size_t kMachinesPerDrain = 40;
+
+// Factors on the price of a machine in an unsuitable zone. Services are placed in the zones of the
+// controllers, and other work is kept out of these zones.
+constexpr double kServiceOutsideControllerZonesFactor = 1.6;
+constexpr double kSpotInControllerZonesFactor = 1.05;
+constexpr double kOnDemandInControllerZonesFactor =
+    1.3;  // higher, since services may need on-demand machines
+// The relative price increase of a zone that already holds all machines, compared to one that holds
 // none.
-constexpr double kZoneSpread = 0.02;
+constexpr double kZoneSpreadWeight = 0.02;
 
-// A zone counts as cut off with so many silent machines, if they are more than
-// half of its machines.
-constexpr int kMinSilentOfCutOffZone = 2;
+// A zone is considered cut off if at least this many of its machines, and more than half of them,
+// are silent.
+constexpr int kMinSilentInCutOffZone = 2;
 
-// The price of a machine of this type for each task of the demand that it would
-// be filled with; none if not one fits.
+// Returns the price of a machine of this type per task of the demand, when filled with its tasks,
+// or nothing if none of them fits.
 std::optional<double> price_per_task(const MachineType& type, bool spot, const Demand& demand,
                                      std::size_t count) {
   Resources free = type.size;
@@ -41,9 +44,8 @@
   return (spot ? type.spot_price : type.price) / static_cast<double>(tasks);
 }
 
-// The steps of one plan. Demand is packed into the free capacity that there is,
-// then into machines that are to be rented; machines that no demand was packed
-// into can go.
+// Builds one plan step by step. Demand is packed first into the free capacity of running and
+// booting machines, then into machines to be rented. Machines without any demand may be released.
 class ScalingPlanner {
  public:
   explicit ScalingPlanner(const ScalingInput& input) : input_(input) {}
@@ -60,61 +62,79 @@
   }
 
  private:
-  // A machine that there is, that boots, or that is to be rented. Its bin has
-  // the same index.
+  // A running or booting machine, or one to be rented. `bins_` has its free capacity at the same
+  // index.
   struct Host {
     MachineKind kind;
-    const MachineStatus* machine = nullptr;  // if it reports already
-    bool used = false;                       // some demand was packed into it
+    const MachineStatus* machine = nullptr;  // null unless the machine reports to a member
+    bool is_needed = false;                  // demand was packed into it, or it is to be rented
   };
-  struct Choice {
+  // A kind of machine that could be rented for a group of tasks, and its cost for each task.
+  struct RentalOption {
     const MachineType* type;
     MachineKind kind;
     double cost;
   };
+  // The numbers of silent and of all reporting machines in a zone.
   struct ZoneHealth {
     int silent = 0;
-    int all = 0;
+    int total = 0;
   };
+  // A host that could be drained.
   struct DrainCandidate {
-    double saved_per_service;  // of the machine's price
+    double saved_price_per_service;  // price of the machine for each service that has to move
     std::size_t host;
   };
 
+  // Returns the catalogue's entry for this type, or null if there is none.
   const MachineType* type_of(const std::string& name) const;
+  // Adds the running and booting machines as hosts.
   void add_hosts();
   void add_host(const MachineKind& kind, const MachineStatus* machine, const Resources& free);
+  // Counts the silent machines of each zone.
   void count_silent_machines();
-  // Are most of the zone's machines silent? New ones there could not be used
+  // Returns whether most of the zone's machines are silent. New machines there could not be used
   // either.
   bool is_cut_off(const std::string& zone) const;
+  // Packs the demand into the hosts.
   void pack_demand();
+  // Returns whether a machine of this kind can be rented now and could run the demand.
   bool may_rent(const Demand& demand, const MachineKind& kind) const;
+  // Returns the factor on the price for how well the zone suits the demand.
   double placement_factor(const Demand& demand, const MachineKind& kind) const;
+  // Returns the cost of this kind of machine for each task of the group, or nothing if it cannot be
+  // rented or used.
   std::optional<double> cost_of(std::size_t group, const MachineType& type,
                                 const MachineKind& kind) const;
-  std::optional<Choice> cheapest(std::size_t group) const;
+  // Returns the cheapest kind of machine that can be rented for the group, if any.
+  std::optional<RentalOption> cheapest(std::size_t group) const;
+  // Adds machines to the plan for demand that no host has capacity for.
   void rent();
-  void add_rental(const Choice& choice);
+  void add_rented_host(const RentalOption& choice);
+  // Adds machines to the plan whose services can move to other machines.
   void drain();
+  // Returns the hosts with low utilization that run only movable services, by descending savings.
   std::vector<DrainCandidate> drain_candidates() const;
-  // Moves all services of this host to others, if they fit there; returns these
-  // others, or nothing if some service fits nowhere.
-  std::optional<std::vector<std::size_t>> move_services(std::size_t host,
-                                                        const std::set<std::size_t>& leaving);
+  // Moves all services of this host to other hosts if there is room for all of them. Returns the
+  // receiving hosts, or nothing if some service does not fit anywhere.
+  std::optional<std::vector<std::size_t>> move_services(
+      std::size_t host, const std::set<std::size_t>& draining_hosts);
+  // Returns a host with room and the image for the service, or nothing if there is none.
   std::optional<std::size_t> host_for(const protocol::JobSpec& service, std::size_t from,
-                                      const std::set<std::size_t>& leaving) const;
+                                      const std::set<std::size_t>& draining_hosts) const;
+  // Adds idle machines without demand to the plan, to be cordoned.
   void cordon_idle();
 
   const ScalingInput& input_;
   ScalingPlan plan_;
   std::vector<Host> hosts_;
   std::vector<Bin> bins_;
-  std::vector<Group> groups_;               // one for each demand
-  std::vector<std::size_t> group_by_tier_;  // indices of groups
+  std::vector<Group> groups_;               // one for each entry of the demand, at the same index
+  std::vector<std::size_t> group_by_tier_;  // indices of groups, the most urgent tier first
+  // The largest size of any machine type in each dimension, for packing.
   Resources scale_;
-  std::map<std::string, ZoneHealth> health_;        // by zone
-  std::map<std::string, double> machines_in_zone_;  // those to be rented too
+  std::map<std::string, ZoneHealth> zone_health_;   // by zone name
+  std::map<std::string, double> machines_in_zone_;  // including machines to be rented
 };
 
 const MachineType* ScalingPlanner::type_of(const std::string& name) const {
@@ -149,17 +169,17 @@
 
 void ScalingPlanner::count_silent_machines() {
   for (const MachineStatus* machine : input_.machines) {
-    ZoneHealth& zone = health_[machine->zone];
-    ++zone.all;
+    ZoneHealth& zone = zone_health_[machine->zone];
+    ++zone.total;
     if (machine->silent) ++zone.silent;
   }
 }
 
 bool ScalingPlanner::is_cut_off(const std::string& zone) const {
-  const auto at = health_.find(zone);
-  if (at == health_.end()) return false;
-  const ZoneHealth& health = at->second;
-  return health.silent >= kMinSilentOfCutOffZone && health.silent * 2 > health.all;
+  const auto found = zone_health_.find(zone);
+  if (found == zone_health_.end()) return false;
+  const ZoneHealth& health = found->second;
+  return health.silent >= kMinSilentInCutOffZone && health.silent * 2 > health.total;
 }
 
 void ScalingPlanner::pack_demand() {
@@ -173,7 +193,7 @@
       const MachineKind& kind = hosts_[bin].kind;
       return !demand.spec || may_run(*demand.spec, kind.type, kind.zone, kind.spot);
     };
-    group.placed = [this](std::size_t bin) { hosts_[bin].used = true; };
+    group.placed = [this](std::size_t bin) { hosts_[bin].is_needed = true; };
     groups_.push_back(std::move(group));
   }
   pack(groups_, bins_, scale_);
@@ -184,7 +204,6 @@
       [this](std::size_t a, std::size_t b) { return groups_[a].tier < groups_[b].tier; });
 }
 
-// Can such a machine be had now, and would the demand use it?
 bool ScalingPlanner::may_rent(const Demand& demand, const MachineKind& kind) const {
   if (demand.spec ? !may_run(*demand.spec, kind.type, kind.zone, kind.spot) : kind.spot)
     return false;
@@ -198,65 +217,65 @@
 double ScalingPlanner::placement_factor(const Demand& demand, const MachineKind& kind) const {
   const bool is_service = !demand.spec || demand.spec->kind == protocol::Kind::kService;
   if (is_service == input_.controller_zones.contains(kind.zone)) return 1.0;
-  if (is_service) return kServiceFarFromControllers;
-  return kind.spot ? kOtherWorkOnSpotNearControllers : kOtherWorkOnDemandNearControllers;
+  if (is_service) return kServiceOutsideControllerZonesFactor;
+  return kind.spot ? kSpotInControllerZonesFactor : kOnDemandInControllerZonesFactor;
 }
 
-// What a machine of this kind costs for each task of the group; none if it
-// can't be had or used.
 std::optional<double> ScalingPlanner::cost_of(std::size_t group, const MachineType& type,
                                               const MachineKind& kind) const {
   const Demand& demand = input_.demand[group];
   if (!may_rent(demand, kind)) return {};
   const auto price = price_per_task(type, kind.spot, demand, groups_[group].count);
   if (!price) return {};
-  // Equal prices: spread over the zones, so that no one fault takes all
-  // machines.
+  // At equal prices, machines are spread over the zones, so that the failure of one zone does not
+  // take all of them.
   const auto in_zone = machines_in_zone_.find(kind.zone);
-  const double there = in_zone == machines_in_zone_.end() ? 0 : in_zone->second;
-  const double spread = 1.0 + kZoneSpread * there / (static_cast<double>(hosts_.size()) + 1);
-  return *price * spread * placement_factor(demand, kind);
+  const double machines_in_this_zone = in_zone == machines_in_zone_.end() ? 0 : in_zone->second;
+  const double spread_factor =
+      1.0 + kZoneSpreadWeight * machines_in_this_zone / (static_cast<double>(hosts_.size()) + 1);
+  return *price * spread_factor * placement_factor(demand, kind);
 }
 
-std::optional<ScalingPlanner::Choice> ScalingPlanner::cheapest(std::size_t group) const {
-  std::optional<Choice> best;
+std::optional<ScalingPlanner::RentalOption> ScalingPlanner::cheapest(std::size_t group) const {
+  std::optional<RentalOption> best;
   for (const MachineType& type : *input_.catalogue) {
     for (const std::string& zone : type.zones) {
       for (const bool spot : {true, false}) {
         const MachineKind kind{type.name, zone, spot};
         const auto cost = cost_of(group, type, kind);
-        if (cost && (!best || *cost < best->cost)) best = Choice{&type, kind, *cost};
+        if (cost && (!best || *cost < best->cost)) best = RentalOption{&type, kind, *cost};
       }
     }
   }
   return best;
 }
 
-// For demand that found no capacity: the cheapest kind for the first group,
-// which is then filled with whatever else fits.
+// Rents the cheapest kind for the most urgent group without capacity, and fills each new machine
+// with all demand that fits.
 void ScalingPlanner::rent() {
   std::size_t rented = 0;
   for (const std::size_t group : group_by_tier_) {
-    while (groups_[group].count > 0 && rented < kMaxRented) {
+    while (groups_[group].count > 0 && rented < kMaxRentedPerPlan) {
       const auto best = cheapest(group);
       if (!best) break;
-      add_rental(*best);
+      add_rented_host(*best);
       ++rented;
     }
   }
 }
 
-void ScalingPlanner::add_rental(const Choice& choice) {
-  const auto same = std::find_if(plan_.scale_out.begin(), plan_.scale_out.end(),
-                                 [&](const ScaleOut& r) { return r.kind == choice.kind; });
-  if (same == plan_.scale_out.end()) {
+void ScalingPlanner::add_rented_host(const RentalOption& choice) {
+  const auto existing =
+      std::find_if(plan_.scale_out.begin(), plan_.scale_out.end(),
+                   [&](const ScaleOut& rental) { return rental.kind == choice.kind; });
+  if (existing == plan_.scale_out.end()) {
     plan_.scale_out.push_back({choice.kind, 1});
   } else {
-    ++same->count;
+    ++existing->count;
   }
   add_host(choice.kind, nullptr, choice.type->size);
   const std::size_t host = hosts_.size() - 1;
-  hosts_[host].used = true;
+  hosts_[host].is_needed = true;
   Resources& free = bins_[host].free;
   for (const std::size_t index : group_by_tier_) {
     Group& group = groups_[index];
@@ -267,24 +286,23 @@
   }
 }
 
-// Empties machines whose services fit on others that have their images: into
-// capacity that is left after all demand, on machines that stay anyway.
+// Drains machines whose services fit on other machines that hold their images. Services are moved
+// only into capacity that remains after all demand is packed, on machines that are kept.
 void ScalingPlanner::drain() {
-  const std::size_t most = std::max<std::size_t>(1, input_.machines.size() / kMachinesPerDrain);
-  std::set<std::size_t> leaving, receiving;
+  const std::size_t max_drained =
+      std::max<std::size_t>(1, input_.machines.size() / kMachinesPerDrain);
+  std::set<std::size_t> draining_hosts, receiving_hosts;
   for (const DrainCandidate& candidate : drain_candidates()) {
-    if (plan_.drain.size() >= most) break;
-    if (receiving.contains(candidate.host)) continue;
-    const auto receivers = move_services(candidate.host, leaving);
+    if (plan_.drain.size() >= max_drained) break;
+    if (receiving_hosts.contains(candidate.host)) continue;
+    const auto receivers = move_services(candidate.host, draining_hosts);
     if (!receivers) continue;
-    leaving.insert(candidate.host);
-    receiving.insert(receivers->begin(), receivers->end());
+    draining_hosts.insert(candidate.host);
+    receiving_hosts.insert(receivers->begin(), receivers->end());
     plan_.drain.push_back(hosts_[candidate.host].machine->id);
   }
 }
 
-// Machines of which little is in use, the ones that save most for each service
-// moved first.
 std::vector<ScalingPlanner::DrainCandidate> ScalingPlanner::drain_candidates() const {
   std::vector<DrainCandidate> candidates;
   for (std::size_t host = 0; host < hosts_.size(); ++host) {
@@ -294,7 +312,7 @@
     const auto services = input_.movable_services.find(machine->id);
     if (services == input_.movable_services.end() || services->second.empty()) continue;
     const double used_cores = type->size.cores() - machine->free.cores();
-    if (used_cores > type->size.cores() * kMaxDrainedUse) continue;
+    if (used_cores > type->size.cores() * kMaxCoreUseToDrain) continue;
     candidates.push_back({type->price / static_cast<double>(services->second.size()), host});
   }
   std::stable_sort(candidates.begin(), candidates.end(),
@@ -305,11 +323,11 @@
 }
 
 std::optional<std::vector<std::size_t>> ScalingPlanner::move_services(
-    std::size_t host, const std::set<std::size_t>& leaving) {
-  const auto& services = input_.movable_services.at(hosts_[host].machine->id);
+    std::size_t host, const std::set<std::size_t>& draining_hosts) {
+  const auto& services = input_.movable_services.found(hosts_[host].machine->id);
   std::vector<std::size_t> receivers;
   for (const protocol::JobSpec* service : services) {
-    const auto receiver = host_for(*service, host, leaving);
+    const auto receiver = host_for(*service, host, draining_hosts);
     if (!receiver) break;
     bins_[*receiver].free -= service->request;
     receivers.push_back(*receiver);
@@ -321,13 +339,13 @@
   return {};
 }
 
-std::optional<std::size_t> ScalingPlanner::host_for(const protocol::JobSpec& service,
-                                                    std::size_t from,
-                                                    const std::set<std::size_t>& leaving) const {
+std::optional<std::size_t> ScalingPlanner::host_for(
+    const protocol::JobSpec& service, std::size_t from,
+    const std::set<std::size_t>& draining_hosts) const {
   for (std::size_t host = 0; host < hosts_.size(); ++host) {
     const MachineStatus* machine = hosts_[host].machine;
-    if (host != from && machine && machine->open && machine->tasks > 0 && !leaving.contains(host) &&
-        bins_[host].free.fits(service.request) &&
+    if (host != from && machine && machine->open && machine->tasks > 0 &&
+        !draining_hosts.contains(host) && bins_[host].free.fits(service.request) &&
         may_run(service, machine->type, machine->zone, machine->spot) &&
         machine->has_image(service.image)) {
       return host;
@@ -339,7 +357,7 @@
 void ScalingPlanner::cordon_idle() {
   for (const Host& host : hosts_) {
     const MachineStatus* machine = host.machine;
-    if (machine && !host.used && machine->tasks == 0 &&
+    if (machine && !host.is_needed && machine->tasks == 0 &&
         base::between(machine->idle_since, input_.now) >= input_.idle_return) {
       plan_.cordon.push_back(machine->id);
     }
--- a/src/coordination/fleet/service_arrivals.cpp
+++ b/src/coordination/fleet/service_arrivals.cpp
@@ -7,11 +7,12 @@
 
 namespace {
 
-constexpr Seconds kArrivalWindow{120.0};  // over which the rate of arrivals is taken
-constexpr Seconds kShortestSpan{30.0};    // a rate over less time would be mostly chance
-constexpr Seconds kCountStartsAfter{2.0};
-constexpr double kBootMargin = 1.5;  // boots take up to so many times as long
-constexpr int kExpectedTier = 100;   // packed after all that waits already
+constexpr Seconds kArrivalWindow{120.0};  // the rate of arrivals is computed over this time
+constexpr Seconds kMinArrivalSpan{30.0};  // over a shorter time the rate would be mostly chance
+// Jobs first seen until this long after counting started were already there and are no arrivals.
+constexpr Seconds kInitialJobsMargin{2.0};
+constexpr double kBootMargin = 1.5;  // factor on the usual boot time
+constexpr int kExpectedTier = 100;   // packed after all waiting tasks
 
 }  // namespace
 
@@ -33,24 +34,24 @@
 }
 
 std::vector<Demand> ServiceArrivals::expected(const Forecast& forecast, Time now) const {
-  std::vector<Demand> out;
-  const Seconds span =
-      std::clamp(base::between(forecast.counted_since, now), kShortestSpan, kArrivalWindow);
+  std::vector<Demand> demands;
+  const Seconds time_span =
+      std::clamp(base::between(forecast.counted_since, now), kMinArrivalSpan, kArrivalWindow);
   for (const auto& [job_class, arrivals] : arrivals_) {
     double tasks = 0;
     for (const Arrival& arrival : arrivals.recent) {
-      if (base::between(forecast.counted_since, arrival.at) > kCountStartsAfter)
+      if (base::between(forecast.counted_since, arrival.at) > kInitialJobsMargin)
         tasks += arrival.tasks;
     }
     Demand demand;
     demand.request = arrivals.latest_spec.request;
     demand.count = static_cast<std::size_t>(std::ceil(
-        tasks / span.count() * forecast.boot_time.count() * kBootMargin * forecast.headroom));
+        tasks / time_span.count() * forecast.boot_time.count() * kBootMargin * forecast.headroom));
     demand.tier = kExpectedTier;
     demand.spec = &arrivals.latest_spec;
-    if (demand.count > 0) out.push_back(demand);
+    if (demand.count > 0) demands.push_back(demand);
   }
-  return out;
+  return demands;
 }
 
 }  // namespace saddleslip::coordination
--- a/src/coordination/fleet/service_arrivals.h
+++ b/src/coordination/fleet/service_arrivals.h
@@ -1,8 +1,7 @@
-// Arrivals of services: how many tasks of each class came lately, and so how
-// many to expect while a machine boots.
+// Tracks the arrivals of services by job class, to estimate how many tasks will arrive while a
+// machine boots.
 //
-// Holds state only; takes the time as an argument. Not safe for use from
-// several threads at once.
+// Holds state only; takes the time as an argument. Not thread-safe.
 #pragma once
 
 #include <deque>
@@ -16,35 +15,37 @@
 
 namespace saddleslip::coordination {
 
+// Counts recently submitted services and derives the demand to expect from them.
 class ServiceArrivals {
  public:
-  // Takes in the services that the state cache has received since the last
-  // call, and drops those that arrived too long ago to say anything about the
-  // present rate.
+  // Records the services that were added to the state cache since the last call, and drops arrivals
+  // that are too old for the current rate.
   void update(const storage::StateCache& cache, Time now);
 
-  // What the expected number of tasks depends on.
+  // The parameters of an estimate of expected tasks.
   struct Forecast {
-    Time counted_since{};  // services that were there by then are no arrivals
-    Seconds boot_time{};   // the time for which capacity is to be ready in advance
-    double headroom = 0;   // the share of the expected tasks that capacity is kept for
+    Time counted_since{};  // services that existed at this time are not arrivals
+    Seconds boot_time{};   // how long before it is needed capacity must be requested
+    double headroom = 0;   // share of the expected tasks that capacity is kept for
   };
-  // The demand of the services that are expected within the forecast's boot
-  // time. Its job specifications hold until the next update().
+  // Returns the demand of services that are expected to arrive within the forecast's boot time. The
+  // job specifications in the result stay valid until the next update().
   std::vector<Demand> expected(const Forecast& forecast, Time now) const;
 
  private:
+  // The tasks of one service that arrived.
   struct Arrival {
     Time at{};
     base::TaskNo tasks = 0;
   };
+  // The recent arrivals of one job class.
   struct ClassArrivals {
     protocol::JobSpec latest_spec;
     std::deque<Arrival> recent;
   };
 
-  std::map<std::string, ClassArrivals> arrivals_;  // by job class
-  std::set<base::JobId> counted_;                  // live jobs that are among the arrivals
+  std::map<std::string, ClassArrivals> arrivals_;  // keyed by job class
+  std::set<base::JobId> counted_;                  // live jobs that have been counted
 };
 
 }  // namespace saddleslip::coordination
--- a/src/coordination/records/admission.cpp
+++ b/src/coordination/records/admission.cpp
@@ -13,9 +13,8 @@
 
 namespace {
 
-constexpr std::size_t kMaxListsPerTransaction =
-    // A transaction holds up to 64 KiB and one list up to 16 KiB.
-    3;
+// A transaction holds up to 64 KiB and one list up to 16 KiB.
+constexpr std::size_t kMaxListsPerTransaction = 3;
 
 }  // namespace
 
--- a/src/coordination/records/maintenance.cpp
+++ b/src/coordination/records/maintenance.cpp
@@ -16,20 +16,16 @@
 // How long an agent whose response was lost may take to report again.
 constexpr Seconds kLostResponseTimeout{6.0};
 constexpr Seconds kOwnerSearchTime{6.0};  // beyond an interval, for an agent whose controller ended
-constexpr double kMinLeaseShare =
-    // The limits on silence are at least this share of a worker lease.
-    0.35;
-constexpr std::size_t kMachinesPerExpectedSilent =
-    // One machine in this many may fall silent by itself; more at once indicate a network fault.
-    5;
-constexpr double kUnconditionalReleaseLeases =
-    // After this many worker leases of silence, a machine is released in any case.
-    6.0;
+// The limits on silence are at least this share of a worker lease.
+constexpr double kMinLeaseShare = 0.35;
+// One machine in this many may fall silent by itself; more at once indicate a network fault.
+constexpr std::size_t kMachinesPerExpectedSilent = 5;
+// After this many worker leases of silence, a machine is released in any case.
+constexpr double kUnconditionalReleaseLeases = 6.0;
 // Peers whose last status is older than this are ignored when services are moved.
 constexpr Seconds kMaxPeerStatusAge{1.5};
-constexpr Seconds kMinRunTimeBeforeMove{
-    // A service that is stopped sooner does not count as started.
-    35.0};
+// A service that is stopped sooner does not count as started.
+constexpr Seconds kMinRunTimeBeforeMove{35.0};
 
 }  // namespace
 
@@ -92,10 +88,10 @@
   };
   // An agent whose response was lost first waits for it, then tries the next controller, which
   // redirects it to this one.
-  const Seconds unheard = std::max(limit_for(1.75, Seconds(1.0)), kLostResponseTimeout);
+  const Seconds unreported = std::max(limit_for(1.75, Seconds(1.0)), kLostResponseTimeout);
   // An agent that receives no responses reports less often, since it tries one controller after
   // another.
-  return {unheard, limit_for(2.5, Seconds(2.0))};
+  return {unreported, limit_for(2.5, Seconds(2.0))};
 }
 
 // Requests the release of cordoned machines that are empty, and moves services off machines that
@@ -120,27 +116,27 @@
     const bool is_past_notice = machine.taken_at && now > *machine.taken_at;
     // While this controller had no authority, agents tried other controllers, so that time does not
     // count as silence.
-    const Seconds unheard =
+    const Seconds unreported =
         base::between(std::max(machine.last_heartbeat_at, listening_since()), now);
-    const bool is_silent = unheard > (is_past_notice ? interval * 2.0 : limits.unheard);
+    const bool is_silent = unreported > (is_past_notice ? interval * 2.0 : limits.unheard);
     // A half-open machine: its heartbeats arrive but responses do not reach it, or the heartbeats
     // are late copies from a dead machine.
     const bool is_half_open = machine.is_half_open() &&
                               base::between(std::max(*machine.half_open_since, listening_since()),
                                             now) > limits.unanswered;
     if (is_silent || is_half_open) census.silent.insert(id);
-    if (is_silent || is_half_open || unheard > interval * storage::kOverdue) ++census.overdue;
+    if (is_silent || is_half_open || unreported > interval * storage::kOverdue) ++census.overdue;
   }
   for (const MachineId& id : unheard_owned(now)) {
     if (machines_.contains(id) || released_.contains(id) || cache_.assignments_on(id).empty())
       continue;
     ++census.owned;
     const Time since = owned_since_.try_emplace(id, now).first->second;
-    const Seconds unheard = base::between(std::max(since, listening_since()), now);
+    const Seconds unreported = base::between(std::max(since, listening_since()), now);
     // Agents whose controller has ended need some time to find their new owner.
     const Seconds finding_owner = interval + kOwnerSearchTime;
-    if (unheard > std::max(limits.unheard, finding_owner)) census.silent.insert(id);
-    if (unheard > finding_owner) ++census.overdue;
+    if (unreported > std::max(limits.unheard, finding_owner)) census.silent.insert(id);
+    if (unreported > finding_owner) ++census.overdue;
   }
   return census;
 }
--- a/tests/boot_tracker_test.cpp
+++ b/tests/boot_tracker_test.cpp
@@ -12,10 +12,10 @@
 class BootTrackerTest : public ::testing::Test {
  protected:
   bool likely(double age, std::size_t overdue, double now = 0) const {
-    return tracker_.is_likely(kind_, Seconds(age), usual_, {overdue}, at_seconds(now));
+    return tracker_.is_likely_to_boot(kind_, Seconds(age), usual_, {overdue}, at_seconds(now));
   }
   bool given_up(double age, double now = 0) const {
-    return tracker_.is_given_up(kind_, Seconds(age), usual_, at_seconds(now));
+    return tracker_.has_failed_to_boot(kind_, Seconds(age), usual_, at_seconds(now));
   }
   void record_boot(double seconds) { tracker_.record_boot(kind_, Seconds(seconds), at_seconds(0)); }
 
--- a/tests/fleet_machines_test.cpp
+++ b/tests/fleet_machines_test.cpp
@@ -76,10 +76,10 @@
   booting_.add(kSecond, kKind, fleet_.wall_now);
   EXPECT_EQ(likely(), 2u);
   report(kFirst);
-  EXPECT_TRUE(booting_.remove_booted(fleet_).empty());
+  EXPECT_TRUE(booting_.remove_finished_boots(fleet_).empty());
   EXPECT_EQ(likely(), 1u);
   released_.insert(kSecond);
-  EXPECT_TRUE(booting_.remove_booted(fleet_).empty());
+  EXPECT_TRUE(booting_.remove_finished_boots(fleet_).empty());
   EXPECT_TRUE(booting_.all().empty());
 }
 
@@ -87,9 +87,9 @@
   booting_.add(kFirst, kKind, fleet_.wall_now);
   advance(70);
   EXPECT_EQ(likely(), 0u);
-  EXPECT_TRUE(booting_.remove_booted(fleet_).empty());
+  EXPECT_TRUE(booting_.remove_finished_boots(fleet_).empty());
   advance(70);
-  EXPECT_EQ(booting_.remove_booted(fleet_), std::vector{kFirst});
+  EXPECT_EQ(booting_.remove_finished_boots(fleet_), std::vector{kFirst});
   EXPECT_TRUE(booting_.all().empty());
 }
 
@@ -116,27 +116,27 @@
 
 TEST_F(FleetMachines, MachineUnheardUnderOneViewForTheLimit_IsReleased) {
   const auto is_due = [&] { return !releases_.due({}, fleet_).empty(); };
-  releases_.record_unheard(kFirst, fleet_, Seconds(50));
+  releases_.record_unreported(kFirst, fleet_, Seconds(50));
   advance(40);
   fleet_.view_installed_at = fleet_.now;
   advance(40);
-  releases_.record_unheard(kFirst, fleet_, Seconds(50));
+  releases_.record_unreported(kFirst, fleet_, Seconds(50));
   EXPECT_FALSE(is_due());
   advance(11);
-  releases_.record_unheard(kFirst, fleet_, Seconds(50));
+  releases_.record_unreported(kFirst, fleet_, Seconds(50));
   EXPECT_TRUE(is_due());
   releases_.remove(kFirst);
   EXPECT_FALSE(is_due());
 }
 
 TEST_F(FleetMachines, MachineReportedOrLeftTheList_LimitStartsAnew) {
-  releases_.record_unheard(kFirst, fleet_, Seconds(50));
-  releases_.record_unheard(kSecond, fleet_, Seconds(50));
+  releases_.record_unreported(kFirst, fleet_, Seconds(50));
+  releases_.record_unreported(kSecond, fleet_, Seconds(50));
   releases_.record_reporting(kFirst);
   releases_.forget_unlisted({kFirst});
   advance(60);
-  releases_.record_unheard(kFirst, fleet_, Seconds(50));
-  releases_.record_unheard(kSecond, fleet_, Seconds(50));
+  releases_.record_unreported(kFirst, fleet_, Seconds(50));
+  releases_.record_unreported(kSecond, fleet_, Seconds(50));
   EXPECT_TRUE(releases_.due({}, fleet_).empty());
 }
 
