--- a/src/coordination/fleet/scaling_plan.cpp
+++ b/src/coordination/fleet/scaling_plan.cpp
@@ -110,10 +110,12 @@
   std::optional<RentalOption> cheapest(std::size_t group) const;
   // Adds machines to the plan for demand that no host has capacity for.
   void rent();
-  void add_rented_host(const RentalOption& choice);
+  // Adds one machine to be rented to the plan, and fills it with demand.
+  void add_rented_host(const RentalOption& option);
   // Adds machines to the plan whose services can move to other machines.
   void drain();
-  // Returns the hosts with low utilization that run only movable services, by descending savings.
+  // Returns the hosts that run services and have few cores in use, by descending savings for each
+  // service to move.
   std::vector<DrainCandidate> drain_candidates() const;
   // Moves all services of this host to other hosts if there is room for all of them. Returns the
   // receiving hosts, or nothing if some service does not fit anywhere.
@@ -264,16 +266,16 @@
   }
 }
 
-void ScalingPlanner::add_rented_host(const RentalOption& choice) {
+void ScalingPlanner::add_rented_host(const RentalOption& option) {
   const auto existing =
       std::find_if(plan_.scale_out.begin(), plan_.scale_out.end(),
-                   [&](const ScaleOut& rental) { return rental.kind == choice.kind; });
+                   [&](const ScaleOut& rental) { return rental.kind == option.kind; });
   if (existing == plan_.scale_out.end()) {
-    plan_.scale_out.push_back({choice.kind, 1});
+    plan_.scale_out.push_back({option.kind, 1});
   } else {
     ++existing->count;
   }
-  add_host(choice.kind, nullptr, choice.type->size);
+  add_host(option.kind, nullptr, option.type->size);
   const std::size_t host = hosts_.size() - 1;
   hosts_[host].is_needed = true;
   Resources& free = bins_[host].free;
@@ -324,7 +326,7 @@
 
 std::optional<std::vector<std::size_t>> ScalingPlanner::move_services(
     std::size_t host, const std::set<std::size_t>& draining_hosts) {
-  const auto& services = input_.movable_services.found(hosts_[host].machine->id);
+  const auto& services = input_.movable_services.at(hosts_[host].machine->id);
   std::vector<std::size_t> receivers;
   for (const protocol::JobSpec* service : services) {
     const auto receiver = host_for(*service, host, draining_hosts);
--- a/src/storage/assignment_index.cpp
+++ b/src/storage/assignment_index.cpp
@@ -5,7 +5,7 @@
 void AssignmentIndex::update(const protocol::JobSpec& job,
                              const std::map<TaskNo, Assignment>& before,
                              const std::map<TaskNo, Assignment>& after) {
-  // Both are in the order of the task numbers: one pass over the two finds what differs.
+  // Both maps are sorted by task number, so a single pass finds the differences.
   auto old = before.begin();
   for (const auto& [task, assignment] : after) {
     for (; old != before.end() && old->first < task; ++old) remove(job, old->first, old->second);
@@ -28,11 +28,11 @@
 
 void AssignmentIndex::remove(const protocol::JobSpec& job, TaskNo task,
                              const Assignment& assignment) {
-  if (const auto on = by_machine_.find(assignment.machine); on != by_machine_.end()) {
-    on->second.erase(TaskId{job.id, task});
+  if (const auto entry = by_machine_.find(assignment.machine); entry != by_machine_.end()) {
+    entry->second.erase(TaskId{job.id, task});
     ++last_stamp_;
-    if (on->second.empty()) {
-      by_machine_.erase(on);
+    if (entry->second.empty()) {
+      by_machine_.erase(entry);
       stamps_.erase(assignment.machine);
     } else {
       stamps_[assignment.machine] = last_stamp_;
@@ -54,18 +54,18 @@
 
 const AssignmentIndex::TasksOfMachine& AssignmentIndex::on(const MachineId& machine) const {
   static const TasksOfMachine kNone;
-  const auto at = by_machine_.find(machine);
-  return at == by_machine_.end() ? kNone : at->second;
+  const auto found = by_machine_.find(machine);
+  return found == by_machine_.end() ? kNone : found->second;
 }
 
 std::uint64_t AssignmentIndex::stamp(const MachineId& machine) const {
-  const auto at = stamps_.find(machine);
-  return at == stamps_.end() ? 0 : at->second;
+  const auto found = stamps_.find(machine);
+  return found == stamps_.end() ? 0 : found->second;
 }
 
 Resources AssignmentIndex::team_use(const std::string& team) const {
-  const auto at = team_use_.find(team);
-  return at == team_use_.end() ? Resources{} : at->second;
+  const auto found = team_use_.find(team);
+  return found == team_use_.end() ? Resources{} : found->second;
 }
 
 }  // namespace saddleslip::storage
--- a/src/storage/assignment_index.h
+++ b/src/storage/assignment_index.h
@@ -9,47 +9,48 @@
 
 namespace saddleslip::storage {
 
-// The tasks assigned to each machine, and the resources that each team's tasks take.
+// An index of the tasks assigned to each machine and of the resources that each team uses.
 //
-// Every machine with assigned tasks has a stamp, which changes with each change of its tasks: a
-// reader that keeps what it worked out for a machine can tell at once whether that still holds.
+// Each machine with assigned tasks has a stamp, which changes whenever the tasks of the machine
+// change. A reader that caches a value computed from these tasks compares stamps to see whether the
+// value is still valid.
 //
-// Not safe for use from several threads at once.
+// Not thread-safe.
 class AssignmentIndex {
  public:
   using TasksOfMachine = std::map<TaskId, Assignment>;
 
-  // Assignments of the job's tasks, by task number, were `before` and are `after`. Touches only the
-  // machines of tasks whose assignment differs: a record of many tasks is written for a few of them,
-  // and each machine that changes here is worked out anew by its readers.
+  // Replaces the assignments `before` of the job's tasks by `after`, both keyed by task number.
+  // Only machines whose tasks differ are changed: a record of many tasks is often written for a few
+  // of them, and readers recompute their values for each machine that changes here.
   void update(const protocol::JobSpec& job, const std::map<TaskNo, Assignment>& before,
               const std::map<TaskNo, Assignment>& after);
 
-  // Changes the stamp of each machine that these tasks are assigned to: whether they are to run on
-  // has changed, though not where.
+  // Changes the stamps of the machines that these tasks are assigned to. For changes of whether the
+  // tasks should keep running, with the assignments unchanged.
   void touch(const std::map<TaskNo, Assignment>& assignments);
 
-  // Forgets all assignments. Stamps given before are not given again.
+  // Removes all assignments. Stamps are not reused.
   void clear();
 
-  // The tasks assigned to the machine. The reference is valid until the next change.
+  // Returns the tasks assigned to the machine. The reference is valid until the next change.
   const TasksOfMachine& on(const MachineId& machine) const;
-  // All machines with assigned tasks.
+  // Returns the assigned tasks of all machines that have any.
   const std::map<MachineId, TasksOfMachine>& by_machine() const { return by_machine_; }
 
-  // The machine's stamp; 0: no task is assigned to it.
+  // Returns the machine's stamp, or 0 if no task is assigned to it.
   std::uint64_t stamp(const MachineId& machine) const;
-  // Changes with every change of any machine's tasks.
+  // Returns a value that changes whenever the tasks of any machine change.
   std::uint64_t last_stamp() const { return last_stamp_; }
 
-  // The resources requested by all assigned tasks of the team.
+  // Returns the resources requested by all assigned tasks of the team.
   Resources team_use(const std::string& team) const;
 
  private:
   void add(const protocol::JobSpec& job, TaskNo task, const Assignment& assignment);
   void remove(const protocol::JobSpec& job, TaskNo task, const Assignment& assignment);
 
-  std::map<MachineId, TasksOfMachine> by_machine_;  // no entry is empty
+  std::map<MachineId, TasksOfMachine> by_machine_;  // machines without tasks have no entry
   std::unordered_map<MachineId, std::uint64_t> stamps_;
   std::uint64_t last_stamp_ = 0;
   std::map<std::string, Resources> team_use_;
--- a/src/storage/dependency_graph.cpp
+++ b/src/storage/dependency_graph.cpp
@@ -9,10 +9,10 @@
 const std::set<JobId> kNoJobs;
 
 void remove_edge(std::map<JobId, std::set<JobId>>& edges, const JobId& from, const JobId& to) {
-  const auto at = edges.find(from);
-  if (at == edges.end()) return;
-  at->second.erase(to);
-  if (at->second.empty()) edges.erase(at);
+  const auto entry = edges.find(from);
+  if (entry == edges.end()) return;
+  entry->second.erase(to);
+  if (entry->second.empty()) edges.erase(entry);
 }
 
 }  // namespace
@@ -25,17 +25,17 @@
 }
 
 void DependencyGraph::remove(const JobId& job) {
-  const auto at = dependencies_of_.find(job);
-  if (at == dependencies_of_.end()) return;
-  for (const JobId& dependency : at->second) remove_edge(dependents_of_, dependency, job);
-  dependencies_of_.erase(at);
+  const auto entry = dependencies_of_.find(job);
+  if (entry == dependencies_of_.end()) return;
+  for (const JobId& dependency : entry->second) remove_edge(dependents_of_, dependency, job);
+  dependencies_of_.erase(entry);
 }
 
 std::set<JobId> DependencyGraph::mark_done(const JobId& dependency) {
-  const auto at = dependents_of_.find(dependency);
-  if (at == dependents_of_.end()) return {};
-  std::set<JobId> dependents = std::move(at->second);
-  dependents_of_.erase(at);
+  const auto entry = dependents_of_.find(dependency);
+  if (entry == dependents_of_.end()) return {};
+  std::set<JobId> dependents = std::move(entry->second);
+  dependents_of_.erase(entry);
   for (const JobId& job : dependents) remove_edge(dependencies_of_, job, dependency);
   return dependents;
 }
@@ -46,13 +46,13 @@
 }
 
 const std::set<JobId>& DependencyGraph::open_dependencies(const JobId& job) const {
-  const auto at = dependencies_of_.find(job);
-  return at == dependencies_of_.end() ? kNoJobs : at->second;
+  const auto entry = dependencies_of_.find(job);
+  return entry == dependencies_of_.end() ? kNoJobs : entry->second;
 }
 
 const std::set<JobId>& DependencyGraph::dependents(const JobId& dependency) const {
-  const auto at = dependents_of_.find(dependency);
-  return at == dependents_of_.end() ? kNoJobs : at->second;
+  const auto entry = dependents_of_.find(dependency);
+  return entry == dependents_of_.end() ? kNoJobs : entry->second;
 }
 
 std::vector<JobId> DependencyGraph::all_dependents(const JobId& job) const {
@@ -63,23 +63,24 @@
   return reachable(dependencies_of_, job);
 }
 
-// Without recursion, and each job once: a chain may be long, and damaged data may hold a cycle.
+// Iterative, and visits each job once: chains can be too long for recursion, and damaged data may
+// contain a cycle.
 std::vector<JobId> DependencyGraph::reachable(const Edges& edges, const JobId& from) {
-  std::vector<JobId> found;
-  std::set<JobId> seen{from};
+  std::vector<JobId> reached;
+  std::set<JobId> visited{from};
   std::vector<JobId> unvisited{from};
   while (!unvisited.empty()) {
     const JobId next = unvisited.back();
     unvisited.pop_back();
-    const auto at = edges.find(next);
-    if (at == edges.end()) continue;
-    for (const JobId& to : at->second) {
-      if (!seen.insert(to).second) continue;
-      found.push_back(to);
+    const auto entry = edges.find(next);
+    if (entry == edges.end()) continue;
+    for (const JobId& to : entry->second) {
+      if (!visited.insert(to).second) continue;
+      reached.push_back(to);
       unvisited.push_back(to);
     }
   }
-  return found;
+  return reached;
 }
 
 }  // namespace saddleslip::storage
--- a/src/storage/dependency_graph.h
+++ b/src/storage/dependency_graph.h
@@ -10,41 +10,43 @@
 
 using base::JobId;
 
-// Which jobs wait for which others, indexed in both directions, so that the work for an event is in
-// proportion to the jobs that it concerns.
+// The dependencies between unfinished jobs, indexed in both directions, so that the cost of an
+// event is proportional to the number of jobs that it affects.
 //
-// Holds no job that is over. Not safe for use from several threads at once; references that it
-// returns are valid until the next change.
+// Finished jobs are not in the graph. Not thread-safe; returned references are valid until the next
+// change.
 class DependencyGraph {
  public:
-  // The job waits for each of these to be done.
+  // Adds the job, which waits until all of these dependencies are done.
   void add(const JobId& job, const std::vector<JobId>& dependencies);
-  // The job is over, or not known any more; others may still wait for its final state.
+  // Removes the job because it is finished or was removed. Jobs that wait for it remain until its
+  // final state is known.
   void remove(const JobId& job);
-  // The dependency is done: nothing waits for it any more. Returns the jobs that did.
+  // Removes the dependency, which is done, from all jobs that wait for it. Returns these jobs.
   std::set<JobId> mark_done(const JobId& dependency);
+  // Removes all jobs.
   void clear();
 
-  // The jobs that this one still waits for.
+  // Returns the dependencies that the job still waits for.
   const std::set<JobId>& open_dependencies(const JobId& job) const;
-  // The jobs that still wait for this one.
+  // Returns the jobs that still wait for this dependency.
   const std::set<JobId>& dependents(const JobId& dependency) const;
-  // All jobs that wait for this one, directly or through others. Not in any order.
+  // Returns all jobs that wait for this job, directly or transitively, in no particular order.
   std::vector<JobId> all_dependents(const JobId& job) const;
-  // All jobs that this one waits for, directly or through others. Not in any order.
+  // Returns all jobs that this job waits for, directly or transitively, in no particular order.
   std::vector<JobId> all_open_dependencies(const JobId& job) const;
-  // Each waiting job, with the jobs that it waits for.
+  // Returns each waiting job with the dependencies that it waits for.
   const std::map<JobId, std::set<JobId>>& waiting() const { return dependencies_of_; }
-  // Each job that others wait for, with those others.
+  // Returns each dependency that is not done with the jobs that wait for it.
   const std::map<JobId, std::set<JobId>>& waited_for() const { return dependents_of_; }
 
  private:
   using Edges = std::map<JobId, std::set<JobId>>;
-  // All jobs that can be reached from this one, which is left out.
+  // Returns all jobs that can be reached from this job along the edges, without the job itself.
   static std::vector<JobId> reachable(const Edges& edges, const JobId& from);
 
-  Edges dependencies_of_;  // no entry is empty
-  Edges dependents_of_;    // the same edges, by the job at their other end
+  Edges dependencies_of_;  // by waiting job; jobs without dependencies have no entry
+  Edges dependents_of_;    // the same edges by dependency
 };
 
 }  // namespace saddleslip::storage
--- a/src/storage/final_states.h
+++ b/src/storage/final_states.h
@@ -10,32 +10,33 @@
 
 namespace saddleslip::storage {
 
-// How finished jobs ended: a bounded memory of the latest ones.
+// A bounded cache of the final states of jobs, holding the most recently added ones.
 //
-// The store keeps the final state of every job that ever ran, so a copy of all of them would grow
-// without limit. A caller that asks for one which is not here reads it from the store.
+// The store keeps the final state of every job that ever ran, so an unbounded copy would grow
+// without limit. Callers read the final states that are missing here from the store.
 //
-// Not safe for use from several threads at once.
+// Not thread-safe.
 class FinalStates {
  public:
   static constexpr std::size_t kDefaultCapacity = 8192;
 
-  // Requires a capacity of at least 1.
+  // Creates a cache of at most `capacity` final states, which must be at least 1.
   explicit FinalStates(std::size_t capacity = kDefaultCapacity) : capacity_(capacity) {}
 
-  // Remembers how the job ended; the job remembered longest ago is forgotten for it if all places
-  // are taken. Returns false, and changes nothing, if the job's final state is known already.
+  // Adds the final state of a job, and removes the oldest entry if the capacity is exceeded.
+  // Returns false, and changes nothing, if the job's final state is here already.
   bool remember(const base::JobId& id, const protocol::FinalState& state);
 
-  // How the job ended; none: not known here.
+  // Returns the final state of the job, or nothing if it is not in the cache.
   std::optional<protocol::FinalState> find(const base::JobId& id) const;
 
+  // Returns whether the final state of the job is in the cache.
   bool contains(const base::JobId& id) const { return states_.contains(id); }
 
  private:
   const std::size_t capacity_;
   std::unordered_map<base::JobId, protocol::FinalState> states_;
-  std::deque<base::JobId> oldest_first_;
+  std::deque<base::JobId> insertion_order_;
 };
 
 }  // namespace saddleslip::storage
--- a/src/storage/job.cpp
+++ b/src/storage/job.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Records of the given number as they are before any of the job's tasks has started.
+// Returns the task records of a job before any of its tasks has started.
 std::vector<Chunk> unstarted_chunks(const RecordLayout& layout) {
   std::vector<Chunk> chunks(layout.record_count());
   for (std::uint32_t number = 0; number < chunks.size(); ++number)
@@ -20,14 +20,14 @@
     : record(std::move(job_record)), version(record_version), seen(now) {
   const RecordLayout layout(record);
   chunks = unstarted_chunks(layout);
-  if (layout.is_divided()) whole.resize(layout.chunk_count());
+  if (layout.is_divided()) undivided_chunks.resize(layout.chunk_count());
 }
 
 std::vector<std::string> Job::task_record_keys() const {
   std::vector<std::string> keys;
   for (std::uint32_t number = 0; number < chunks.size(); ++number)
     keys.push_back(record.record_key(number));
-  for (std::uint32_t number = 0; number < whole.size(); ++number)
+  for (std::uint32_t number = 0; number < undivided_chunks.size(); ++number)
     keys.push_back(protocol::chunk_key(record.spec.id, number));
   return keys;
 }
@@ -39,35 +39,36 @@
 }
 
 void Job::replace_chunk(std::size_t number, Chunk chunk, Time now) {
-  const ChunkRecord& before = chunks[number].record;
-  assigned -= static_cast<TaskNo>(before.assigned.size());
-  done -= before.done_count();
+  const ChunkRecord& old_record = chunks[number].record;
+  assigned -= static_cast<TaskNo>(old_record.assigned.size());
+  done -= old_record.done_count();
   chunks[number] = std::move(chunk);
-  const ChunkRecord& after = chunks[number].record;
-  assigned += static_cast<TaskNo>(after.assigned.size());
-  done += after.done_count();
+  const ChunkRecord& new_record = chunks[number].record;
+  assigned += static_cast<TaskNo>(new_record.assigned.size());
+  done += new_record.done_count();
   last_progress_at = now;
 }
 
 void Job::divide() {
-  whole = std::move(chunks);
+  undivided_chunks = std::move(chunks);
   chunks = unstarted_chunks(RecordLayout(record));
   assigned = 0;
   done = 0;
 }
 
-ChunkRecord Job::piece_of_whole(std::uint32_t piece) const {
+ChunkRecord Job::piece_of_undivided_chunk(std::uint32_t piece) const {
   const RecordLayout layout(record);
   const std::uint32_t chunk = piece / record.pieces_of_chunk();
   const TaskRange tasks = layout.tasks_of_record(piece);
   const TaskNo offset = tasks.first - layout.tasks_of_chunk(chunk).first;
-  const ChunkRecord& from = whole[chunk].record;
-  ChunkRecord out;
-  out.next = from.next;
-  out.done.assign(from.done.begin() + offset, from.done.begin() + offset + tasks.count);
-  out.assigned.insert(from.assigned.lower_bound(tasks.first),
-                      from.assigned.lower_bound(tasks.first + tasks.count));
-  return out;
+  const ChunkRecord& chunk_record = undivided_chunks[chunk].record;
+  ChunkRecord piece_record;
+  piece_record.next = chunk_record.next;
+  piece_record.done.assign(chunk_record.done.begin() + offset,
+                           chunk_record.done.begin() + offset + tasks.count);
+  piece_record.assigned.insert(chunk_record.assigned.lower_bound(tasks.first),
+                               chunk_record.assigned.lower_bound(tasks.first + tasks.count));
+  return piece_record;
 }
 
 }  // namespace saddleslip::storage
--- a/src/storage/job.h
+++ b/src/storage/job.h
@@ -10,97 +10,104 @@
 
 namespace saddleslip::storage {
 
-// A task record as last read from the store. Version 0: the store has no such record.
+// A task record as last read from the store. The version is 0 if the record does not exist in the
+// store.
 struct Chunk {
   ChunkRecord record;
   Version version;
 };
 
-// A job that is not over: its own record, the records of its tasks, and what follows from them.
+// An unfinished job: its job record, its task records, and state derived from them.
 //
-// Only the state cache changes a job; all others get it as const, and ask. Not safe for use from
-// several threads at once.
+// Only the state cache modifies a job; other code has const access. Not thread-safe.
 struct Job {
-  // A job as its record says, with no task started yet. `now` is when this process first saw it.
+  // Creates the job from its record, with no task started. `now` is when this process first saw it.
   Job(JobRecord job_record, Version record_version, Time now);
 
   // --- Cancellation and dependencies
 
-  // Is the cancellation of this job, or of one that it depends on, in the store? What users are told
-  // and what is written goes by this.
+  // Returns whether the cancellation of this job, or of a job that it depends on, is in the store.
+  // Responses to users and writes to the store depend on this value.
   bool cancelled_on_record() const { return record.cancelled || dependency_cancelled; }
-  // Must none of its tasks run any more?
+  // Returns whether the tasks of the job must stop and no more may start: it is cancelled in the
+  // store, or another controller announced its cancellation.
   bool cancelled() const { return cancelled_on_record() || notify_cancelled; }
-  // Since when its tasks could have started, in seconds since 1970.
+  // Returns since when the tasks could have started, in seconds since the epoch.
   double startable_since() const { return std::max(record.submitted, unblocked_at); }
 
   // --- Tasks. A task number must be below the number of the job's tasks.
 
-  // How many tasks could start now.
+  // Returns the number of tasks that could start now.
   TaskNo pending() const {
     return cancelled() || blocked ? 0 : record.spec.tasks - done - assigned;
   }
+  // Returns whether the task is completed.
   bool is_done(TaskNo task) const {
     const std::uint32_t number = record.chunk_of(task);
     return chunks[number].record.done[task - record.first_task(number)];
   }
-  // The machine and attempt that the task is assigned to; nullptr: none. Valid until the task's
-  // record changes.
+  // Returns the machine and attempt that the task is assigned to, or null if it is not assigned.
+  // Valid until the task record changes.
   const Assignment* assignment(TaskNo task) const {
     const auto& assignments = chunks[record.chunk_of(task)].record.assigned;
-    const auto at = assignments.find(task);
-    return at == assignments.end() ? nullptr : &at->second;
+    const auto found = assignments.find(task);
+    return found == assignments.end() ? nullptr : &found->second;
   }
 
   // --- Task records
 
-  // The first task of the record `chunks[number]`, and how many it covers.
+  // The first task of the task record `chunks[number]`, and the number of tasks that it covers.
   TaskNo chunk_first(std::size_t number) const {
     return record.first_task(static_cast<std::uint32_t>(number));
   }
   TaskNo chunk_size(std::size_t number) const {
     return record.tasks_of(static_cast<std::uint32_t>(number));
   }
-  // Store keys of all task records that the job has or may have.
+  // Returns the store keys of all task records that the job has or may have.
   std::vector<std::string> task_record_keys() const;
 
-  // --- For the state cache alone
+  // --- Modifications, only by the state cache
 
-  // Takes a newer record of the job. Dependencies that were read from lists of their own are kept.
+  // Replaces the job's record with a newer one. Keeps dependencies that were read from separate
+  // dependency lists.
   void update_record(JobRecord newer, Version newer_version);
-  // Puts `chunks[number]` in the place of what is there, and counts its tasks anew.
+  // Replaces `chunks[number]` and updates the counts of completed and assigned tasks.
   void replace_chunk(std::size_t number, Chunk chunk, Time now);
-  // Does its record say that chunks are divided, while they have not been divided here?
-  bool must_divide() const { return record.piece != 0 && whole.empty(); }
-  // Moves the chunks to `whole` and makes room for their pieces, all of them without any task
-  // assigned or done: `piece_of_whole` says what they begin with.
+  // Returns whether the job's record divides the chunks into pieces and this has not been done here
+  // yet.
+  bool needs_dividing() const { return record.piece != 0 && undivided_chunks.empty(); }
+  // Moves the chunks to `undivided_chunks` and creates empty task records for their pieces.
+  // `piece_of_undivided_chunk` returns the initial contents of each piece.
   void divide();
-  // A piece, which has no record of its own, as the undivided chunk's record says. Requires divided
-  // chunks.
-  ChunkRecord piece_of_whole(std::uint32_t piece) const;
+  // Returns the contents of a piece that has no record of its own, taken from the record of its
+  // undivided chunk. Requires divided chunks.
+  ChunkRecord piece_of_undivided_chunk(std::uint32_t piece) const;
 
   // --- State
 
   JobRecord record;
-  Version version;  // of the job's own record
-  // The task records in use: chunks, or pieces of them if the job's record says so.
+  Version version;  // version of the job's record in the store
+  // The task records in use: one for each chunk, or for each piece if the job's record says that
+  // the chunks are divided.
   std::vector<Chunk> chunks;
-  // The records of the undivided chunks, if they are divided now; empty otherwise. No task starts by
-  // these any more.
-  std::vector<Chunk> whole;
+  // The records of the undivided chunks, or empty if the chunks are not divided. No task is started
+  // from these records.
+  std::vector<Chunk> undivided_chunks;
+  // The number of completed tasks.
   TaskNo done = 0;
+  // The number of tasks assigned to machines.
   TaskNo assigned = 0;
   Time seen{};              // when this process first saw the job
-  Time last_progress_at{};  // when a task of it last began or ended, as far as this process saw
-  // Another controller has announced that its cancellation is committed; this copy does not show it
-  // yet.
+  Time last_progress_at{};  // when this process last saw one of its task records change
+  // Another controller has announced that the cancellation of this job is committed, and the watch
+  // has not delivered it yet.
   bool notify_cancelled = false;
-  // A job that it depends on, directly or through others, is cancelled in the store: so is this one,
-  // whatever its own record says.
+  // A job that it depends on, directly or transitively, is cancelled in the store. This cancels the
+  // job regardless of its own record.
   bool dependency_cancelled = false;
-  // It waits for other jobs; none of its tasks may start.
+  // The job waits for its dependencies, so none of its tasks may start.
   bool blocked = false;
-  // When the last job that it depended on was done, in seconds since 1970; 0: not known.
+  // When the last of its dependencies was done, in seconds since the epoch; 0 if not known.
   double unblocked_at = 0;
 };
 
--- a/src/storage/key_versions.cpp
+++ b/src/storage/key_versions.cpp
@@ -22,7 +22,7 @@
   if (version.get() > revision_.get()) removals_[key] = version;
 }
 
-Version KeyVersions::of(const std::string& key) const {
+Version KeyVersions::version_of(const std::string& key) const {
   const auto known = versions_.find(key);
   return known == versions_.end() ? Version(0) : known->second;
 }
--- a/src/storage/key_versions.h
+++ b/src/storage/key_versions.h
@@ -7,41 +7,42 @@
 
 namespace saddleslip::storage {
 
-// The newest version of each key that this process has seen, and how far the watch has come.
+// Tracks the newest version of each key that this process has seen, and the revision up to which
+// the watch has delivered changes.
 //
-// Items reach the state cache from the watch, from its own commits and from single reads, in any
-// order. This class decides which of them are new, so that a late answer never brings back a value
-// that was replaced or removed since.
+// Items reach the state cache in any order, from the watch, from this process's own commits and
+// from single reads. This class determines which items are new, so that a late response never
+// restores a value that has since been replaced or removed.
 //
-// Not safe for use from several threads at once.
+// Not thread-safe.
 class KeyVersions {
  public:
-  // Is an item of this version newer than all that is known of its key?
+  // Returns whether an item of this version is newer than everything known about its key.
   bool is_newer(const std::string& key, base::Version version) const;
 
-  // The key has a value of this version.
+  // Records that the key has a value of this version.
   void record_value(const std::string& key, base::Version version);
 
-  // The key was removed by the change of this version.
+  // Records that the key was removed by the change of this version.
   void record_removal(const std::string& key, base::Version version);
 
-  // The version of the key's value; 0: the key does not exist as far as is known.
-  base::Version of(const std::string& key) const;
+  // Returns the version of the key's value, or 0 if the key is not known to exist.
+  base::Version version_of(const std::string& key) const;
 
-  // The watch, or a full read, has delivered every change up to this revision. An earlier revision
-  // than the present one changes nothing.
+  // Records that the watch, or a full read, has delivered all changes up to this revision. A lower
+  // revision than the current one has no effect.
   void advance_to(base::Revision revision);
 
-  // The revision up to which every change has been delivered.
+  // Returns the revision up to which all changes have been delivered.
   base::Revision revision() const { return revision_; }
 
-  // Forgets all keys and starts at revision 0.
+  // Removes all keys and resets the revision to 0.
   void clear();
 
  private:
-  std::unordered_map<std::string, base::Version> versions_;  // of keys that exist
-  // Removals that the watch has not delivered yet. Until it has, an older event of the same key may
-  // still arrive.
+  std::unordered_map<std::string, base::Version> versions_;  // of existing keys
+  // Removals that the watch has not delivered yet. Until it does, an older event for the same key
+  // may still arrive.
   std::unordered_map<std::string, base::Version> removals_;
   base::Revision revision_;
 };
--- a/src/storage/machine.cpp
+++ b/src/storage/machine.cpp
@@ -12,10 +12,10 @@
 void Machine::used_image(const std::string& image, double gb, double cache_gb) {
   std::erase_if(images, [&image](const auto& entry) { return entry.first == image; });
   images.emplace_back(image, gb);
-  double sum = 0;
-  for (const auto& entry : images) sum += entry.second;
-  while (images.size() > 1 && sum > cache_gb) {
-    sum -= images.front().second;
+  double total_gb = 0;
+  for (const auto& entry : images) total_gb += entry.second;
+  while (images.size() > 1 && total_gb > cache_gb) {
+    total_gb -= images.front().second;
     images.erase(images.begin());
   }
 }
@@ -28,9 +28,9 @@
 const protocol::ReportedAttempt* Machine::reported_attempt(const TaskId& task,
                                                            const Assignment& assignment) const {
   if (assignment.agent_incarnation != last_heartbeat.agent_incarnation) return nullptr;
-  const auto at = last_heartbeat.tasks.find(task);
-  if (at == last_heartbeat.tasks.end()) return nullptr;
-  const auto& attempts = at->second;
+  const auto entry = last_heartbeat.tasks.find(task);
+  if (entry == last_heartbeat.tasks.end()) return nullptr;
+  const auto& attempts = entry->second;
   const auto found = std::find_if(attempts.begin(), attempts.end(), [&](const auto& reported) {
     return reported.attempt == assignment.attempt;
   });
@@ -52,7 +52,8 @@
                                Time others_answered_until) {
   fencing_token = first;
   fence_floor = first;
-  // It has heard this process before: only responses that are lost from now on count against it.
+  // If the machine has already received responses from this process, only responses that are lost
+  // from now on count against it.
   confirmation_token = is_confirmed() && follows_previous ? FencingToken(0) : first;
   last_sent_token = FencingToken(0);
   if (!follows_previous) last_answered_at = std::max(last_answered_at, others_answered_until);
@@ -61,15 +62,16 @@
 void Machine::begin_agent_incarnation(Time now) {
   evict.clear();
   ran.clear();
-  // An agent that heard nothing for the time of its lease reports no tasks, like a healthy idle one.
+  // An agent that received no response for the duration of its lease reports no tasks, like a
+  // healthy idle one. The new token distinguishes them.
   fencing_token = FencingToken(fencing_token.get() + 1);
   fencing_token_since = now;
   confirmation_token = fencing_token;
 }
 
-bool Machine::track_acknowledgement(FencingToken shown, Time now) {
+bool Machine::track_acknowledgement(FencingToken acknowledged_token, Time now) {
   if (last_sent_token.get() == 0) return false;
-  if (shown >= last_sent_token) {
+  if (acknowledged_token >= last_sent_token) {
     unacknowledged_replies = 0;
     half_open_since.reset();
     return false;
--- a/src/storage/machine.h
+++ b/src/storage/machine.h
@@ -1,4 +1,5 @@
-// A machine that reports to this controller: what it last said, and what it was last told.
+// The state of a machine that reports to this controller: its last heartbeat, the fencing tokens
+// sent to it, and what is planned for it.
 #pragma once
 
 #include <map>
@@ -19,80 +20,95 @@
 using base::Sequence;
 using protocol::Heartbeat;
 
-// A heartbeat is overdue after this many intervals: none of a healthy machine is.
+// A heartbeat is overdue after this many intervals. Heartbeats of a healthy machine are never that
+// late.
 inline constexpr double kOverdue = 1.5;
 
-// Fencing tokens: each batch of commands that starts attempts has a token of its own, and the next
-// heartbeat response carries a higher one. Once the agent has shown the higher token, no late copy of
-// the batch can be carried out any more.
+// Each batch of commands that starts attempts carries its own fencing token, and the next heartbeat
+// response carries a higher one. Once the agent has reported the higher token, it rejects late
+// copies of the batch.
 struct Machine {
   Heartbeat last_heartbeat;
+  // Cached by the capacity calculator.
   mutable MachineCapacity capacity;
-  Time last_heartbeat_at{};  // when the newest heartbeat came
-  Time last_answered_at{};   // when a controller that owned it may last have renewed its lease
+  Time last_heartbeat_at{};  // when the newest heartbeat was received
+  // When a controller that owned the machine may last have renewed its worker lease.
+  Time last_answered_at{};
   Time idle_since{};
-  std::optional<Time> taken_at;  // when the cloud takes the machine, by the notice that it gave
+  std::optional<Time> taken_at;  // when the cloud takes the machine back, according to its notice
 
-  FencingToken fencing_token;  // for the next response or batch of commands
-  FencingToken fence_floor;    // what the agent must have shown to be fenced
-  // A heartbeat that shows this token was sent after a response of this owner reached the machine.
-  // Before that, a healthy machine can't be told from late copies of a dead machine's heartbeats, nor
-  // from a machine whose heartbeats arrive while no response reaches it.
+  FencingToken fencing_token;  // token for the next response or batch of commands
+  FencingToken fence_floor;    // the agent is fenced once it has reported this token
+  // A heartbeat with this token was sent after a response of this owner reached the machine.
+  // Without such a heartbeat, a healthy machine cannot be distinguished from late copies of a dead
+  // machine's heartbeats, or from a machine whose heartbeats arrive while responses do not reach
+  // it.
   FencingToken confirmation_token;
-  Time fencing_token_since{};    // when the present token was first sent in a response
-  FencingToken last_sent_token;  // the one of the latest response; 0: none was sent
+  Time fencing_token_since{};    // when `fencing_token` was first sent in a response
+  FencingToken last_sent_token;  // token of the latest response; 0 if none was sent
   int unacknowledged_replies =
-      0;  // heartbeats in a row that did not show the latest response's token
+      // The number of consecutive heartbeats that did not report the token of the latest response.
+      0;
+  // When the first of these heartbeats was received.
   std::optional<Time> half_open_since;
 
-  bool commands_lost = false;      // no commands are sent until it reports again
-  bool cordoned = false;           // takes no new tasks
-  bool draining = false;           // its services are being moved elsewhere
-  bool release_requested = false;  // the leader is asked to release it
-  std::set<TaskId> evict;          // tasks to be stopped, though their jobs go on
-  // Images that it has, as far as its tasks have shown, the latest used last; and those under way.
+  bool commands_lost = false;      // no commands are sent until the next heartbeat
+  bool cordoned = false;           // no new tasks are placed on the machine
+  bool draining = false;           // services are moved to other machines
+  bool release_requested = false;  // the leader is asked to release the machine
+  std::set<TaskId> evict;          // tasks to stop although their jobs continue
+  // The images on the machine with their sizes in GB, as seen from its tasks, the most recently
+  // used last; and the images that it is pulling.
   std::vector<std::pair<std::string, double>> images;
   std::set<std::string> pulling;
-  std::map<TaskId, Seconds> ran_before;  // how long those ran that are over and not yet on record
-  std::map<TaskId, Time> ran;            // when a task was first seen running
+  std::map<TaskId, Seconds> ran_before;  // run times of ended tasks whose end is not recorded yet
+  std::map<TaskId, Time> ran;            // when each running task was first seen running
 
-  // What peers are told of the machine.
+  // The status of the machine that is sent to peers.
   protocol::MachineStatus status;
-  std::uint64_t status_changed_at = 0;  // the revision of its last change; 0: never built
-  std::pair<AgentIncarnation, Sequence> status_heartbeat;  // whose images the status names
+  std::uint64_t status_changed_at =
+      0;  // revision of the last change of the status; 0 if never built
+  std::pair<AgentIncarnation, Sequence>
+      status_heartbeat;  // the heartbeat that the images in the status are from
 
+  // Returns whether the image is on the machine.
   bool has_image(const std::string& image) const;
-  // A task ran here, so its image is here. The least recently used images give way.
+  // Records that a task used the image, so that it is on the machine. Removes the least recently
+  // used images when the cache size is exceeded.
   void used_image(const std::string& image, double gb, double cache_gb);
 
-  // Has the agent shown that no copy of the commands sent so far can be carried out any more?
+  // Returns whether the agent has shown that it rejects late copies of all commands sent before
+  // `fence_floor`.
   bool is_fenced() const { return last_heartbeat.fencing_token >= fence_floor; }
-  // Has this incarnation of its agent received a response of this owner?
+  // Returns whether the present incarnation of the agent has received a response from this owner.
   bool is_confirmed() const { return last_heartbeat.fencing_token >= confirmation_token; }
-  // Do its heartbeats arrive while responses don't? One response may be lost, or late.
+  // Returns whether the connection is half-open: heartbeats arrive but responses do not. A single
+  // lost or late response does not count.
   bool is_half_open() const { return unacknowledged_replies >= 2; }
-  // Was the heartbeat sent after the last one that was taken in?
+  // Returns whether the heartbeat was sent after the last one that was processed.
   bool is_newer(const Heartbeat& heartbeat) const;
 
-  // What the machine last reported of this attempt; null: nothing.
+  // Returns what the machine last reported about this attempt, or null if nothing.
   const protocol::ReportedAttempt* reported_attempt(const TaskId& task,
                                                     const Assignment& assignment) const;
-  // Has it reported the end of this attempt? Its resources are free then, on record or not.
+  // Returns whether the machine has reported the end of this attempt. Its resources are then free,
+  // even if the end is not recorded yet.
   bool reported_ended(const TaskId& task, const Assignment& assignment) const;
 
-  // The machine is owned under tokens from this one on, of which it has heard none.
+  // Starts ownership of the machine with tokens from `first` on, none of which the machine has
+  // received.
   void start_fencing(FencingToken first);
-  // The view changed, and the machine stays with this owner, which then sends tokens from `first` on.
-  // `follows_previous`: no view was skipped, so nobody else can have owned it meanwhile. Else another
-  // owner may have renewed its lease until `others_answered_until`.
+  // Continues ownership under a new view, with tokens from `first` on. `follows_previous` means
+  // that no view was skipped, so no other controller can have owned the machine in between.
+  // Otherwise another owner may have renewed its worker lease until `others_answered_until`.
   void continue_fencing(FencingToken first, bool follows_previous, Time others_answered_until);
-  // The agent was restarted: nothing that ran before runs now.
+  // Handles a restart of the agent, after which no earlier attempt is running.
   void begin_agent_incarnation(Time now);
-  // Counts whether heartbeats show the token of the latest response. Returns true when the machine
-  // has just turned out to be half open.
-  bool track_acknowledgement(FencingToken shown, Time now);
-  // A response is about to be sent: returns its token, a new one at least every `renewal`. A token that
-  // never changes would not show whether responses arrive.
+  // Updates whether heartbeats report the token of the latest response. Returns true when the
+  // machine has just become half-open.
+  bool track_acknowledgement(FencingToken acknowledged_token, Time now);
+  // Returns the token for a response that is about to be sent. It is raised if it is older than
+  // `renewal`, since a token that never changes would not show whether responses arrive.
   FencingToken token_for_response(Seconds renewal, Time now);
 };
 
--- a/src/storage/machine_capacity.h
+++ b/src/storage/machine_capacity.h
@@ -1,4 +1,4 @@
-// What a machine can still take, and which of its attempts are over.
+// The free capacity of a machine, and the attempts on it that have ended.
 #pragma once
 
 #include <cstdint>
@@ -9,27 +9,28 @@
 
 namespace saddleslip::storage {
 
-// Follows from a machine's last heartbeat and from the records of its assignments. Computed once while
-// neither of them changes: the first members say for which state it holds.
+// Computed from a machine's last heartbeat and from the records of its assignments, and reused
+// while neither changes. The first members identify the state that it was computed for.
 struct MachineCapacity {
-  bool known = false;         // false: not computed yet, or the machine's type is not known
-  std::uint64_t stamp = 0;    // of the machine's assignments
-  std::uint64_t checked = 0;  // the cache's last stamp of any machine when `stamp` was compared
+  bool known = false;         // false if not computed yet or if the machine's type is unknown
+  std::uint64_t stamp = 0;    // stamp of the machine's assignments
+  std::uint64_t checked = 0;  // the cache's last stamp when `stamp` was last compared
   base::AgentIncarnation agent_incarnation;
   base::Sequence sequence;
   std::size_t evicted = 0;
 
-  std::uint32_t assigned = 0;  // tasks that are on record as assigned to it
+  std::uint32_t assigned = 0;  // number of tasks recorded as assigned to it
   protocol::Resources free;
-  protocol::Resources preemptible;  // taken by tasks that more urgent work may stop
-  bool active = false;              // it reports an attempt that is not over
-  bool stops = false;               // an attempt on it is to be stopped
+  protocol::Resources preemptible;  // in use by tasks that may be preempted
+  bool active = false;              // whether it reports an attempt that has not ended
+  bool stops = false;               // whether an attempt on it is to be stopped
+  // An attempt that is still recorded as assigned but that has ended or never started.
   struct EndedAttempt {
     base::TaskId task;
     const char* why;
     bool done;
   };
-  std::vector<EndedAttempt> ended_attempts;  // on record, and over as far as the machine says
+  std::vector<EndedAttempt> ended_attempts;  // attempts whose end is not recorded in the store yet
 };
 
 }  // namespace saddleslip::storage
--- a/src/storage/names.h
+++ b/src/storage/names.h
@@ -1,4 +1,4 @@
-// The types of the layers below that the whole storage layer uses by their short names.
+// Short names for types of the lower layers, for use throughout the storage layer.
 #pragma once
 
 #include "base/clock.h"
--- a/src/storage/orphan_records.h
+++ b/src/storage/orphan_records.h
@@ -7,22 +7,25 @@
 
 namespace saddleslip::storage {
 
-// Records of tasks and dependencies that exist in the store while the job that they belong to is not
-// known: the job is over, or its own record has not been read yet. Garbage collection removes those
-// that stay here.
+// Task records and dependency lists that exist in the store although their job is not known: either
+// the job is finished, or its record has not been read yet. Garbage collection removes those that
+// remain.
 //
-// Not safe for use from several threads at once.
+// Not thread-safe.
 class OrphanRecords {
  public:
-  // A record of this version was found without its job. Of several versions the newest is kept.
+  // Adds a record that was found without its job. The newest of several versions is kept.
   void add(const std::string& key, base::Version version);
 
-  // The record's job is known, or the record itself is gone. Does nothing if the key is not here.
+  // Removes a record whose job is now known or which no longer exists. Does nothing if the key is
+  // not here.
   void remove(const std::string& key) { versions_.erase(key); }
 
-  // The orphans by key. A record must be removed only at the version given here.
+  // Returns the orphaned records by key. A record may be removed from the store only at the version
+  // given here.
   const std::map<std::string, base::Version>& all() const { return versions_; }
 
+  // Removes all entries.
   void clear() { versions_.clear(); }
 
  private:
--- a/src/storage/partial_dependencies.cpp
+++ b/src/storage/partial_dependencies.cpp
@@ -14,8 +14,8 @@
   }
 }
 
-std::optional<std::vector<JobId>> PartialDependencies::take(const JobId& job,
-                                                            const DependencyLists& set) {
+std::optional<std::vector<JobId>> PartialDependencies::take_if_complete(
+    const JobId& job, const DependencyLists& set) {
   std::vector<JobId> dependencies;
   for (std::size_t number = 0; number < set.count; ++number) {
     const auto list = lists_.find(protocol::dependency_list_key(job, set.set, number));
--- a/src/storage/partial_dependencies.h
+++ b/src/storage/partial_dependencies.h
@@ -10,30 +10,31 @@
 
 namespace saddleslip::storage {
 
-// Dependency lists of jobs of which not every list has been read yet.
+// Dependency lists of jobs that have not been read completely.
 //
-// A job that depends on more jobs than fit into its own record names them in several lists, each of
-// them a key of its own. The lists wait here until all of a set are present.
+// A job with more dependencies than fit into its record stores them in several lists, each under
+// its own key. The lists are kept here until the whole set has been read.
 //
-// Not safe for use from several threads at once.
+// Not thread-safe.
 class PartialDependencies {
  public:
-  // The list under this key was read; it takes the place of an earlier one. Elements that are not
-  // strings are left out. Requires a JSON array.
+  // Adds the list that was read under this key, replacing an earlier one. Elements that are not
+  // strings are ignored. Requires a JSON array.
   void add(const std::string& key, const protocol::Json& list);
 
-  // All jobs that the lists of this set name, in the order of the lists, which are then forgotten.
-  // None, and nothing is forgotten, while some list of the set is missing.
-  std::optional<std::vector<base::JobId>> take(const base::JobId& job,
-                                               const protocol::DependencyLists& set);
+  // Returns all dependencies in the lists of this set, in order, and removes the lists. Returns
+  // nothing, and removes nothing, while a list of the set is missing.
+  std::optional<std::vector<base::JobId>> take_if_complete(const base::JobId& job,
+                                                           const protocol::DependencyLists& set);
 
-  // The list is not needed any more. Does nothing if the key is not here.
+  // Removes a list that is no longer needed. Does nothing if the key is not here.
   void remove(const std::string& key) { lists_.erase(key); }
 
+  // Removes all lists.
   void clear() { lists_.clear(); }
 
  private:
-  std::map<std::string, std::vector<base::JobId>> lists_;  // by key
+  std::map<std::string, std::vector<base::JobId>> lists_;  // by the key of the list
 };
 
 }  // namespace saddleslip::storage
--- a/src/storage/record_layout.cpp
+++ b/src/storage/record_layout.cpp
@@ -26,7 +26,7 @@
 }
 
 std::uint32_t RecordLayout::end_of_pieces(std::uint32_t chunk) const {
-  // The last chunk may be shorter, and then has fewer pieces.
+  // The last chunk may be shorter and then has fewer pieces.
   return std::min(first_piece(chunk + 1), record_count());
 }
 
--- a/src/storage/state_cache.cpp
+++ b/src/storage/state_cache.cpp
@@ -9,13 +9,14 @@
 
 bool StateCache::apply(const Item& item, Time now) {
   if (item.key.starts_with(protocol::kFinals)) {
-    // No version is kept: the store never stops growing by these, and they never change.
+    // Versions of final states are not tracked: they never change, and their number grows without
+    // limit.
     if (const auto state = protocol::parse_final(item.value))
       remember_final(JobId(item.key.substr(protocol::kFinals.size())), *state);
     return true;
   }
   if (!versions_.is_newer(item.key, item.version)) return false;
-  if (is_ahead_of_its_job(item)) return true;
+  if (precedes_job_record(item)) return true;
   if (item.value.is_null()) {
     versions_.record_removal(item.key, item.version);
   } else {
@@ -32,19 +33,21 @@
   }
 }
 
-// A full read lists jobs first, so a job that is accepted meanwhile is not among them while its task
-// records are. The version of such a record is not kept, so that the watch brings it again, after
-// the job; were it kept, the job would seem to have no record, and its tasks would start twice.
-bool StateCache::is_ahead_of_its_job(const Item& item) {
+// A full read lists jobs before task records, so it can miss a job that is accepted meanwhile but
+// include its task records. The version of such a task record is not recorded, so that the watch
+// delivers the record again after the job. Otherwise the job would seem to have no task record, and
+// its tasks would be started twice.
+bool StateCache::precedes_job_record(const Item& item) {
   if (!item.key.starts_with(protocol::kChunks) || item.value.is_null()) return false;
-  const auto name = protocol::parse_chunk_key(item.key);
-  const Job* owner = name ? job(name->job) : nullptr;
+  const auto key = protocol::parse_chunk_key(item.key);
+  const Job* owner = key ? job(key->job) : nullptr;
   if (!owner) {
     orphans_.add(item.key, item.version);
     return true;
   }
-  // Likewise a piece that is read before the job's record says that chunks are divided.
-  return name->is_piece && !RecordLayout(owner->record).is_divided();
+  // The same applies to a piece that is read before the job's record says that the chunks are
+  // divided.
+  return key->is_piece && !RecordLayout(owner->record).is_divided();
 }
 
 void StateCache::apply_value(const Item& item, Time now) {
@@ -104,8 +107,8 @@
   if (!record) {
     if (!item.value.is_null()) spdlog::error("job record cannot be parsed: job={}", id.get());
     remove_job(id);
-  } else if (const auto at = jobs_.find(id); at != jobs_.end()) {
-    update_job(at->second, std::move(*record), item.version, now);
+  } else if (const auto entry = jobs_.find(id); entry != jobs_.end()) {
+    update_job(entry->second, std::move(*record), item.version, now);
   } else {
     add_job(id, std::move(*record), item.version, now);
   }
@@ -115,29 +118,29 @@
   Job& job = jobs_.try_emplace(id, std::move(record), version, now).first->second;
   job_index_[id] = &job;
   for (const std::string& key : job.task_record_keys()) orphans_.remove(key);
-  job.blocked = !take_dependency_lists(job);
-  if (!job.blocked) link_dependencies(job);
+  job.blocked = !resolve_dependency_lists(job);
+  if (!job.blocked) add_to_dependency_graph(job);
   if (job.cancelled_on_record()) cancel_dependents(id);
 }
 
 void StateCache::update_job(Job& job, JobRecord record, Version version, Time now) {
   job.update_record(std::move(record), version);
-  if (job.must_divide()) divide_chunks(job, now);
+  if (job.needs_dividing()) divide_chunks(job, now);
   touch_machines_of(job);
   if (job.record.cancelled) cancel_dependents(job.record.spec.id);
 }
 
 void StateCache::remove_job(const JobId& id) {
-  const auto at = jobs_.find(id);
-  if (at == jobs_.end()) return;
-  remove_assignments(at->second, at->second.chunks);
+  const auto entry = jobs_.find(id);
+  if (entry == jobs_.end()) return;
+  remove_assignments(entry->second, entry->second.chunks);
   dependency_graph_.remove(id);
-  orphan_records_of(at->second);
+  mark_records_orphaned(entry->second);
   job_index_.erase(id);
-  jobs_.erase(at);
+  jobs_.erase(entry);
 }
 
-void StateCache::orphan_records_of(const Job& job) {
+void StateCache::mark_records_orphaned(const Job& job) {
   const JobId& id = job.record.spec.id;
   std::vector<std::string> keys = job.task_record_keys();
   if (const auto& lists = job.record.dependency_lists) {
@@ -147,16 +150,17 @@
   }
   for (const std::string& key : keys) {
     partial_dependencies_.remove(key);
-    if (const Version version = versions_.of(key); version.get() != 0) orphans_.add(key, version);
+    if (const Version version = versions_.version_of(key); version.get() != 0)
+      orphans_.add(key, version);
   }
 }
 
 void StateCache::notify_cancelled(const JobId& id) {
-  const auto at = jobs_.find(id);
-  if (at == jobs_.end() || at->second.cancelled()) return;
-  at->second.notify_cancelled = true;
+  const auto entry = jobs_.find(id);
+  if (entry == jobs_.end() || entry->second.cancelled()) return;
+  entry->second.notify_cancelled = true;
   ++job_changes_;
-  touch_machines_of(at->second);
+  touch_machines_of(entry->second);
 }
 
 // --- Dependencies
@@ -164,34 +168,34 @@
 void StateCache::apply_dependency_list(const Item& item) {
   orphans_.remove(item.key);
   const auto id = protocol::job_of_dependency_key(item.key);
-  // The record that only names the set says nothing that the job's own does not.
+  // The record that names the set of lists contains nothing beyond the job's own record.
   if (!id || item.key == protocol::dependency_lists_key(*id) || !item.value.is_array()) return;
   partial_dependencies_.add(item.key, item.value);
-  const auto at = jobs_.find(*id);
-  if (at == jobs_.end() || !at->second.record.dependency_lists) return;
-  Job& job = at->second;
-  if (!job.record.spec.dependencies.empty() || !take_dependency_lists(job)) return;
-  link_dependencies(job);
+  const auto entry = jobs_.find(*id);
+  if (entry == jobs_.end() || !entry->second.record.dependency_lists) return;
+  Job& job = entry->second;
+  if (!job.record.spec.dependencies.empty() || !resolve_dependency_lists(job)) return;
+  add_to_dependency_graph(job);
   if (job.cancelled_on_record()) cancel_dependents(*id);
   if (!job.blocked) ++jobs_unblocked_;
 }
 
-bool StateCache::take_dependency_lists(Job& job) {
+bool StateCache::resolve_dependency_lists(Job& job) {
   const auto& lists = job.record.dependency_lists;
   if (!lists) return true;
-  auto dependencies = partial_dependencies_.take(job.record.spec.id, *lists);
+  auto dependencies = partial_dependencies_.take_if_complete(job.record.spec.id, *lists);
   if (!dependencies) return false;
   job.record.spec.dependencies = std::move(*dependencies);
   ++job_changes_;
   return true;
 }
 
-void StateCache::link_dependencies(Job& job) {
+void StateCache::add_to_dependency_graph(Job& job) {
   std::vector<JobId> open;
   for (const JobId& dependency : job.record.spec.dependencies) {
     const auto final = final_state(dependency);
-    const Job* live = this->job(dependency);
-    if (live && live->cancelled_on_record()) job.dependency_cancelled = true;
+    const Job* dependency_job = this->job(dependency);
+    if (dependency_job && dependency_job->cancelled_on_record()) job.dependency_cancelled = true;
     if (final && final->status == JobStatus::kCancelled) job.dependency_cancelled = true;
     if (final && final->status == JobStatus::kDone) {
       job.unblocked_at = std::max(job.unblocked_at, final->at);
@@ -205,11 +209,11 @@
 
 void StateCache::cancel_dependents(const JobId& id) {
   for (const JobId& dependent : dependency_graph_.all_dependents(id)) {
-    const auto at = jobs_.find(dependent);
-    if (at == jobs_.end() || at->second.dependency_cancelled) continue;
-    at->second.dependency_cancelled = true;
+    const auto entry = jobs_.find(dependent);
+    if (entry == jobs_.end() || entry->second.dependency_cancelled) continue;
+    entry->second.dependency_cancelled = true;
     ++job_changes_;
-    touch_machines_of(at->second);
+    touch_machines_of(entry->second);
   }
 }
 
@@ -228,8 +232,8 @@
     return;
   }
   for (const JobId& dependent : dependency_graph_.mark_done(id)) {
-    if (const auto at = jobs_.find(dependent); at != jobs_.end())
-      mark_dependency_done(at->second, state.at);
+    if (const auto entry = jobs_.find(dependent); entry != jobs_.end())
+      mark_dependency_done(entry->second, state.at);
   }
 }
 
@@ -255,19 +259,19 @@
 // --- Task records
 
 void StateCache::apply_task_record(const Item& item, Time now) {
-  const auto name = protocol::parse_chunk_key(item.key);
-  if (!name) return;
+  const auto key = protocol::parse_chunk_key(item.key);
+  if (!key) return;
   orphans_.remove(item.key);
-  const auto at = jobs_.find(name->job);
-  if (at == jobs_.end()) return;
-  Job& job = at->second;
+  const auto entry = jobs_.find(key->job);
+  if (entry == jobs_.end()) return;
+  Job& job = entry->second;
   const RecordLayout layout(job.record);
-  if (name->is_piece && !layout.is_divided()) return;
-  const bool is_undivided_chunk = !name->is_piece && layout.is_divided();
-  const std::vector<Chunk>& chunks = is_undivided_chunk ? job.whole : job.chunks;
-  if (name->chunk >= chunks.size()) return;
+  if (key->is_piece && !layout.is_divided()) return;
+  const bool is_undivided_chunk = !key->is_piece && layout.is_divided();
+  const std::vector<Chunk>& chunks = is_undivided_chunk ? job.undivided_chunks : job.chunks;
+  if (key->chunk >= chunks.size()) return;
   const TaskRange tasks =
-      is_undivided_chunk ? layout.tasks_of_chunk(name->chunk) : layout.tasks_of_record(name->chunk);
+      is_undivided_chunk ? layout.tasks_of_chunk(key->chunk) : layout.tasks_of_record(key->chunk);
   auto record = protocol::parse_chunk(item.value, tasks.first, tasks.count);
   if (!record) {
     spdlog::error("task record cannot be parsed: key={}", item.key);
@@ -275,17 +279,18 @@
   }
   const Version version = item.value.is_null() ? Version(0) : item.version;
   if (is_undivided_chunk) {
-    job.whole[name->chunk] = {std::move(*record), version};
-    derive_pieces(job, name->chunk, now);
+    job.undivided_chunks[key->chunk] = {std::move(*record), version};
+    derive_pieces(job, key->chunk, now);
   } else {
-    replace_chunk(job, name->chunk, {std::move(*record), version}, now);
+    replace_chunk(job, key->chunk, {std::move(*record), version}, now);
   }
 }
 
 void StateCache::divide_chunks(Job& job, Time now) {
   job.divide();
-  remove_assignments(job, job.whole);
-  for (std::uint32_t chunk = 0; chunk < job.whole.size(); ++chunk) derive_pieces(job, chunk, now);
+  remove_assignments(job, job.undivided_chunks);
+  for (std::uint32_t chunk = 0; chunk < job.undivided_chunks.size(); ++chunk)
+    derive_pieces(job, chunk, now);
 }
 
 void StateCache::derive_pieces(Job& job, std::uint32_t chunk, Time now) {
@@ -293,7 +298,7 @@
   const std::size_t end = std::min<std::size_t>(layout.end_of_pieces(chunk), job.chunks.size());
   for (std::uint32_t piece = layout.first_piece(chunk); piece < end; ++piece) {
     if (job.chunks[piece].version.get() != 0) continue;
-    replace_chunk(job, piece, {job.piece_of_whole(piece), Version(0)}, now);
+    replace_chunk(job, piece, {job.piece_of_undivided_chunk(piece), Version(0)}, now);
   }
 }
 
@@ -330,13 +335,14 @@
 }
 
 const Job* StateCache::job(const JobId& id) const {
-  const auto at = job_index_.find(id);
-  return at == job_index_.end() ? nullptr : at->second;
+  const auto entry = job_index_.find(id);
+  return entry == job_index_.end() ? nullptr : entry->second;
 }
 
 bool StateCache::has_quota_limit(const std::string& team) const {
-  const auto it = settings_.teams.find(team);
-  return it != settings_.teams.end() && (it->second.max_cores > 0 || it->second.max_gpus > 0);
+  const auto entry = settings_.teams.find(team);
+  return entry != settings_.teams.end() &&
+         (entry->second.max_cores > 0 || entry->second.max_gpus > 0);
 }
 
 const MachineType* StateCache::type(const std::string& name) const {
--- a/src/storage/state_cache.h
+++ b/src/storage/state_cache.h
@@ -19,100 +19,119 @@
 
 namespace saddleslip::storage {
 
-// This process's copy of what the store holds: a local replica that is fed by the watch and by the
-// process's own commits.
+// A local replica of the records in the store, updated by the watch and by the process's own
+// commits.
 //
-// Items may arrive in any order and more than once; each key keeps the newest version seen, so the
-// copy is never older than the watch. Values that cannot be parsed are logged and count as absent.
+// Items may arrive in any order and more than once. The newest version of each key is kept, so the
+// replica is never older than the watch. Values that cannot be parsed are logged and treated as
+// absent.
 //
-// Not safe for use from several threads at once. References and pointers that it returns are valid
-// until the next change.
+// Not thread-safe. Returned references and pointers are valid until the next change.
 class StateCache {
  public:
-  // The settings must outlive the cache.
+  // Creates an empty replica. The settings must outlive it.
   explicit StateCache(const base::Settings& settings) : settings_(settings) {}
 
   // --- Changes
 
-  // Applies an item as listed, watched or read. Returns false if it was known or is older than what
-  // is known.
+  // Applies an item from a full read, the watch or a single read. Returns false if the item is not
+  // newer than what is known about its key.
   bool apply(const Item& item, Time now);
   // Applies all writes of a transaction that was committed at this revision.
-  void apply(const protocol::Transaction& txn, Revision committed, Time now);
-  // Another controller announces that the job's cancellation is committed. This stops its tasks and
-  // holds back starts, but is written to no record. Does nothing if the job is not known here.
+  void apply(const protocol::Transaction& transaction, Revision committed, Time now);
+  // Records that another controller announced the committed cancellation of the job. This stops its
+  // tasks and prevents starts, but is not written to any record. Does nothing if the job is not
+  // known.
   void notify_cancelled(const JobId& id);
-  // Remembers how a job ended, and tells the jobs that depend on it.
+  // Adds the final state of a job, and unblocks or cancels the jobs that depend on it.
   void remember_final(const JobId& id, const FinalState& state);
-  // The watch, or a full read, has delivered every change up to this revision.
+  // Records that the watch, or a full read, has delivered all changes up to this revision.
   void advance_to(Revision revision) { versions_.advance_to(revision); }
-  // Starts over, as after a watch that fell too far behind. Final states and the catalogue stay.
+  // Removes all records except final states and the catalogue, for a full read, e.g. after the
+  // watch fell too far behind.
   void clear();
 
   // --- Jobs
 
+  // Returns all unfinished jobs.
   const std::map<JobId, Job>& jobs() const { return jobs_; }
-  // nullptr: no such job, or it is over.
+  // Returns the job, or null if it does not exist or is finished.
   const Job* job(const JobId& id) const;
-  // None: not known here; the store may have it.
+  // Returns the final state of the job, or nothing if it is not cached here; the store may have it.
   std::optional<FinalState> final_state(const JobId& id) const { return final_states_.find(id); }
-  // Has the watch brought all that came before the job's record as it is known here? A cancellation
-  // read ahead of it may be known while a start before it is not.
+  // Returns whether the watch has delivered all changes before the known version of the job's
+  // record. If a cancellation was read ahead of the watch, a start that precedes it may still be
+  // missing.
   bool is_settled(const Job& job) const {
     return !job.record.cancelled || revision().get() >= job.version.get();
   }
-  // Counts jobs that were added, removed, cancelled or unblocked.
+  // Returns a counter of the jobs that were added, removed, cancelled or unblocked.
   std::uint64_t job_changes() const { return job_changes_; }
-  // Records whose job is not known, by key: what garbage collection may remove.
+  // Returns the records whose job is not known, by key. Garbage collection may remove them.
   const std::map<std::string, Version>& orphans() const { return orphans_.all(); }
 
   // --- Dependencies
 
+  // Returns the dependencies between unfinished jobs.
   const DependencyGraph& dependency_graph() const { return dependency_graph_; }
-  // Counts jobs that had waited for others and wait no more.
+  // Returns a counter of the jobs whose last dependency was done or found to be done.
   std::uint64_t jobs_unblocked() const { return jobs_unblocked_; }
-  // Jobs that others wait for, and of which neither a record nor a final state is known here: the
-  // final state, which may have been written long ago, is to be read from the store.
+  // Returns the jobs that others wait for and of which neither a record nor a final state is known
+  // here. Their final states, which may be old, must be read from the store.
   std::vector<JobId> unresolved_dependencies() const;
-  // The same, of those that this job depends on, directly or through others.
+  // Returns the unresolved jobs that this job depends on, directly or transitively: neither a
+  // record nor a final state of them is known here.
   std::vector<JobId> unresolved_dependencies(const JobId& job) const;
 
-  // --- Assignments and quotas; see AssignmentIndex
+  // --- Assignments and quotas, from the assignment index
 
+  // Returns the tasks that are assigned to the machine.
   const std::map<TaskId, Assignment>& assignments_on(const MachineId& machine) const {
     return assignments_.on(machine);
   }
+  // Returns the assigned tasks of all machines that have any.
   const std::map<MachineId, std::map<TaskId, Assignment>>& assigned() const {
     return assignments_.by_machine();
   }
-  // Changes whenever the machine's assignments do, or whether their tasks are to run on; 0: no task
-  // is assigned to it.
+  // Returns a stamp that changes whenever the machine's assignments change, or whether their tasks
+  // should keep running. 0 if no task is assigned to the machine.
   std::uint64_t stamp(const MachineId& machine) const { return assignments_.stamp(machine); }
-  std::uint64_t last_stamp() const { return assignments_.last_stamp(); }  // of any machine
+  // Returns a stamp that changes whenever the stamp of any machine changes.
+  std::uint64_t last_stamp() const { return assignments_.last_stamp(); }
+  // Returns the resources requested by all assigned tasks of the team.
   Resources team_use(const std::string& team) const { return assignments_.team_use(team); }
+  // Returns whether the team's use of cores or GPUs is limited.
   bool has_quota_limit(const std::string& team) const;
 
-  // --- Versions and records of the whole system
+  // --- Versions, and records that concern the whole system
 
-  // The version of a key's value; 0: it does not exist as far as is known.
-  Version version(const std::string& key) const { return versions_.of(key); }
+  // Returns the version of the key's value, or 0 if the key is not known to exist.
+  Version version(const std::string& key) const { return versions_.version_of(key); }
+  // Returns the revision up to which all changes have been delivered.
   Revision revision() const { return versions_.revision(); }
+  // Returns the current membership view, if there is one.
   const std::optional<View>& view() const { return view_; }
+  // Returns the incarnation that the store records as leader, if any.
   const std::optional<ControllerIncarnation>& leader() const { return leader_; }
+  // Returns the records of all members.
   const std::map<MemberId, protocol::Member>& members() const { return members_; }
+  // Returns the claims of members to machines, by machine.
   const std::map<MachineId, ControllerIncarnation>& ownership_claims() const { return claims_; }
+  // Returns the machine types that the cloud offers.
   const std::vector<MachineType>& catalogue() const { return catalogue_; }
-  // nullptr: the catalogue has no such type.
+  // Returns the machine type, or null if the catalogue does not contain it.
   const MachineType* type(const std::string& name) const;
-  // The format of records that all controllers can read, as the store says.
+  // Returns the record format that all controllers can read, as recorded in the store.
   std::uint64_t format() const { return format_; }
+  // Returns the booting machines that the leader last recorded.
   const std::vector<protocol::Booting>& booting() const { return booting_; }
 
  private:
-  // Is this a task record that cannot be taken in before a record that it depends on? Notes it as an
-  // orphan if its job is not known.
-  bool is_ahead_of_its_job(const Item& item);
-  // One function for each kind of key; a null value is a removal.
+  // Returns whether this is a task record that must not be applied before a record that it depends
+  // on. Adds it to the orphaned records if its job is not known.
+  bool precedes_job_record(const Item& item);
+  // Applies a newer value of a key, with one function for each kind of key. A null value is a
+  // removal.
   void apply_value(const Item& item, Time now);
   void apply_job(const Item& item, Time now);
   void apply_task_record(const Item& item, Time now);
@@ -121,37 +140,45 @@
   void apply_ownership_claim(const Item& item);
   void apply_system_record(const Item& item);
 
+  // Adds a job that is seen for the first time, with its dependencies.
   void add_job(const JobId& id, JobRecord&& record, Version version, Time now);
+  // Applies a newer record of a known job.
   void update_job(Job& job, JobRecord record, Version version, Time now);
+  // Removes a finished job, and marks its remaining records as orphaned.
   void remove_job(const JobId& id);
-  // What the store keeps of the job besides its own record is to be removed now that it is over.
-  void orphan_records_of(const Job& job);
+  // Adds the remaining records of a finished job to the orphaned records, to be removed from the
+  // store.
+  void mark_records_orphaned(const Job& job);
 
-  // Gives the job the dependencies that lists of their own name. False: some are not read yet.
-  bool take_dependency_lists(Job& job);
+  // Sets the job's dependencies from its separate dependency lists, if it has any. Returns false if
+  // some lists have not been read yet.
+  bool resolve_dependency_lists(Job& job);
   // Adds a job, whose dependencies are known, to the dependency graph.
-  void link_dependencies(Job& job);
-  // The job's cancellation is in the store: so all that depend on it are cancelled too.
+  void add_to_dependency_graph(Job& job);
+  // Marks all jobs that depend on a job cancelled in the store as cancelled too.
   void cancel_dependents(const JobId& id);
-  // A dependency of the job was done then (seconds since 1970): it may start if that was the last.
+  // Records that a dependency of the job was done at this time (seconds since the epoch). The job
+  // is unblocked if it was the last one.
   void mark_dependency_done(Job& job, double done_at);
-  // Is neither a record nor a final state of the job known here?
+  // Returns whether neither a record nor a final state of the job is known here.
   bool is_unresolved(const JobId& id) const;
 
-  // The job's record says that its chunks are divided into pieces.
+  // Divides the chunks of a job into pieces, as its record says.
   void divide_chunks(Job& job, Time now);
-  // The chunk's pieces that have no record of their own are as the undivided chunk's record says.
+  // Sets the pieces of the chunk that have no record of their own from the record of the undivided
+  // chunk.
   void derive_pieces(Job& job, std::uint32_t chunk, Time now);
-  // Puts a newer task record in place, in the job and in the index of assignments.
+  // Replaces a task record in the job, and updates the assignment index.
   void replace_chunk(Job& job, std::size_t number, Chunk chunk, Time now);
-  // Takes the assignments of these records out of the index.
+  // Removes the assignments in these records from the assignment index.
   void remove_assignments(const Job& job, const std::vector<Chunk>& chunks);
-  // What is to run on each machine with a task of the job has changed.
+  // Changes the stamps of all machines with a task of the job, because whether these tasks should
+  // keep running has changed.
   void touch_machines_of(const Job& job);
 
   const base::Settings& settings_;
   std::map<JobId, Job> jobs_;
-  // The same jobs by hash: looked up for every task of every heartbeat.
+  // The same jobs in a hash table, for the lookup of every task in every heartbeat.
   std::unordered_map<JobId, Job*> job_index_;
   AssignmentIndex assignments_;
   KeyVersions versions_;
--- a/tests/job_test.cpp
+++ b/tests/job_test.cpp
@@ -68,13 +68,13 @@
   Job job(record(), Version(1), Time{});
   job.replace_chunk(1, chunk(50, {0, 41}, {142}), Time{});
   job.update_record(record(40), Version(3));
-  ASSERT_TRUE(job.must_divide());
+  ASSERT_TRUE(job.needs_dividing());
   job.divide();
-  EXPECT_FALSE(job.must_divide());
+  EXPECT_FALSE(job.needs_dividing());
   EXPECT_EQ(job.chunks.size(), 5u);
-  EXPECT_EQ(job.whole.size(), 2u);
+  EXPECT_EQ(job.undivided_chunks.size(), 2u);
   EXPECT_EQ(job.done, 0u);
-  const ChunkRecord last = job.piece_of_whole(4);  // tasks 140 to 149
+  const ChunkRecord last = job.piece_of_undivided_chunk(4);  // tasks 140 to 149
   EXPECT_EQ(last.done_count(), 1u);
   EXPECT_TRUE(last.done[1]);
   EXPECT_TRUE(last.assigned.contains(142));
--- a/tests/key_versions_test.cpp
+++ b/tests/key_versions_test.cpp
@@ -11,7 +11,7 @@
 TEST(KeyVersions, SameOrOlderVersionIsNotNewer) {
   KeyVersions versions;
   versions.record_value("key", Version(5));
-  EXPECT_EQ(versions.of("key"), Version(5));
+  EXPECT_EQ(versions.version_of("key"), Version(5));
   EXPECT_FALSE(versions.is_newer("key", Version(4)));
   EXPECT_FALSE(versions.is_newer("key", Version(5)));
   EXPECT_TRUE(versions.is_newer("key", Version(6)));
@@ -22,7 +22,7 @@
   KeyVersions versions;
   versions.record_value("key", Version(5));
   versions.record_removal("key", Version(8));
-  EXPECT_EQ(versions.of("key"), Version(0));
+  EXPECT_EQ(versions.version_of("key"), Version(0));
   EXPECT_FALSE(versions.is_newer("key", Version(8)));
   EXPECT_TRUE(versions.is_newer("key", Version(9)));
 }
--- a/tests/partial_dependencies_test.cpp
+++ b/tests/partial_dependencies_test.cpp
@@ -23,17 +23,17 @@
 TEST(PartialDependencies, NothingIsTakenWhileAListIsMissing) {
   PartialDependencies lists;
   lists.add(key_of(1), Json::array({"c"}));
-  EXPECT_FALSE(lists.take(kJob, kTwoLists));
+  EXPECT_FALSE(lists.take_if_complete(kJob, kTwoLists));
   lists.add(key_of(0), Json::array({"a", "b"}));
-  EXPECT_EQ(lists.take(kJob, kTwoLists), (std::vector{JobId("a"), JobId("b"), JobId("c")}));
-  EXPECT_FALSE(lists.take(kJob, kTwoLists)) << "taken lists are forgotten";
+  EXPECT_EQ(lists.take_if_complete(kJob, kTwoLists), (std::vector{JobId("a"), JobId("b"), JobId("c")}));
+  EXPECT_FALSE(lists.take_if_complete(kJob, kTwoLists)) << "taken lists are forgotten";
 }
 
 TEST(PartialDependencies, ListOfAnotherSetIsNotTaken) {
   PartialDependencies lists;
   lists.add(protocol::dependency_list_key(kJob, "other", 0), Json::array({"x"}));
   lists.add(key_of(1), Json::array({"c"}));
-  EXPECT_FALSE(lists.take(kJob, kTwoLists));
+  EXPECT_FALSE(lists.take_if_complete(kJob, kTwoLists));
 }
 
 TEST(PartialDependencies, RemovedListIsMissing) {
@@ -41,14 +41,14 @@
   lists.add(key_of(0), Json::array({"a"}));
   lists.add(key_of(1), Json::array({"b"}));
   lists.remove(key_of(0));
-  EXPECT_FALSE(lists.take(kJob, kTwoLists));
+  EXPECT_FALSE(lists.take_if_complete(kJob, kTwoLists));
 }
 
 TEST(PartialDependencies, ElementsThatAreNotStringsAreLeftOut) {
   PartialDependencies lists;
   lists.add(key_of(0), Json::array({"a", 7, nullptr}));
   lists.add(key_of(1), Json::array());
-  EXPECT_EQ(lists.take(kJob, kTwoLists), std::vector{JobId("a")});
+  EXPECT_EQ(lists.take_if_complete(kJob, kTwoLists), std::vector{JobId("a")});
 }
 
 }  // namespace saddleslip::storage
