--- a/src/coordination/fleet/autoscaler.cpp
+++ b/src/coordination/fleet/autoscaler.cpp
@@ -9,14 +9,14 @@
 
 constexpr Seconds kDrainDelayAfterDemand{10.0};  // after the last task without capacity
 constexpr Seconds kDrainInterval{3.0};           // between the drains of two machines
-// The part of a stored value that is not available to the list of booting machines.
+// The part of a value in the store that is reserved, not available to the list of booting machines.
 constexpr std::size_t kFleetRecordOverheadBytes = 1024;
-// After a change of leader or of ownership, this many heartbeat intervals and a margin pass until
-// all machines have reported to their owners.
+// After a change of leader or of ownership, the autoscaler waits for this many heartbeat intervals
+// plus a margin, so that all machines have reported to their owners.
 constexpr double kSettleHeartbeats = 2.0;
 constexpr Seconds kSettleMargin{1.0};
-// A machine of the cloud's list that reports to no member for this many worker leases is
-// released.
+// A listed machine that reports to no member for longer than this, in worker leases plus the lag of
+// the list, is released.
 constexpr double kUnreportedLeases = 2.0;
 
 }  // namespace
@@ -35,7 +35,7 @@
                                 const JobPredicate& is_crash_looping) {
   ScalingActions actions;
   arrivals_.update(cache_, fleet.now);
-  actions.release = releases_.due(requests, fleet);
+  actions.release = releases_.machines_to_release(requests, fleet);
   if (!is_settled(fleet)) return actions;
   release_failed_boots(fleet, actions.release);
   ScalingInput input = scaling_input(fleet);
@@ -82,16 +82,16 @@
     input.machines.insert(input.machines.end(), partition.machines.begin(),
                           partition.machines.end());
   }
-  input.booting = booting_.likely(fleet.now, fleet.wall_now);
+  input.booting = booting_.likely_to_boot(fleet.now, fleet.wall_now);
   return input;
 }
 
 void Autoscaler::add_demand(ScalingInput& input, const JobPredicate& is_crash_looping) {
-  input.demand = demand_.waiting(is_crash_looping, input.now);
+  input.demand = demand_.waiting_demand(is_crash_looping, input.now);
   if (!input.demand.empty()) last_unplaced_work_at_ = input.now;
-  const ServiceArrivals::Forecast forecast{leader_since_, demand_.shortest_boot_time(),
-                                           settings_.tuning.headroom};
-  const std::vector<Demand> expected = arrivals_.expected(forecast, input.now);
+  const ServiceArrivals::ForecastParameters forecast{leader_since_, demand_.shortest_boot_time(),
+                                                     settings_.tuning.headroom};
+  const std::vector<Demand> expected = arrivals_.expected_demand(forecast, input.now);
   input.demand.insert(input.demand.end(), expected.begin(), expected.end());
 }
 
@@ -121,7 +121,7 @@
 
 void Autoscaler::review_list(const std::vector<CloudMachine>& cloud_machines,
                              const FleetStatus& fleet) {
-  std::set<MachineId> known_machines = fleet.reporting();
+  std::set<MachineId> known_machines = fleet.reporting_machines();
   for (const protocol::Booting& machine : booting_.all()) known_machines.insert(machine.id);
   std::set<MachineId> listed;
   for (const CloudMachine& machine : cloud_machines) {
--- a/src/coordination/fleet/booting_machines.cpp
+++ b/src/coordination/fleet/booting_machines.cpp
@@ -41,7 +41,7 @@
 }
 
 std::vector<MachineId> BootingMachines::remove_finished_boots(const FleetStatus& fleet) {
-  const std::set<MachineId> reporting = fleet.reporting();
+  const std::set<MachineId> reporting = fleet.reporting_machines();
   std::vector<MachineId> failed_boots;
   std::erase_if(machines_, [&](const Booting& machine) {
     const MachineKind kind = kind_of(machine);
@@ -61,7 +61,7 @@
   return failed_boots;
 }
 
-std::vector<Booting> BootingMachines::likely(Time now, double wall_now) const {
+std::vector<Booting> BootingMachines::likely_to_boot(Time now, double wall_now) const {
   std::map<std::string, BootingCount> by_type;
   for (const Booting& machine : machines_) {
     if (BootTracker::is_overdue(age_of(machine, wall_now), usual_boot_time(machine.type)))
--- a/src/coordination/fleet/booting_machines.h
+++ b/src/coordination/fleet/booting_machines.h
@@ -33,7 +33,7 @@
   // the last group, which is to be released.
   std::vector<MachineId> remove_finished_boots(const FleetStatus& fleet);
   // Returns the machines that are likely to come up, and so count as future capacity.
-  std::vector<protocol::Booting> likely(Time now, double wall_now) const;
+  std::vector<protocol::Booting> likely_to_boot(Time now, double wall_now) const;
   // Returns all booting machines, also those that are overdue.
   const std::vector<protocol::Booting>& all() const { return machines_; }
 
--- a/src/coordination/fleet/demand_estimator.cpp
+++ b/src/coordination/fleet/demand_estimator.cpp
@@ -30,7 +30,8 @@
 
 }  // namespace
 
-std::vector<Demand> DemandEstimator::waiting(const JobPredicate& is_crash_looping, Time now) const {
+std::vector<Demand> DemandEstimator::waiting_demand(const JobPredicate& is_crash_looping,
+                                                    Time now) const {
   std::vector<Demand> demands;
   std::map<JobId, std::size_t> timely_counts = timely_tasks(is_crash_looping, now);
   QuotaByTeam remaining_quota;
--- a/src/coordination/fleet/demand_estimator.h
+++ b/src/coordination/fleet/demand_estimator.h
@@ -27,7 +27,7 @@
   // Returns the waiting tasks that need capacity now, by job. Counts tasks only within their team's
   // quota, and tasks of arrays with a deadline only as far as they must run now to meet it.
   // Crash-looping jobs have no demand.
-  std::vector<Demand> waiting(const JobPredicate& is_crash_looping, Time now) const;
+  std::vector<Demand> waiting_demand(const JobPredicate& is_crash_looping, Time now) const;
 
   // Returns the services that are assigned to each machine.
   std::map<MachineId, std::vector<const protocol::JobSpec*>> movable_services() const;
--- a/src/coordination/fleet/fleet_status.cpp
+++ b/src/coordination/fleet/fleet_status.cpp
@@ -2,13 +2,13 @@
 
 namespace saddleslip::coordination {
 
-std::set<base::MachineId> FleetStatus::reporting() const {
-  std::set<base::MachineId> reporting_machines;
+std::set<base::MachineId> FleetStatus::reporting_machines() const {
+  std::set<base::MachineId> machine_ids;
   for (const OwnedMachines& partition : partitions) {
     for (const protocol::MachineStatus* machine : partition.machines)
-      reporting_machines.insert(machine->id);
+      machine_ids.insert(machine->id);
   }
-  return reporting_machines;
+  return machine_ids;
 }
 
 }  // namespace saddleslip::coordination
--- a/src/coordination/fleet/fleet_status.h
+++ b/src/coordination/fleet/fleet_status.h
@@ -34,7 +34,7 @@
   MachinePredicate is_released;           // whether the cloud has released the machine
 
   // Returns the machines that report to any of these members.
-  std::set<base::MachineId> reporting() const;
+  std::set<base::MachineId> reporting_machines() const;
 };
 
 // Requests of the owners of machines to the leader.
--- a/src/coordination/fleet/pending_releases.cpp
+++ b/src/coordination/fleet/pending_releases.cpp
@@ -26,8 +26,8 @@
                 [&](const auto& unreported) { return !listed.contains(unreported.first); });
 }
 
-std::vector<MachineId> PendingReleases::due(const ReleaseRequests& requests,
-                                            const FleetStatus& fleet) const {
+std::vector<MachineId> PendingReleases::machines_to_release(const ReleaseRequests& requests,
+                                                            const FleetStatus& fleet) const {
   std::set<MachineId> releases = machines_;
   releases.insert(requests.requested.begin(), requests.requested.end());
   // A machine that is silent for its owner but reports to another member is alive: only its owner
--- a/src/coordination/fleet/pending_releases.h
+++ b/src/coordination/fleet/pending_releases.h
@@ -35,7 +35,8 @@
   // Returns the machines to release now: those collected here and those that owners request,
   // without machines that are already released or that are alive because they report to a member
   // other than their owner.
-  std::vector<base::MachineId> due(const ReleaseRequests& requests, const FleetStatus& fleet) const;
+  std::vector<base::MachineId> machines_to_release(const ReleaseRequests& requests,
+                                                   const FleetStatus& fleet) const;
 
  private:
   std::set<base::MachineId> machines_;
--- a/src/coordination/fleet/scaling_plan.cpp
+++ b/src/coordination/fleet/scaling_plan.cpp
@@ -13,21 +13,21 @@
 // A machine with a higher share of its cores in use is not drained.
 constexpr double kMaxCoreUseToDrain = 0.55;
 constexpr std::size_t kMaxRentedPerPlan = 200;
-// One plan drains at most one machine in this many, but at least one.
+// One plan drains at most one of 40 machines, but always allows one.
 constexpr std::size_t kMachinesPerDrain = 40;
 
 // Factors on the price of a machine in an unsuitable zone. Services are placed in the zones of the
 // controllers, and other work is kept out of these zones.
 constexpr double kServiceOutsideControllerZonesFactor = 1.6;
 constexpr double kSpotInControllerZonesFactor = 1.05;
-constexpr double kOnDemandInControllerZonesFactor =
-    1.3;  // higher, since services may need on-demand machines
+// Higher than the factor for spot instances, because services run only on on-demand machines.
+constexpr double kOnDemandInControllerZonesFactor = 1.3;
 // The relative price increase of a zone that already holds all machines, compared to one that holds
 // none.
 constexpr double kZoneSpreadWeight = 0.02;
 
-// A zone is considered cut off if at least this many of its machines, and more than half of them,
-// are silent.
+// A zone is considered cut off if at least two machines, and more than half of its machines, are
+// silent.
 constexpr int kMinSilentInCutOffZone = 2;
 
 // Returns the price of a machine of this type per task of the demand, when filled with its tasks,
--- a/src/coordination/fleet/service_arrivals.cpp
+++ b/src/coordination/fleet/service_arrivals.cpp
@@ -33,7 +33,8 @@
   }
 }
 
-std::vector<Demand> ServiceArrivals::expected(const Forecast& forecast, Time now) const {
+std::vector<Demand> ServiceArrivals::expected_demand(const ForecastParameters& forecast,
+                                                     Time now) const {
   std::vector<Demand> demands;
   const Seconds time_span =
       std::clamp(base::between(forecast.counted_since, now), kMinArrivalSpan, kArrivalWindow);
--- a/src/coordination/fleet/service_arrivals.h
+++ b/src/coordination/fleet/service_arrivals.h
@@ -23,14 +23,14 @@
   void update(const storage::StateCache& cache, Time now);
 
   // The parameters of an estimate of expected tasks.
-  struct Forecast {
+  struct ForecastParameters {
     Time counted_since{};  // services that existed at this time are not arrivals
-    Seconds boot_time{};   // how long before it is needed capacity must be requested
+    Seconds boot_time{};   // how far ahead capacity must be requested
     double headroom = 0;   // share of the expected tasks that capacity is kept for
   };
   // Returns the demand of services that are expected to arrive within the forecast's boot time. The
   // job specifications in the result stay valid until the next update().
-  std::vector<Demand> expected(const Forecast& forecast, Time now) const;
+  std::vector<Demand> expected_demand(const ForecastParameters& forecast, Time now) const;
 
  private:
   // The tasks of one service that arrived.
--- a/src/coordination/records/maintenance.cpp
+++ b/src/coordination/records/maintenance.cpp
@@ -15,16 +15,19 @@
 constexpr Seconds kUnheardListMaxAge{0.3};
 // How long an agent whose response was lost may take to report again.
 constexpr Seconds kLostResponseTimeout{6.0};
-constexpr Seconds kOwnerSearchTime{6.0};  // beyond an interval, for an agent whose controller ended
-// The limits on silence are at least this share of a worker lease.
+// How long, beyond one heartbeat interval, an agent whose controller ended may take to find its new
+// owner.
+constexpr Seconds kOwnerSearchTime{6.0};
+// A machine counts as silent only after this share of a worker lease at the earliest.
 constexpr double kMinLeaseShare = 0.35;
-// One machine in this many may fall silent by itself; more at once indicate a network fault.
+// Up to one machine in five may fall silent by itself; a larger share indicates a network fault.
 constexpr std::size_t kMachinesPerExpectedSilent = 5;
-// After this many worker leases of silence, a machine is released in any case.
+// A machine that is silent for longer than this, in worker leases, is released in any case.
 constexpr double kUnconditionalReleaseLeases = 6.0;
 // Peers whose last status is older than this are ignored when services are moved.
 constexpr Seconds kMaxPeerStatusAge{1.5};
-// A service that is stopped sooner does not count as started.
+// A service is moved only after running this long: a start that is undone sooner does not count as
+// one.
 constexpr Seconds kMinRunTimeBeforeMove{35.0};
 
 }  // namespace
--- a/src/storage/assignment_index.cpp
+++ b/src/storage/assignment_index.cpp
@@ -41,7 +41,7 @@
   team_use_[job.team] -= job.request;
 }
 
-void AssignmentIndex::touch(const std::map<TaskNo, Assignment>& assignments) {
+void AssignmentIndex::change_stamps(const std::map<TaskNo, Assignment>& assignments) {
   for (const auto& [task, assignment] : assignments) stamps_[assignment.machine] = ++last_stamp_;
 }
 
@@ -52,7 +52,7 @@
   team_use_.clear();
 }
 
-const AssignmentIndex::TasksOfMachine& AssignmentIndex::on(const MachineId& machine) const {
+const AssignmentIndex::TasksOfMachine& AssignmentIndex::tasks_on(const MachineId& machine) const {
   static const TasksOfMachine kNone;
   const auto found = by_machine_.find(machine);
   return found == by_machine_.end() ? kNone : found->second;
--- a/src/storage/assignment_index.h
+++ b/src/storage/assignment_index.h
@@ -28,13 +28,13 @@
 
   // Changes the stamps of the machines that these tasks are assigned to. For changes of whether the
   // tasks should keep running, with the assignments unchanged.
-  void touch(const std::map<TaskNo, Assignment>& assignments);
+  void change_stamps(const std::map<TaskNo, Assignment>& assignments);
 
   // Removes all assignments. Stamps are not reused.
   void clear();
 
   // Returns the tasks assigned to the machine. The reference is valid until the next change.
-  const TasksOfMachine& on(const MachineId& machine) const;
+  const TasksOfMachine& tasks_on(const MachineId& machine) const;
   // Returns the assigned tasks of all machines that have any.
   const std::map<MachineId, TasksOfMachine>& by_machine() const { return by_machine_; }
 
--- a/src/storage/final_states.cpp
+++ b/src/storage/final_states.cpp
@@ -5,7 +5,7 @@
 using base::JobId;
 using protocol::FinalState;
 
-bool FinalStates::remember(const JobId& id, const FinalState& state) {
+bool FinalStates::add(const JobId& id, const FinalState& state) {
   if (!states_.emplace(id, state).second) return false;
   insertion_order_.push_back(id);
   if (insertion_order_.size() > capacity_) {
--- a/src/storage/final_states.h
+++ b/src/storage/final_states.h
@@ -25,7 +25,7 @@
 
   // Adds the final state of a job, and removes the oldest entry if the capacity is exceeded.
   // Returns false, and changes nothing, if the job's final state is here already.
-  bool remember(const base::JobId& id, const protocol::FinalState& state);
+  bool add(const base::JobId& id, const protocol::FinalState& state);
 
   // Returns the final state of the job, or nothing if it is not in the cache.
   std::optional<protocol::FinalState> find(const base::JobId& id) const;
--- a/src/storage/job.h
+++ b/src/storage/job.h
@@ -56,10 +56,11 @@
 
   // --- Task records
 
-  // The first task of the task record `chunks[number]`, and the number of tasks that it covers.
+  // Returns the first task that the task record `chunks[number]` covers.
   TaskNo chunk_first(std::size_t number) const {
     return record.first_task(static_cast<std::uint32_t>(number));
   }
+  // Returns the number of tasks that the task record `chunks[number]` covers.
   TaskNo chunk_size(std::size_t number) const {
     return record.tasks_of(static_cast<std::uint32_t>(number));
   }
--- a/src/storage/key_versions.h
+++ b/src/storage/key_versions.h
@@ -40,7 +40,7 @@
   void clear();
 
  private:
-  std::unordered_map<std::string, base::Version> versions_;  // of existing keys
+  std::unordered_map<std::string, base::Version> versions_;  // versions of existing keys
   // Removals that the watch has not delivered yet. Until it does, an older event for the same key
   // may still arrive.
   std::unordered_map<std::string, base::Version> removals_;
--- a/src/storage/machine.h
+++ b/src/storage/machine.h
@@ -28,12 +28,14 @@
 // response carries a higher one. Once the agent has reported the higher token, it rejects late
 // copies of the batch.
 struct Machine {
+  // The newest heartbeat that was processed.
   Heartbeat last_heartbeat;
-  // Cached by the capacity calculator.
+  // The free capacity, cached by the capacity calculator.
   mutable MachineCapacity capacity;
   Time last_heartbeat_at{};  // when the newest heartbeat was received
   // When a controller that owned the machine may last have renewed its worker lease.
   Time last_answered_at{};
+  // When the machine last had work or was given some; an idle machine has been idle since then.
   Time idle_since{};
   std::optional<Time> taken_at;  // when the cloud takes the machine back, according to its notice
 
@@ -46,10 +48,10 @@
   FencingToken confirmation_token;
   Time fencing_token_since{};    // when `fencing_token` was first sent in a response
   FencingToken last_sent_token;  // token of the latest response; 0 if none was sent
-  int unacknowledged_replies =
-      // The number of consecutive heartbeats that did not report the token of the latest response.
-      0;
-  // When the first of these heartbeats was received.
+  // The number of consecutive heartbeats that did not report the token of the latest response.
+  int unacknowledged_replies = 0;
+  // When the first of the consecutive heartbeats without the latest token was received; unset if
+  // the latest heartbeat reported that token.
   std::optional<Time> half_open_since;
 
   bool commands_lost = false;      // no commands are sent until the next heartbeat
@@ -58,18 +60,19 @@
   bool release_requested = false;  // the leader is asked to release the machine
   std::set<TaskId> evict;          // tasks to stop although their jobs continue
   // The images on the machine with their sizes in GB, as seen from its tasks, the most recently
-  // used last; and the images that it is pulling.
+  // used last.
   std::vector<std::pair<std::string, double>> images;
+  // The images that the machine is pulling.
   std::set<std::string> pulling;
   std::map<TaskId, Seconds> ran_before;  // run times of ended tasks whose end is not recorded yet
   std::map<TaskId, Time> ran;            // when each running task was first seen running
 
   // The status of the machine that is sent to peers.
   protocol::MachineStatus status;
-  std::uint64_t status_changed_at =
-      0;  // revision of the last change of the status; 0 if never built
-  std::pair<AgentIncarnation, Sequence>
-      status_heartbeat;  // the heartbeat that the images in the status are from
+  // The revision of the last change of the status; 0 if the status was never built.
+  std::uint64_t status_changed_at = 0;
+  // Identifies the heartbeat that the images in the status are from.
+  std::pair<AgentIncarnation, Sequence> status_heartbeat;
 
   // Returns whether the image is on the machine.
   bool has_image(const std::string& image) const;
--- a/src/storage/record_layout.h
+++ b/src/storage/record_layout.h
@@ -27,18 +27,19 @@
   // Returns whether the chunks are divided into pieces.
   bool is_divided() const { return job_.piece != 0; }
 
-  // The task records in use, which are pieces if the chunks are divided: their number, and the
-  // tasks that each of them covers.
+  // Returns the number of task records in use, which are pieces if the chunks are divided.
   std::uint32_t record_count() const;
+  // Returns the tasks that a record in use covers.
   TaskRange tasks_of_record(std::uint32_t record) const;
 
-  // The chunks, divided or not: their number, and the tasks that each of them covers.
+  // Returns the number of chunks, whether they are divided or not.
   std::uint32_t chunk_count() const;
+  // Returns the tasks that a chunk covers, whether it is divided or not.
   TaskRange tasks_of_chunk(std::uint32_t chunk) const;
 
-  // Returns the number of the first piece of a chunk, and the number after its last piece. Requires
-  // divided chunks.
+  // Returns the number of the first piece of a chunk. Requires divided chunks.
   std::uint32_t first_piece(std::uint32_t chunk) const;
+  // Returns the number after the last piece of a chunk. Requires divided chunks.
   std::uint32_t end_of_pieces(std::uint32_t chunk) const;
 
  private:
--- a/src/storage/state_cache.cpp
+++ b/src/storage/state_cache.cpp
@@ -226,7 +226,7 @@
 }
 
 void StateCache::remember_final(const JobId& id, const FinalState& state) {
-  if (!final_states_.remember(id, state)) return;
+  if (!final_states_.add(id, state)) return;
   if (state.status == JobStatus::kCancelled) {
     cancel_dependents(id);
     return;
@@ -313,7 +313,7 @@
 }
 
 void StateCache::touch_machines_of(const Job& job) {
-  for (const Chunk& chunk : job.chunks) assignments_.touch(chunk.record.assigned);
+  for (const Chunk& chunk : job.chunks) assignments_.change_stamps(chunk.record.assigned);
 }
 
 // --- The whole cache
--- a/src/storage/state_cache.h
+++ b/src/storage/state_cache.h
@@ -65,7 +65,8 @@
   bool is_settled(const Job& job) const {
     return !job.record.cancelled || revision().get() >= job.version.get();
   }
-  // Returns a counter of the jobs that were added, removed, cancelled or unblocked.
+  // Returns how often a job was added, removed, cancelled or unblocked. A changed value means that
+  // values derived from the jobs are stale.
   std::uint64_t job_changes() const { return job_changes_; }
   // Returns the records whose job is not known, by key. Garbage collection may remove them.
   const std::map<std::string, Version>& orphans() const { return orphans_.all(); }
@@ -74,7 +75,7 @@
 
   // Returns the dependencies between unfinished jobs.
   const DependencyGraph& dependency_graph() const { return dependency_graph_; }
-  // Returns a counter of the jobs whose last dependency was done or found to be done.
+  // Returns how often the last open dependency of a waiting job was resolved.
   std::uint64_t jobs_unblocked() const { return jobs_unblocked_; }
   // Returns the jobs that others wait for and of which neither a record nor a final state is known
   // here. Their final states, which may be old, must be read from the store.
@@ -87,7 +88,7 @@
 
   // Returns the tasks that are assigned to the machine.
   const std::map<TaskId, Assignment>& assignments_on(const MachineId& machine) const {
-    return assignments_.on(machine);
+    return assignments_.tasks_on(machine);
   }
   // Returns the assigned tasks of all machines that have any.
   const std::map<MachineId, std::map<TaskId, Assignment>>& assigned() const {
--- a/tests/assignment_index_test.cpp
+++ b/tests/assignment_index_test.cpp
@@ -1,4 +1,4 @@
-// Tasks by machine, and the stamps that tell when they change.
+// Tests of the tasks assigned to each machine, and of the stamps that change with them.
 #include "storage/assignment_index.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 const MachineId kFirst("i-1");
 const MachineId kSecond("i-2");
 
-Assignment on(const MachineId& machine, std::uint64_t attempt = 1) {
+Assignment assigned_to(const MachineId& machine, std::uint64_t attempt = 1) {
   return {machine, Attempt(attempt), base::AgentIncarnation(1)};
 }
 
@@ -26,33 +26,35 @@
 
 }  // namespace
 
-TEST(AssignmentIndex, UpdateFollowsTheDifference) {
+TEST(AssignmentIndex, UpdateAppliesTheDifference) {
   AssignmentIndex index;
-  const Assignments before{{0, on(kFirst)}, {1, on(kFirst)}, {2, on(kSecond)}};
+  const Assignments before{
+      {0, assigned_to(kFirst)}, {1, assigned_to(kFirst)}, {2, assigned_to(kSecond)}};
   index.update(job(), {}, before);
   EXPECT_EQ(index.team_use("team").cores(), 6);
-  index.update(job(), before, {{1, on(kFirst)}, {2, on(kFirst)}, {3, on(kFirst)}});
-  EXPECT_EQ(index.on(kFirst).size(), 3u);
-  EXPECT_TRUE(index.on(kSecond).empty());
+  index.update(job(), before,
+               {{1, assigned_to(kFirst)}, {2, assigned_to(kFirst)}, {3, assigned_to(kFirst)}});
+  EXPECT_EQ(index.tasks_on(kFirst).size(), 3u);
+  EXPECT_TRUE(index.tasks_on(kSecond).empty());
   EXPECT_FALSE(index.by_machine().contains(kSecond));
   EXPECT_EQ(index.team_use("team").cores(), 6);
 }
 
 TEST(AssignmentIndex, UnchangedMachineKeepsItsStamp) {
   AssignmentIndex index;
-  const Assignments before{{0, on(kFirst)}, {1, on(kSecond)}};
+  const Assignments before{{0, assigned_to(kFirst)}, {1, assigned_to(kSecond)}};
   index.update(job(), {}, before);
-  const auto first = index.stamp(kFirst), second = index.stamp(kSecond);
+  const auto first_stamp = index.stamp(kFirst), second_stamp = index.stamp(kSecond);
   const auto last = index.last_stamp();
-  index.update(job(), before, {{0, on(kFirst)}, {1, on(kSecond, 2)}});
-  EXPECT_EQ(index.stamp(kFirst), first);
-  EXPECT_NE(index.stamp(kSecond), second);
+  index.update(job(), before, {{0, assigned_to(kFirst)}, {1, assigned_to(kSecond, 2)}});
+  EXPECT_EQ(index.stamp(kFirst), first_stamp);
+  EXPECT_NE(index.stamp(kSecond), second_stamp);
   EXPECT_NE(index.last_stamp(), last);
 }
 
 TEST(AssignmentIndex, MachineWithoutTasksHasStampZero) {
   AssignmentIndex index;
-  const Assignments before{{0, on(kFirst)}};
+  const Assignments before{{0, assigned_to(kFirst)}};
   EXPECT_EQ(index.stamp(kFirst), 0u);
   index.update(job(), {}, before);
   const auto last = index.last_stamp();
@@ -61,23 +63,23 @@
   EXPECT_NE(index.last_stamp(), last);
 }
 
-TEST(AssignmentIndex, TouchChangesTheStampsOfTheMachinesOnly) {
+TEST(AssignmentIndex, ChangeStampsAffectsOnlyTheGivenMachines) {
   AssignmentIndex index;
-  index.update(job(), {}, {{0, on(kFirst)}, {1, on(kSecond)}});
-  const auto first = index.stamp(kFirst), second = index.stamp(kSecond);
-  index.touch({{1, on(kSecond)}});
-  EXPECT_EQ(index.stamp(kFirst), first);
-  EXPECT_NE(index.stamp(kSecond), second);
+  index.update(job(), {}, {{0, assigned_to(kFirst)}, {1, assigned_to(kSecond)}});
+  const auto first_stamp = index.stamp(kFirst), second_stamp = index.stamp(kSecond);
+  index.change_stamps({{1, assigned_to(kSecond)}});
+  EXPECT_EQ(index.stamp(kFirst), first_stamp);
+  EXPECT_NE(index.stamp(kSecond), second_stamp);
 }
 
-TEST(AssignmentIndex, ClearNeverRepeatsAStamp) {
+TEST(AssignmentIndex, StampsAreNotReusedAfterClear) {
   AssignmentIndex index;
-  index.update(job(), {}, {{0, on(kFirst)}});
+  index.update(job(), {}, {{0, assigned_to(kFirst)}});
   const auto before = index.stamp(kFirst);
   index.clear();
   EXPECT_EQ(index.stamp(kFirst), 0u);
   EXPECT_EQ(index.team_use("team").cores(), 0);
-  index.update(job(), {}, {{0, on(kFirst)}});
+  index.update(job(), {}, {{0, assigned_to(kFirst)}});
   EXPECT_GT(index.stamp(kFirst), before);
 }
 
--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -1,4 +1,4 @@
-// What the leader's autoscaler does, and when.
+// Tests of the autoscaler: which actions it plans, and when.
 #include "coordination/fleet/autoscaler.h"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 using protocol::ControllerIncarnation;
 
 const MemberId kSelf("a"), kOther("b");
-const MachineId kMine("i-1"), kTheirs("i-2");
+const MachineId kOwnMachine("i-1"), kOtherMachine("i-2");
 
 class AutoscalerTest : public ::testing::Test {
  protected:
@@ -21,14 +21,14 @@
         autoscaler_(settings_, cache_, priorities_) {
     settings_.teams["t"];
     settings_.controller_zones = {"a"};
-    MachineType small;
-    small.name = "small";
-    small.size.v = {4, 0, 16};
-    small.price = 0.4;
-    small.spot_price = 0.2;
-    small.boot = Seconds(10);
-    small.zones = {"a"};
-    apply(protocol::kCatalogueKey, to_json(std::vector{small}));
+    MachineType small_type;
+    small_type.name = "small";
+    small_type.size.v = {4, 0, 16};
+    small_type.price = 0.4;
+    small_type.spot_price = 0.2;
+    small_type.boot = Seconds(10);
+    small_type.zones = {"a"};
+    apply(protocol::kCatalogueKey, to_json(std::vector{small_type}));
     protocol::View view;
     view.epoch = base::Epoch(1);
     view.members = {ControllerIncarnation{kSelf, base::Incarnation(1)},
@@ -56,15 +56,15 @@
     apply(protocol::job_key(record.spec.id), to_json(record));
     priorities_.update(fleet_.now);
   }
-  void advance(double s) {
-    fleet_.now = base::after(fleet_.now, Seconds(s));
-    fleet_.wall_now += s;
+  void advance(double seconds) {
+    fleet_.now = base::after(fleet_.now, Seconds(seconds));
+    fleet_.wall_now += seconds;
   }
   ScalingActions plan(const ReleaseRequests& requests = {}) {
     return autoscaler_.plan(fleet_, requests, [](const base::JobId&) { return false; });
   }
-  // A machine that is idle since the start.
-  static MachineStatus idle(const MachineId& id) {
+  // Returns the status of a machine that has been idle since the start of the test.
+  static MachineStatus idle_machine(const MachineId& id) {
     MachineStatus status;
     status.id = id;
     status.type = "small";
@@ -83,8 +83,9 @@
 
 }  // namespace
 
-// To rent for tasks that may have capacity on machines not yet heard of would pay for it twice.
-TEST_F(AutoscalerTest, SomePartitionUnknown_NothingIsRented) {
+// While the machines of a partition are unknown, waiting tasks may have capacity there. Renting for
+// them then would pay for the capacity twice.
+TEST_F(AutoscalerTest, PartitionUnknown_RentsNothing) {
   add_service();
   EXPECT_TRUE(plan().plan.scale_out.empty());
   advance(60);
@@ -96,15 +97,15 @@
   EXPECT_EQ(actions.plan.scale_out[0].kind.type, "small");
 }
 
-TEST_F(AutoscalerTest, MachineIsBooting_IsCountedOn) {
+TEST_F(AutoscalerTest, RentedMachineBooting_CountsAsCapacity) {
   add_service();
   advance(60);
-  autoscaler_.record_rented({"small", "a", false}, {kMine}, fleet_.wall_now);
+  autoscaler_.record_rented({"small", "a", false}, {kOwnMachine}, fleet_.wall_now);
   EXPECT_TRUE(plan().plan.scale_out.empty());
   EXPECT_EQ(autoscaler_.booting_record().writes.at(0).key, protocol::kFleetKey);
 }
 
-TEST_F(AutoscalerTest, KindOutOfCapacity_IsNotRentedUntilTheBackoffEnds) {
+TEST_F(AutoscalerTest, KindOutOfCapacity_IsNotRentedUntilBackoffEnds) {
   add_service();
   advance(60);
   autoscaler_.record_out_of_capacity({"small", "a", false}, fleet_.now);
@@ -113,32 +114,35 @@
   EXPECT_EQ(plan().plan.scale_out.size(), 1u);
 }
 
-// Each owner cordons its own machines: this member at once, the other with its next status.
-TEST_F(AutoscalerTest, IdleMachines_TheirOwnersAreAskedToCordonThem) {
+// Each owner cordons its own machines: this member at once, other members in reply to their next
+// status report.
+TEST_F(AutoscalerTest, IdleMachines_OwnersAreAskedToCordonThem) {
   advance(60);
-  const MachineStatus mine = idle(kMine), theirs = idle(kTheirs);
-  fleet_.partitions = {{kSelf, {&mine}}, {kOther, {&theirs}}};
-  EXPECT_EQ(plan().own.cordon, std::vector{kMine});
-  EXPECT_EQ(autoscaler_.take_requests(kOther).cordon, std::vector{kTheirs});
+  const MachineStatus own_machine = idle_machine(kOwnMachine),
+                      other_machine = idle_machine(kOtherMachine);
+  fleet_.partitions = {{kSelf, {&own_machine}}, {kOther, {&other_machine}}};
+  EXPECT_EQ(plan().own.cordon, std::vector{kOwnMachine});
+  EXPECT_EQ(autoscaler_.take_requests(kOther).cordon, std::vector{kOtherMachine});
 }
 
-TEST_F(AutoscalerTest, OwnerAsksForARelease_IsDoneAlsoBeforeRenting) {
-  EXPECT_EQ(plan({{kTheirs}, {}}).release, std::vector{kTheirs});
+TEST_F(AutoscalerTest, OwnerRequestsRelease_IsReleasedBeforeRentingIsAllowed) {
+  EXPECT_EQ(plan({{kOtherMachine}, {}}).release, std::vector{kOtherMachine});
 }
 
-TEST_F(AutoscalerTest, FailedMachineIsListed_IsToBeReleasedUntilItIs) {
-  const CloudMachine failed{kMine, "small", "a", false, protocol::CloudState::kFailed, Seconds(5)};
+TEST_F(AutoscalerTest, FailedMachineListed_ReleaseIsRequestedUntilRecorded) {
+  const CloudMachine failed{kOwnMachine, "small", "a", false, protocol::CloudState::kFailed,
+                            Seconds(5)};
   autoscaler_.review_list({failed}, fleet_);
-  EXPECT_EQ(plan().release, std::vector{kMine});
-  autoscaler_.record_released({kMine});
+  EXPECT_EQ(plan().release, std::vector{kOwnMachine});
+  autoscaler_.record_released({kOwnMachine});
   EXPECT_TRUE(plan().release.empty());
 }
 
-TEST_F(AutoscalerTest, BootingMachineIsListed_IsCountedOn) {
+TEST_F(AutoscalerTest, BootingMachineListed_CountsAsCapacity) {
   add_service();
   advance(60);
   autoscaler_.review_list(
-      {{kMine, "small", "a", false, protocol::CloudState::kStarting, Seconds(5)}}, fleet_);
+      {{kOwnMachine, "small", "a", false, protocol::CloudState::kStarting, Seconds(5)}}, fleet_);
   EXPECT_TRUE(plan().plan.scale_out.empty());
 }
 
--- a/tests/final_states_test.cpp
+++ b/tests/final_states_test.cpp
@@ -1,4 +1,4 @@
-// The bounded memory of how jobs ended.
+// Tests of the bounded cache of final states.
 #include "storage/final_states.h"
 
 #include <gtest/gtest.h>
@@ -11,17 +11,17 @@
 
 TEST(FinalStates, FirstStateOfAJobIsKept) {
   FinalStates states;
-  EXPECT_TRUE(states.remember(JobId("a"), FinalState{JobStatus::kDone, 10}));
-  EXPECT_FALSE(states.remember(JobId("a"), FinalState{JobStatus::kCancelled, 20}));
+  EXPECT_TRUE(states.add(JobId("a"), FinalState{JobStatus::kDone, 10}));
+  EXPECT_FALSE(states.add(JobId("a"), FinalState{JobStatus::kCancelled, 20}));
   const auto state = states.find(JobId("a"));
   ASSERT_TRUE(state);
   EXPECT_EQ(state->status, JobStatus::kDone);
   EXPECT_EQ(state->at, 10);
 }
 
-TEST(FinalStates, OldestIsForgottenOverCapacity) {
+TEST(FinalStates, OldestStateIsRemovedOverCapacity) {
   FinalStates states(2);
-  for (const char* id : {"a", "b", "a", "c"}) states.remember(JobId(id), FinalState{});
+  for (const char* id : {"a", "b", "a", "c"}) states.add(JobId(id), FinalState{});
   EXPECT_FALSE(states.contains(JobId("a")));
   EXPECT_FALSE(states.find(JobId("a")));
   EXPECT_TRUE(states.contains(JobId("b")));
--- a/tests/fleet_demand_test.cpp
+++ b/tests/fleet_demand_test.cpp
@@ -1,4 +1,5 @@
-// The demand for machines: waiting tasks, and services that are expected.
+// Tests of the demand for machines, from waiting tasks and from services that are expected to
+// arrive.
 #include <gtest/gtest.h>
 
 #include "coordination/fleet/demand_estimator.h"
@@ -39,17 +40,17 @@
     record.submitted = 1000;
     return record;
   }
-  void add(const JobRecord& record, Time at) {
-    cache_.apply({protocol::job_key(record.spec.id), to_json(record), next_version()}, at);
+  void add(const JobRecord& record, Time now) {
+    cache_.apply({protocol::job_key(record.spec.id), to_json(record), next_version()}, now);
     priorities_.update(now_);
   }
   base::Version next_version() { return base::Version(++version_); }
   std::vector<Demand> waiting(const JobPredicate& is_crash_looping = [](const JobId&) {
     return false;
   }) const {
-    return DemandEstimator(settings_, cache_, priorities_).waiting(is_crash_looping, now_);
+    return DemandEstimator(settings_, cache_, priorities_).waiting_demand(is_crash_looping, now_);
   }
-  Time after(double s) const { return base::after(now_, Seconds(s)); }
+  Time after(double seconds) const { return base::after(now_, Seconds(seconds)); }
 
   base::Settings settings_;
   storage::StateCache cache_;
@@ -60,15 +61,15 @@
 
 }  // namespace
 
-TEST_F(FleetDemand, CrashLoopingJob_NeedsNoCapacity) {
+TEST_F(FleetDemand, CrashLoopingJob_HasNoDemand) {
   add(job("run-000001", Kind::kService, 3), now_);
   ASSERT_EQ(waiting().size(), 1u);
   EXPECT_EQ(waiting()[0].count, 3u);
   EXPECT_TRUE(waiting([](const JobId&) { return true; }).empty());
 }
 
-// The quota of the team is shared by its jobs, in the order of their ids.
-TEST_F(FleetDemand, TeamWithAQuota_WaitingTasksCountWithinIt) {
+// The jobs of a team share its quota in the order of their ids.
+TEST_F(FleetDemand, TeamWithQuota_OnlyTasksWithinItAreCounted) {
   JobRecord first = job("run-000001", Kind::kService, 2);
   JobRecord second = job("run-000002", Kind::kService, 2);
   JobRecord third = job("run-000003", Kind::kService, 2);
@@ -82,8 +83,8 @@
   EXPECT_EQ(demand[1].count, 1u);
 }
 
-// What may run one after the other until the deadline needs no machines side by side.
-TEST_F(FleetDemand, ArrayWithADeadline_NeedsCapacityAsFarAsItIsDue) {
+// Tasks that can run one after another before the deadline do not need separate machines.
+TEST_F(FleetDemand, ArrayWithDeadline_DemandGrowsAsDeadlineGetsCloser) {
   JobRecord array = job("run-000001", Kind::kArray, 30);
   array.spec.deadline = Seconds(1000);
   add(array, now_);
@@ -94,27 +95,27 @@
   EXPECT_EQ(waiting()[0].count, 30u);
 }
 
-TEST_F(FleetDemand, ShortestBootTime_IsThatOfTheFastestType) {
+TEST_F(FleetDemand, ShortestBootTime_IsFromTheFastestType) {
   EXPECT_EQ(DemandEstimator(settings_, cache_, priorities_).shortest_boot_time(), Seconds(10));
 }
 
-TEST_F(FleetDemand, ServicesArriveSteadily_ExpectedOnesFollowTheRecentRate) {
+TEST_F(FleetDemand, ServicesArriveSteadily_ExpectedDemandFollowsRecentRate) {
   ServiceArrivals arrivals;
-  const ServiceArrivals::Forecast forecast{now_, Seconds(10), 0.5};
+  const ServiceArrivals::ForecastParameters forecast{now_, Seconds(10), 0.5};
   add(job("run-000001", Kind::kService, 50), now_);
   arrivals.update(cache_, now_);
-  // What was there at the start of the count did not arrive.
-  EXPECT_TRUE(arrivals.expected(forecast, after(60)).empty());
+  // Services that existed when counting started are not arrivals.
+  EXPECT_TRUE(arrivals.expected_demand(forecast, after(60)).empty());
   add(job("run-000002", Kind::kService, 60), after(30));
   add(job("run-000003", Kind::kArray, 60), after(30));
   arrivals.update(cache_, after(60));
   arrivals.update(cache_, after(60));
-  const std::vector<Demand> expected = arrivals.expected(forecast, after(60));
+  const std::vector<Demand> expected = arrivals.expected_demand(forecast, after(60));
   ASSERT_EQ(expected.size(), 1u);
-  // One task a second, for boots of up to 15 s, half of that as headroom.
+  // One task per second arrives. Boots of up to 15 s and a headroom of one half give 8 tasks.
   EXPECT_EQ(expected[0].count, 8u);
   arrivals.update(cache_, after(200));
-  EXPECT_TRUE(arrivals.expected(forecast, after(200)).empty());
+  EXPECT_TRUE(arrivals.expected_demand(forecast, after(200)).empty());
 }
 
 }  // namespace saddleslip::coordination
--- a/tests/fleet_machines_test.cpp
+++ b/tests/fleet_machines_test.cpp
@@ -1,4 +1,5 @@
-// Machines that boot, that the cloud can't give, that are to be released, cordoned or drained.
+// Tests of booting machines, of the backoff for kinds without capacity, and of requests to release,
+// cordon or drain machines.
 #include <gtest/gtest.h>
 
 #include "coordination/fleet/booting_machines.h"
@@ -25,19 +26,21 @@
     fleet_.is_released = [this](const MachineId& id) { return released_.contains(id); };
   }
 
-  void advance(double s) {
-    fleet_.now = base::after(fleet_.now, Seconds(s));
-    fleet_.wall_now += s;
+  void advance(double seconds) {
+    fleet_.now = base::after(fleet_.now, Seconds(seconds));
+    fleet_.wall_now += seconds;
   }
   void report(const MachineId& id, bool unsure = false) {
     status_.id = id;
     status_.unsure = unsure;
     fleet_.partitions = {{kOther, {&status_}}};
   }
-  std::size_t likely() const { return booting_.likely(fleet_.now, fleet_.wall_now).size(); }
+  std::size_t count_likely_to_boot() const {
+    return booting_.likely_to_boot(fleet_.now, fleet_.wall_now).size();
+  }
 
   base::Settings settings_;
-  storage::StateCache cache_;  // without a catalogue: 30 s is the usual boot time
+  storage::StateCache cache_;  // without a catalogue, the usual boot time is 30 s
   BootingMachines booting_;
   PendingReleases releases_;
   FleetStatus fleet_;
@@ -47,7 +50,7 @@
 
 }  // namespace
 
-TEST(CapacityBackoff, RefusalsInARow_DoubleTheWaitUpToABound) {
+TEST(CapacityBackoff, ConsecutiveRefusals_DoubleTheDelayUpToALimit) {
   CapacityBackoff backoff;
   const Time now = base::after(Time{}, Seconds(500));
   for (const double wait : {8.0, 16.0, 32.0, 64.0, 64.0}) {
@@ -59,7 +62,7 @@
   EXPECT_EQ(backoff.retry_at().at(kKind), base::after(now, Seconds(8)));
 }
 
-TEST(MemberRequests, TakenByTheirMember_AreGivenOnce) {
+TEST(MemberRequests, TakenByTheMember_AreReturnedOnce) {
   MemberRequests requests;
   requests.add_cordon(kOther, kFirst);
   requests.add_drain(kOther, kSecond);
@@ -71,29 +74,29 @@
   EXPECT_TRUE(requests.take(kOther).drain.empty());
 }
 
-TEST_F(FleetMachines, BootingMachineReportsOrIsReleased_IsForgotten) {
+TEST_F(FleetMachines, BootingMachineReportsOrIsReleased_IsRemoved) {
   booting_.add(kFirst, kKind, fleet_.wall_now);
   booting_.add(kSecond, kKind, fleet_.wall_now);
-  EXPECT_EQ(likely(), 2u);
+  EXPECT_EQ(count_likely_to_boot(), 2u);
   report(kFirst);
   EXPECT_TRUE(booting_.remove_finished_boots(fleet_).empty());
-  EXPECT_EQ(likely(), 1u);
+  EXPECT_EQ(count_likely_to_boot(), 1u);
   released_.insert(kSecond);
   EXPECT_TRUE(booting_.remove_finished_boots(fleet_).empty());
   EXPECT_TRUE(booting_.all().empty());
 }
 
-TEST_F(FleetMachines, BootingForTooLong_IsNotCountedOnThenReleased) {
+TEST_F(FleetMachines, BootingForTooLong_IsNotCountedAndThenReleased) {
   booting_.add(kFirst, kKind, fleet_.wall_now);
   advance(70);
-  EXPECT_EQ(likely(), 0u);
+  EXPECT_EQ(count_likely_to_boot(), 0u);
   EXPECT_TRUE(booting_.remove_finished_boots(fleet_).empty());
   advance(70);
   EXPECT_EQ(booting_.remove_finished_boots(fleet_), std::vector{kFirst});
   EXPECT_TRUE(booting_.all().empty());
 }
 
-TEST_F(FleetMachines, RentalOfAnotherIncarnation_IsAdoptedWhileItMayComeUp) {
+TEST_F(FleetMachines, RentalOfAnotherIncarnation_IsAdoptedWhileBooting) {
   CloudMachine machine{kFirst, "small", "a", true, protocol::CloudState::kStarting, Seconds(20)};
   EXPECT_TRUE(booting_.adopt(machine, fleet_.wall_now));
   ASSERT_EQ(booting_.all().size(), 1u);
@@ -104,18 +107,18 @@
   EXPECT_FALSE(booting_.adopt(machine, fleet_.wall_now));
 }
 
-TEST_F(FleetMachines, MachineReportsElsewhere_IsReleasedOnlyIfItsConnectionIsHalfOpen) {
+TEST_F(FleetMachines, MachineReportsToAnotherMember_IsReleasedOnlyIfHalfOpen) {
   const ReleaseRequests requests{{kFirst, kSecond}, {kFirst}};
-  EXPECT_EQ(releases_.due(requests, fleet_), std::vector{kSecond});
-  // Its owner hears it and is not heard: the connection is half-open.
+  EXPECT_EQ(releases_.machines_to_release(requests, fleet_), std::vector{kSecond});
+  // The owner receives its heartbeats but its responses are lost: the connection is half-open.
   report(kFirst, true);
-  EXPECT_EQ(releases_.due(requests, fleet_), (std::vector{kFirst, kSecond}));
+  EXPECT_EQ(releases_.machines_to_release(requests, fleet_), (std::vector{kFirst, kSecond}));
   released_.insert(kSecond);
-  EXPECT_EQ(releases_.due(requests, fleet_), std::vector{kFirst});
+  EXPECT_EQ(releases_.machines_to_release(requests, fleet_), std::vector{kFirst});
 }
 
-TEST_F(FleetMachines, MachineUnheardUnderOneViewForTheLimit_IsReleased) {
-  const auto is_due = [&] { return !releases_.due({}, fleet_).empty(); };
+TEST_F(FleetMachines, MachineUnreportedForTheLimitUnderOneView_IsReleased) {
+  const auto is_due = [&] { return !releases_.machines_to_release({}, fleet_).empty(); };
   releases_.record_unreported(kFirst, fleet_, Seconds(50));
   advance(40);
   fleet_.view_installed_at = fleet_.now;
@@ -129,7 +132,7 @@
   EXPECT_FALSE(is_due());
 }
 
-TEST_F(FleetMachines, MachineReportedOrLeftTheList_LimitStartsAnew) {
+TEST_F(FleetMachines, MachineReportedOrUnlisted_LimitStartsAgain) {
   releases_.record_unreported(kFirst, fleet_, Seconds(50));
   releases_.record_unreported(kSecond, fleet_, Seconds(50));
   releases_.record_reporting(kFirst);
@@ -137,7 +140,7 @@
   advance(60);
   releases_.record_unreported(kFirst, fleet_, Seconds(50));
   releases_.record_unreported(kSecond, fleet_, Seconds(50));
-  EXPECT_TRUE(releases_.due({}, fleet_).empty());
+  EXPECT_TRUE(releases_.machines_to_release({}, fleet_).empty());
 }
 
 }  // namespace saddleslip::coordination
--- a/tests/job_test.cpp
+++ b/tests/job_test.cpp
@@ -1,4 +1,4 @@
-// A job as its own record and the records of its tasks say.
+// Tests of a job and of the state derived from its records.
 #include "storage/job.h"
 
 #include <gtest/gtest.h>
@@ -9,23 +9,23 @@
 
 const MachineId kMachine("i-1");
 
-// A job of 150 tasks in chunks of 100.
+// Returns the record of a job with 150 tasks in chunks of 100.
 JobRecord record(TaskNo piece = 0) {
-  JobRecord out;
-  out.spec.id = JobId("run-000001");
-  out.spec.tasks = 150;
-  out.chunk = 100;
-  out.piece = piece;
-  return out;
+  JobRecord result;
+  result.spec.id = JobId("run-000001");
+  result.spec.tasks = 150;
+  result.chunk = 100;
+  result.piece = piece;
+  return result;
 }
 
 Chunk chunk(TaskNo count, const std::vector<TaskNo>& done, const std::vector<TaskNo>& assigned) {
-  Chunk out{{}, Version(2)};
-  out.record.done.assign(count, false);
-  for (const TaskNo offset : done) out.record.done[offset] = true;
+  Chunk result{{}, Version(2)};
+  result.record.done.assign(count, false);
+  for (const TaskNo offset : done) result.record.done[offset] = true;
   for (const TaskNo task : assigned)
-    out.record.assigned[task] = {kMachine, Attempt(1), base::AgentIncarnation(1)};
-  return out;
+    result.record.assigned[task] = {kMachine, Attempt(1), base::AgentIncarnation(1)};
+  return result;
 }
 
 }  // namespace
@@ -38,7 +38,7 @@
   EXPECT_EQ(job.assignment(149), nullptr);
 }
 
-TEST(Job, ReplacedChunkIsCountedAnew) {
+TEST(Job, ReplacingAChunkUpdatesTheCounts) {
   Job job(record(), Version(1), Time{});
   job.replace_chunk(1, chunk(50, {0, 1}, {102}), Time{std::chrono::seconds(5)});
   EXPECT_EQ(job.pending(), 147u);
@@ -64,7 +64,7 @@
   EXPECT_TRUE(job.cancelled_on_record());
 }
 
-TEST(Job, PiecesBeginAsTheUndividedChunkSays) {
+TEST(Job, PiecesStartFromTheUndividedChunk) {
   Job job(record(), Version(1), Time{});
   job.replace_chunk(1, chunk(50, {0, 41}, {142}), Time{});
   job.update_record(record(40), Version(3));
@@ -80,7 +80,7 @@
   EXPECT_TRUE(last.assigned.contains(142));
 }
 
-TEST(Job, KeysCoverPiecesAndUndividedChunks) {
+TEST(Job, TaskRecordKeysIncludePiecesAndUndividedChunks) {
   const Job job(record(40), Version(1), Time{});
   const auto keys = job.task_record_keys();
   ASSERT_EQ(keys.size(), 7u);
@@ -88,8 +88,9 @@
   EXPECT_EQ(keys.back(), protocol::chunk_key(job.record.spec.id, 1));
 }
 
-// Dependencies that were read from lists of their own are in no job record.
-TEST(Job, UpdateKeepsDependenciesOfLists) {
+// Dependencies that were read from separate lists are not part of any job record, so an update must
+// keep them.
+TEST(Job, UpdateKeepsDependenciesFromSeparateLists) {
   JobRecord first = record();
   first.dependency_lists = protocol::DependencyLists{"set", 1};
   Job job(first, Version(1), Time{});
--- a/tests/key_versions_test.cpp
+++ b/tests/key_versions_test.cpp
@@ -1,4 +1,4 @@
-// Which items of the store are new to this process.
+// Tests of which items of the store count as new to this process.
 #include "storage/key_versions.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
   EXPECT_TRUE(versions.is_newer("other", Version(4)));
 }
 
-TEST(KeyVersions, RemovalAheadOfTheWatchHidesOlderItems) {
+TEST(KeyVersions, RemovalAheadOfTheWatchRejectsOlderItems) {
   KeyVersions versions;
   versions.record_value("key", Version(5));
   versions.record_removal("key", Version(8));
@@ -27,7 +27,7 @@
   EXPECT_TRUE(versions.is_newer("key", Version(9)));
 }
 
-TEST(KeyVersions, NothingUpToTheRevisionIsNewer) {
+TEST(KeyVersions, VersionsUpToTheRevisionAreNotNewer) {
   KeyVersions versions;
   versions.record_removal("key", Version(8));
   versions.advance_to(Revision(9));
@@ -38,7 +38,7 @@
   EXPECT_TRUE(versions.is_newer("key", Version(10)));
 }
 
-TEST(KeyVersions, ClearStartsOver) {
+TEST(KeyVersions, ClearResetsVersionsAndRevision) {
   KeyVersions versions;
   versions.record_value("key", Version(5));
   versions.record_removal("removed", Version(6));
--- a/tests/machine_test.cpp
+++ b/tests/machine_test.cpp
@@ -1,4 +1,4 @@
-// Fencing tokens, and what a machine's heartbeats show of it.
+// Tests of a machine's fencing tokens and of what its heartbeats show about them.
 #include "storage/machine.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 
 const Time kNow(std::chrono::seconds(1000));
 
-Time at(double seconds) {
+Time seconds_later(double seconds) {
   return base::after(kNow, Seconds(seconds));
 }
 
@@ -18,27 +18,28 @@
 TEST(Machine, IsHalfOpenAfterTwoUnacknowledgedResponses) {
   Machine machine;
   machine.start_fencing(FencingToken(10));
-  EXPECT_FALSE(machine.track_acknowledgement(FencingToken(0), kNow));  // nothing was sent
+  EXPECT_FALSE(machine.track_acknowledgement(FencingToken(0), kNow));  // no response was sent yet
   machine.token_for_response(Seconds(5), kNow);
-  EXPECT_FALSE(machine.track_acknowledgement(FencingToken(0), at(1)));
+  EXPECT_FALSE(machine.track_acknowledgement(FencingToken(0), seconds_later(1)));
   EXPECT_FALSE(machine.is_half_open());
-  EXPECT_TRUE(machine.track_acknowledgement(FencingToken(0), at(2)));
+  EXPECT_TRUE(machine.track_acknowledgement(FencingToken(0), seconds_later(2)));
   EXPECT_TRUE(machine.is_half_open());
-  EXPECT_EQ(machine.half_open_since, at(1));
-  EXPECT_FALSE(machine.track_acknowledgement(FencingToken(0), at(3)));  // told once
-  machine.track_acknowledgement(machine.last_sent_token, at(4));
+  EXPECT_EQ(machine.half_open_since, seconds_later(1));
+  // The change is returned only once.
+  EXPECT_FALSE(machine.track_acknowledgement(FencingToken(0), seconds_later(3)));
+  machine.track_acknowledgement(machine.last_sent_token, seconds_later(4));
   EXPECT_FALSE(machine.is_half_open());
   EXPECT_FALSE(machine.half_open_since);
 }
 
-TEST(Machine, ResponseTokenIsRenewedWhenItIsOld) {
+TEST(Machine, ResponseTokenIsRaisedWhenItIsOld) {
   Machine machine;
   machine.start_fencing(FencingToken(10));
   machine.fencing_token_since = kNow;
-  EXPECT_EQ(machine.token_for_response(Seconds(5), at(5)), FencingToken(10));
-  EXPECT_EQ(machine.token_for_response(Seconds(5), at(5.1)), FencingToken(11));
+  EXPECT_EQ(machine.token_for_response(Seconds(5), seconds_later(5)), FencingToken(10));
+  EXPECT_EQ(machine.token_for_response(Seconds(5), seconds_later(5.1)), FencingToken(11));
   EXPECT_EQ(machine.last_sent_token, FencingToken(11));
-  EXPECT_EQ(machine.token_for_response(Seconds(5), at(6)), FencingToken(11));
+  EXPECT_EQ(machine.token_for_response(Seconds(5), seconds_later(6)), FencingToken(11));
 }
 
 TEST(Machine, RestartedAgentIsNotConfirmedByItsOldToken) {
@@ -49,25 +50,25 @@
   EXPECT_TRUE(machine.is_confirmed());
   machine.begin_agent_incarnation(kNow);
   EXPECT_FALSE(machine.is_confirmed());
-  EXPECT_TRUE(machine.is_fenced());  // no commands were sent since
+  EXPECT_TRUE(machine.is_fenced());  // no commands were sent since the restart
   EXPECT_TRUE(machine.evict.empty());
 }
 
-TEST(Machine, ConfirmationLastsOnlyAcrossConsecutiveViews) {
+TEST(Machine, ConfirmationIsKeptOnlyAcrossConsecutiveViews) {
   Machine machine;
   machine.start_fencing(FencingToken(10));
   machine.last_heartbeat.fencing_token = FencingToken(10);
   machine.last_answered_at = kNow;
-  machine.continue_fencing(FencingToken(20), true, at(8));
+  machine.continue_fencing(FencingToken(20), true, seconds_later(8));
   EXPECT_TRUE(machine.is_confirmed());
   EXPECT_FALSE(machine.is_fenced());
   EXPECT_EQ(machine.last_answered_at, kNow);
-  machine.continue_fencing(FencingToken(40), false, at(8));
+  machine.continue_fencing(FencingToken(40), false, seconds_later(8));
   EXPECT_FALSE(machine.is_confirmed());
-  EXPECT_EQ(machine.last_answered_at, at(8));
+  EXPECT_EQ(machine.last_answered_at, seconds_later(8));
 }
 
-TEST(Machine, LeastRecentlyUsedImagesGiveWay) {
+TEST(Machine, LeastRecentlyUsedImagesAreRemoved) {
   Machine machine;
   machine.used_image("a", 4, 10);
   machine.used_image("b", 4, 10);
--- a/tests/orphan_records_test.cpp
+++ b/tests/orphan_records_test.cpp
@@ -1,4 +1,4 @@
-// Records in the store whose job is not known.
+// Tests of records in the store whose job is not known.
 #include "storage/orphan_records.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
   EXPECT_EQ(orphans.all().at("key"), Version(9));
 }
 
-TEST(OrphanRecords, RemovedRecordIsNoOrphan) {
+TEST(OrphanRecords, RemovedRecordIsNotAnOrphan) {
   OrphanRecords orphans;
   orphans.add("key", Version(7));
   orphans.remove("other");
--- a/tests/partial_dependencies_test.cpp
+++ b/tests/partial_dependencies_test.cpp
@@ -1,4 +1,4 @@
-// Dependency lists that are read one by one.
+// Tests of dependency lists that are read one at a time.
 #include "storage/partial_dependencies.h"
 
 #include <gtest/gtest.h>
@@ -20,13 +20,14 @@
 
 }  // namespace
 
-TEST(PartialDependencies, NothingIsTakenWhileAListIsMissing) {
+TEST(PartialDependencies, TakeReturnsNothingWhileAListIsMissing) {
   PartialDependencies lists;
   lists.add(key_of(1), Json::array({"c"}));
   EXPECT_FALSE(lists.take_if_complete(kJob, kTwoLists));
   lists.add(key_of(0), Json::array({"a", "b"}));
-  EXPECT_EQ(lists.take_if_complete(kJob, kTwoLists), (std::vector{JobId("a"), JobId("b"), JobId("c")}));
-  EXPECT_FALSE(lists.take_if_complete(kJob, kTwoLists)) << "taken lists are forgotten";
+  EXPECT_EQ(lists.take_if_complete(kJob, kTwoLists),
+            (std::vector{JobId("a"), JobId("b"), JobId("c")}));
+  EXPECT_FALSE(lists.take_if_complete(kJob, kTwoLists)) << "taken lists are removed";
 }
 
 TEST(PartialDependencies, ListOfAnotherSetIsNotTaken) {
@@ -36,7 +37,7 @@
   EXPECT_FALSE(lists.take_if_complete(kJob, kTwoLists));
 }
 
-TEST(PartialDependencies, RemovedListIsMissing) {
+TEST(PartialDependencies, RemovedListCountsAsMissing) {
   PartialDependencies lists;
   lists.add(key_of(0), Json::array({"a"}));
   lists.add(key_of(1), Json::array({"b"}));
@@ -44,7 +45,7 @@
   EXPECT_FALSE(lists.take_if_complete(kJob, kTwoLists));
 }
 
-TEST(PartialDependencies, ElementsThatAreNotStringsAreLeftOut) {
+TEST(PartialDependencies, ElementsThatAreNotStringsAreIgnored) {
   PartialDependencies lists;
   lists.add(key_of(0), Json::array({"a", 7, nullptr}));
   lists.add(key_of(1), Json::array());
--- a/tests/record_layout_test.cpp
+++ b/tests/record_layout_test.cpp
@@ -1,4 +1,4 @@
-// How a job's tasks are spread over its task records.
+// Tests of the layout of a job's tasks in its task records.
 #include "storage/record_layout.h"
 
 #include <gtest/gtest.h>
@@ -7,7 +7,7 @@
 
 namespace {
 
-// A job of 150 tasks in chunks of 100.
+// Returns a job of 150 tasks in chunks of 100, which are divided into pieces if `piece` is not 0.
 JobRecord job_of_two_chunks(TaskNo piece) {
   JobRecord job;
   job.spec.tasks = 150;
@@ -30,7 +30,7 @@
 }
 
 TEST(RecordLayout, PiecesDoNotCrossChunks) {
-  const JobRecord job = job_of_two_chunks(40);  // 40 + 40 + 20, 40 + 10
+  const JobRecord job = job_of_two_chunks(40);  // pieces of 40 + 40 + 20 and 40 + 10 tasks
   const RecordLayout layout(job);
   EXPECT_TRUE(layout.is_divided());
   EXPECT_EQ(layout.record_count(), 5u);
--- a/tests/record_upkeep_test.cpp
+++ b/tests/record_upkeep_test.cpp
@@ -1,4 +1,4 @@
-// Finalization, splitting and garbage collection of the records of jobs.
+// Tests of the finalization, splitting and garbage collection of job records.
 #include <gtest/gtest.h>
 
 #include "coordination/membership/view.h"
@@ -18,9 +18,9 @@
 
 const Version kView(2);
 
-class RecordUpkeep : public ::testing::Test {
+class RecordMaintenance : public ::testing::Test {
  protected:
-  RecordUpkeep() : cache_(settings_) {
+  RecordMaintenance() : cache_(settings_) {
     View view;
     view.epoch = Epoch(1);
     view.members = {self_};
@@ -70,59 +70,60 @@
 
 }  // namespace
 
-TEST_F(RecordUpkeep, DoneJob_IsReplacedByItsFinalState) {
+TEST_F(RecordMaintenance, CompletedJob_IsReplacedByItsFinalState) {
   add_job(job_, 2);
   add_tasks(job_, {true, true});
-  const auto txn = finalize();
-  ASSERT_TRUE(txn);
-  EXPECT_EQ(txn->preconditions.at(protocol::job_key(job_)), cache_.job(job_)->version);
-  EXPECT_TRUE(txn->preconditions.contains(protocol::chunk_key(job_, 0)));
-  cache_.apply(*txn, base::Revision(version_ + 1), Time{});
+  const auto transaction = finalize();
+  ASSERT_TRUE(transaction);
+  EXPECT_EQ(transaction->preconditions.at(protocol::job_key(job_)), cache_.job(job_)->version);
+  EXPECT_TRUE(transaction->preconditions.contains(protocol::chunk_key(job_, 0)));
+  cache_.apply(*transaction, base::Revision(version_ + 1), Time{});
   EXPECT_EQ(cache_.job(job_), nullptr);
   EXPECT_EQ(cache_.final_state(job_)->status, JobStatus::kDone);
   EXPECT_EQ(cache_.final_state(job_)->at, 1000);
 }
 
-TEST_F(RecordUpkeep, JobWithATaskLeft_IsNotFinalized) {
+TEST_F(RecordMaintenance, JobWithUnfinishedTask_IsNotFinalized) {
   add_job(job_, 2);
   add_tasks(job_, {true, false});
   EXPECT_FALSE(finalize());
 }
 
-// Tasks on a machine count for the team's quota, also those of a cancelled job.
-TEST_F(RecordUpkeep, CancelledJobOnAMachine_IsFinalizedOnceItsAssignmentsEnd) {
+// Tasks on a machine count towards the team's quota, also those of a cancelled job, so the job must
+// stay until they end.
+TEST_F(RecordMaintenance, CancelledJobWithAssignedTask_IsFinalizedOnceTheTaskEnds) {
   add_job(job_, 2, true);
   add_tasks(job_, {false, false}, {{0, assignment_}});
   EXPECT_FALSE(finalize());
   add_tasks(job_, {false, false});
-  const auto txn = finalize();
-  ASSERT_TRUE(txn);
-  cache_.apply(*txn, base::Revision(version_ + 1), Time{});
+  const auto transaction = finalize();
+  ASSERT_TRUE(transaction);
+  cache_.apply(*transaction, base::Revision(version_ + 1), Time{});
   EXPECT_EQ(cache_.final_state(job_)->status, JobStatus::kCancelled);
 }
 
-TEST_F(RecordUpkeep, JobWithAnotherHome_IsNotFinalized) {
+TEST_F(RecordMaintenance, JobOfAnotherHomeController_IsNotFinalized) {
   add_job(job_, 1);
   add_tasks(job_, {true});
   EXPECT_FALSE(finalize_one_job(cache_, other_, settings_, 1000));
 }
 
-TEST_F(RecordUpkeep, RecordsLargerThanAValue_AreSplitIntoPiecesThatFit) {
+TEST_F(RecordMaintenance, RecordsOverTheValueLimit_AreSplitIntoPiecesThatFit) {
   settings_.value_bytes = 4096;
   add_job(job_, 200);
-  EXPECT_FALSE(split());  // some controller may not read pieces
+  EXPECT_FALSE(split());  // without a recorded format, some controller may be unable to read pieces
   announce_format(protocol::kFormatWithPieces);
   EXPECT_FALSE(split_one_record(cache_, other_, kView, settings_));
-  const auto txn = split();
-  ASSERT_TRUE(txn);
-  EXPECT_EQ(txn->preconditions.at(protocol::kViewKey), kView);
-  cache_.apply(*txn, base::Revision(version_ + 1), Time{});
+  const auto transaction = split();
+  ASSERT_TRUE(transaction);
+  EXPECT_EQ(transaction->preconditions.at(protocol::kViewKey), kView);
+  cache_.apply(*transaction, base::Revision(version_ + 1), Time{});
   const TaskNo piece = cache_.job(job_)->record.piece;
   EXPECT_EQ(piece, protocol::chunk_size(200, 1, settings_.value_bytes));
   EXPECT_FALSE(split());
 }
 
-TEST_F(RecordUpkeep, RecordsThatFitOrAreOfCancelledJobs_AreNotSplit) {
+TEST_F(RecordMaintenance, RecordsThatFitOrBelongToCancelledJobs_AreNotSplit) {
   settings_.value_bytes = 4096;
   announce_format(protocol::kFormatWithPieces);
   add_job(job_, 4);
@@ -130,20 +131,20 @@
   EXPECT_FALSE(split());
 }
 
-TEST_F(RecordUpkeep, OrphanedRecords_AreRemovedAsManyAsATransactionHolds) {
+TEST_F(RecordMaintenance, OrphanedRecords_AreRemovedUpToTheTransactionLimit) {
   settings_.txn_ops = 2;
   for (const char* id : {"run-000001", "run-000002", "run-000003"}) add_tasks(JobId(id), {true});
   EXPECT_FALSE(collect_garbage(cache_, other_, settings_));
-  const auto txn = collect_garbage(cache_, self_, settings_);
-  ASSERT_TRUE(txn);
-  ASSERT_EQ(txn->writes.size(), 2u);
-  for (const auto& write : txn->writes) {
+  const auto transaction = collect_garbage(cache_, self_, settings_);
+  ASSERT_TRUE(transaction);
+  ASSERT_EQ(transaction->writes.size(), 2u);
+  for (const auto& write : transaction->writes) {
     EXPECT_FALSE(write.value);
-    EXPECT_TRUE(txn->preconditions.contains(write.key));
+    EXPECT_TRUE(transaction->preconditions.contains(write.key));
   }
-  // A job that the state cache has not received yet keeps its records.
-  EXPECT_EQ(txn->preconditions.at(protocol::job_key(job_)), Version(0));
-  cache_.apply(*txn, base::Revision(version_ + 1), Time{});
+  // The precondition protects the records of a job that the state cache has not received yet.
+  EXPECT_EQ(transaction->preconditions.at(protocol::job_key(job_)), Version(0));
+  cache_.apply(*transaction, base::Revision(version_ + 1), Time{});
   EXPECT_EQ(cache_.orphans().size(), 1u);
 }
 
