--- a/src/coordination/fleet/boot_tracker.cpp
+++ b/src/coordination/fleet/boot_tracker.cpp
@@ -9,19 +9,21 @@
 
 namespace {
 
+// Boots that completed longer ago than this are ignored.
 constexpr Seconds kRecentBootMaxAge{180.0};
 constexpr std::size_t kMaxBootsPerKind = 64;  // recorded boots of one kind of machine
 // A boot is overdue after this factor times the usual boot time of its type, plus the margin: the
 // cloud's list and the first heartbeat are delayed too.
-constexpr double kOverdueFactor = 2;
-constexpr Seconds kOverdueMargin{10.0};
+constexpr double kOverdueBootFactor = 2;
+constexpr Seconds kOverdueBootMargin{10.0};
 // A boot has failed after this factor times the usual boot time of its type, plus the margin.
-constexpr double kGivenUpFactor = 4;
-constexpr Seconds kGivenUpMargin{20.0};
-// Factors on the slowest recent boot of the same kind: up to the first, an overdue machine is still
-// likely to come up; after the second, it is given up.
-constexpr double kLikelyOfSlowest = 1.25;
-constexpr double kGivenUpOfSlowest = 1.5;
+constexpr double kFailedBootFactor = 4;
+constexpr Seconds kFailedBootMargin{20.0};
+// An overdue machine is still likely to come up while it is younger than this factor times the
+// slowest recent boot of its kind.
+constexpr double kLikelyFactorOfSlowestBoot = 1.25;
+// A boot has not failed before this factor times the slowest recent boot of its kind.
+constexpr double kFailedFactorOfSlowestBoot = 1.5;
 
 }  // namespace
 
@@ -52,13 +54,13 @@
 }
 
 bool BootTracker::is_overdue(Seconds age, Seconds usual_boot_time) {
-  return age >= usual_boot_time * kOverdueFactor + kOverdueMargin;
+  return age >= usual_boot_time * kOverdueBootFactor + kOverdueBootMargin;
 }
 
 bool BootTracker::is_likely_to_boot(const MachineKind& kind, Seconds age, Seconds usual_boot_time,
                                     const BootingCount& all, Time now) const {
   if (!is_overdue(age, usual_boot_time)) return true;
-  if (age < recent(kind, now).slowest * kLikelyOfSlowest) return true;
+  if (age < recent(kind, now).slowest * kLikelyFactorOfSlowestBoot) return true;
   // If more machines are overdue than have reported lately, boots of the whole type are slow, and
   // this machine is probably not lost.
   return all.overdue > 1 && all.overdue > recent_of_type(kind.type, now) &&
@@ -67,8 +69,8 @@
 
 bool BootTracker::has_failed_to_boot(const MachineKind& kind, Seconds age, Seconds usual_boot_time,
                                      Time now) const {
-  return age >= std::max(usual_boot_time * kGivenUpFactor + kGivenUpMargin,
-                         recent(kind, now).slowest * kGivenUpOfSlowest);
+  return age >= std::max(usual_boot_time * kFailedBootFactor + kFailedBootMargin,
+                         recent(kind, now).slowest * kFailedFactorOfSlowestBoot);
 }
 
 }  // namespace saddleslip::coordination
--- a/src/coordination/fleet/demand_estimator.cpp
+++ b/src/coordination/fleet/demand_estimator.cpp
@@ -14,11 +14,15 @@
 
 constexpr double kRunTimeMargin = 1.2;  // factor on the estimated run time
 constexpr double kBootMargin = 1.5;     // factor on the usual boot time
-constexpr double kWaveMargin = 1.3;     // factor on a run time, when runs follow each other
-constexpr double kMaxWaves = 3;         // consecutive runs on one machine that are planned for
-constexpr double kRemainingShareOfRunning = 0.6;  // share of a running task's run time still ahead
-constexpr double kMinCores = 0.01;                // for a task that requests no cores
-constexpr double kQuotaTolerance = 1e-9;          // rounding error of sums of fractional cores
+// Factor on the run time of tasks that run one after another on the same cores.
+constexpr double kWaveMargin = 1.3;
+// The maximum number of tasks planned to run one after another on the same cores.
+constexpr double kMaxWaves = 3;
+// The share of a running task's run time that is assumed to remain.
+constexpr double kRemainingShareOfRunning = 0.6;
+constexpr double kMinCores = 0.01;  // for a task that requests no cores
+// Tolerance for rounding errors in sums of fractional cores.
+constexpr double kQuotaTolerance = 1e-9;
 
 double cores_of(const JobSpec& spec) {
   return std::max(kMinCores, spec.request.cores());
--- a/src/coordination/fleet/scaling_plan.cpp
+++ b/src/coordination/fleet/scaling_plan.cpp
@@ -13,7 +13,8 @@
 // A machine with a higher share of its cores in use is not drained.
 constexpr double kMaxCoreUseToDrain = 0.55;
 constexpr std::size_t kMaxRentedPerPlan = 200;
-// One plan drains at most one of 40 machines, but always allows one.
+// The number of machines is divided by this to get how many one plan may drain; one is always
+// allowed.
 constexpr std::size_t kMachinesPerDrain = 40;
 
 // Factors on the price of a machine in an unsuitable zone. Services are placed in the zones of the
@@ -22,12 +23,12 @@
 constexpr double kSpotInControllerZonesFactor = 1.05;
 // Higher than the factor for spot instances, because services run only on on-demand machines.
 constexpr double kOnDemandInControllerZonesFactor = 1.3;
-// The relative price increase of a zone that already holds all machines, compared to one that holds
-// none.
+// Prices are raised by up to this fraction for a zone, in proportion to the share of all machines
+// that it already holds.
 constexpr double kZoneSpreadWeight = 0.02;
 
-// A zone is considered cut off if at least two machines, and more than half of its machines, are
-// silent.
+// The minimum number of silent machines in a zone that is considered cut off. They must also be
+// more than half of its machines.
 constexpr int kMinSilentInCutOffZone = 2;
 
 // Returns the price of a machine of this type per task of the demand, when filled with its tasks,
--- a/src/coordination/records/maintenance.cpp
+++ b/src/coordination/records/maintenance.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // How long the list of owned machines without a heartbeat is reused before it is computed again.
-constexpr Seconds kUnheardListMaxAge{0.3};
+constexpr Seconds kOwnedWithoutHeartbeatMaxAge{0.3};
 // How long an agent whose response was lost may take to report again.
 constexpr Seconds kLostResponseTimeout{6.0};
 // How long, beyond one heartbeat interval, an agent whose controller ended may take to find its new
@@ -20,7 +20,8 @@
 constexpr Seconds kOwnerSearchTime{6.0};
 // A machine counts as silent only after this share of a worker lease at the earliest.
 constexpr double kMinLeaseShare = 0.35;
-// Up to one machine in five may fall silent by itself; a larger share indicates a network fault.
+// The number of owned machines is divided by this to get how many may be silent independently of
+// each other. More at once indicate a network fault.
 constexpr std::size_t kMachinesPerExpectedSilent = 5;
 // A machine that is silent for longer than this, in worker leases, is released in any case.
 constexpr double kUnconditionalReleaseLeases = 6.0;
@@ -33,7 +34,7 @@
 }  // namespace
 
 const std::vector<MachineId>& Controller::unheard_owned(Time now) {
-  if (base::between(unheard_owned_at_, now) < kUnheardListMaxAge &&
+  if (base::between(unheard_owned_at_, now) < kOwnedWithoutHeartbeatMaxAge &&
       unheard_owned_at_ > view_installed_at_) {
     return unheard_owned_;
   }
@@ -91,10 +92,10 @@
   };
   // An agent whose response was lost first waits for it, then tries the next controller, which
   // redirects it to this one.
-  const Seconds unreported = std::max(limit_for(1.75, Seconds(1.0)), kLostResponseTimeout);
+  const Seconds heartbeat_limit = std::max(limit_for(1.75, Seconds(1.0)), kLostResponseTimeout);
   // An agent that receives no responses reports less often, since it tries one controller after
   // another.
-  return {unreported, limit_for(2.5, Seconds(2.0))};
+  return {heartbeat_limit, limit_for(2.5, Seconds(2.0))};
 }
 
 // Requests the release of cordoned machines that are empty, and moves services off machines that
@@ -119,27 +120,28 @@
     const bool is_past_notice = machine.taken_at && now > *machine.taken_at;
     // While this controller had no authority, agents tried other controllers, so that time does not
     // count as silence.
-    const Seconds unreported =
+    const Seconds silence_duration =
         base::between(std::max(machine.last_heartbeat_at, listening_since()), now);
-    const bool is_silent = unreported > (is_past_notice ? interval * 2.0 : limits.unheard);
+    const bool is_silent = silence_duration > (is_past_notice ? interval * 2.0 : limits.unheard);
     // A half-open machine: its heartbeats arrive but responses do not reach it, or the heartbeats
     // are late copies from a dead machine.
     const bool is_half_open = machine.is_half_open() &&
                               base::between(std::max(*machine.half_open_since, listening_since()),
                                             now) > limits.unanswered;
     if (is_silent || is_half_open) census.silent.insert(id);
-    if (is_silent || is_half_open || unreported > interval * storage::kOverdue) ++census.overdue;
+    if (is_silent || is_half_open || silence_duration > interval * storage::kOverdue)
+      ++census.overdue;
   }
   for (const MachineId& id : unheard_owned(now)) {
     if (machines_.contains(id) || released_.contains(id) || cache_.assignments_on(id).empty())
       continue;
     ++census.owned;
     const Time since = owned_since_.try_emplace(id, now).first->second;
-    const Seconds unreported = base::between(std::max(since, listening_since()), now);
+    const Seconds silence_duration = base::between(std::max(since, listening_since()), now);
     // Agents whose controller has ended need some time to find their new owner.
-    const Seconds finding_owner = interval + kOwnerSearchTime;
-    if (unreported > std::max(limits.unheard, finding_owner)) census.silent.insert(id);
-    if (unreported > finding_owner) ++census.overdue;
+    const Seconds owner_search_limit = interval + kOwnerSearchTime;
+    if (silence_duration > std::max(limits.unheard, owner_search_limit)) census.silent.insert(id);
+    if (silence_duration > owner_search_limit) ++census.overdue;
   }
   return census;
 }
--- a/src/storage/state_cache.cpp
+++ b/src/storage/state_cache.cpp
@@ -126,7 +126,7 @@
 void StateCache::update_job(Job& job, JobRecord record, Version version, Time now) {
   job.update_record(std::move(record), version);
   if (job.needs_dividing()) divide_chunks(job, now);
-  touch_machines_of(job);
+  change_machine_stamps(job);
   if (job.record.cancelled) cancel_dependents(job.record.spec.id);
 }
 
@@ -160,7 +160,7 @@
   if (entry == jobs_.end() || entry->second.cancelled()) return;
   entry->second.notify_cancelled = true;
   ++job_changes_;
-  touch_machines_of(entry->second);
+  change_machine_stamps(entry->second);
 }
 
 // --- Dependencies
@@ -213,7 +213,7 @@
     if (entry == jobs_.end() || entry->second.dependency_cancelled) continue;
     entry->second.dependency_cancelled = true;
     ++job_changes_;
-    touch_machines_of(entry->second);
+    change_machine_stamps(entry->second);
   }
 }
 
@@ -312,7 +312,7 @@
   for (const Chunk& chunk : chunks) assignments_.update(job.record.spec, chunk.record.assigned, {});
 }
 
-void StateCache::touch_machines_of(const Job& job) {
+void StateCache::change_machine_stamps(const Job& job) {
   for (const Chunk& chunk : job.chunks) assignments_.change_stamps(chunk.record.assigned);
 }
 
--- a/src/storage/state_cache.h
+++ b/src/storage/state_cache.h
@@ -175,7 +175,7 @@
   void remove_assignments(const Job& job, const std::vector<Chunk>& chunks);
   // Changes the stamps of all machines with a task of the job, because whether these tasks should
   // keep running has changed.
-  void touch_machines_of(const Job& job);
+  void change_machine_stamps(const Job& job);
 
   const base::Settings& settings_;
   std::map<JobId, Job> jobs_;
--- a/tests/state_cache_test.cpp
+++ b/tests/state_cache_test.cpp
@@ -197,7 +197,7 @@
   EXPECT_TRUE(cache.assignments_on(MachineId("i-40")).empty());
   cache.apply(tasks_record(protocol::chunk_key(id, 0), 0, 100, 5, {40}, 6), Time{});
   EXPECT_TRUE(cache.assignments_on(MachineId("i-40")).empty())
-      << "an older record than the piece's";
+      << "the chunk's record is older than the piece's own record";
   EXPECT_TRUE(cache.assignments_on(MachineId("i-39")).empty());
   EXPECT_EQ(job->assigned, 1u);
   // All its records become orphans once the job is finished.
