--- a/src/coordination/fleet/scaling_plan.cpp
+++ b/src/coordination/fleet/scaling_plan.cpp
@@ -320,7 +320,7 @@
   }
   std::stable_sort(candidates.begin(), candidates.end(),
                    [](const DrainCandidate& a, const DrainCandidate& b) {
-                     return a.saved_per_service > b.saved_per_service;
+                     return a.saved_price_per_service > b.saved_price_per_service;
                    });
   return candidates;
 }
--- a/src/storage/job.h
+++ b/src/storage/job.h
@@ -76,13 +76,13 @@
   void replace_chunk(std::size_t number, Chunk chunk, Time now);
   // Returns whether the job's record divides the chunks into pieces and this has not been done here
   // yet.
-  bool needs_dividing() const { return record.piece != 0 && undivided_chunks.empty(); }
-  // Moves the chunks to `undivided_chunks` and creates empty task records for their pieces.
-  // `piece_of_undivided_chunk` returns the initial contents of each piece.
+  bool needs_dividing() const { return record.piece != 0 && whole.empty(); }
+  // Moves the chunks to `whole` and creates empty task records for their pieces.
+  // `piece_of_whole` returns the initial contents of each piece.
   void divide();
   // Returns the contents of a piece that has no record of its own, taken from the record of its
   // undivided chunk. Requires divided chunks.
-  ChunkRecord piece_of_undivided_chunk(std::uint32_t piece) const;
+  ChunkRecord piece_of_whole(std::uint32_t piece) const;
 
   // --- State
 
@@ -93,7 +93,7 @@
   std::vector<Chunk> chunks;
   // The records of the undivided chunks, or empty if the chunks are not divided. No task is started
   // from these records.
-  std::vector<Chunk> undivided_chunks;
+  std::vector<Chunk> whole;
   // The number of completed tasks.
   TaskNo done = 0;
   // The number of tasks assigned to machines.
--- a/src/storage/state_cache.cpp
+++ b/src/storage/state_cache.cpp
@@ -268,7 +268,7 @@
   const RecordLayout layout(job.record);
   if (key->is_piece && !layout.is_divided()) return;
   const bool is_undivided_chunk = !key->is_piece && layout.is_divided();
-  const std::vector<Chunk>& chunks = is_undivided_chunk ? job.undivided_chunks : job.chunks;
+  const std::vector<Chunk>& chunks = is_undivided_chunk ? job.whole : job.chunks;
   if (key->chunk >= chunks.size()) return;
   const TaskRange tasks =
       is_undivided_chunk ? layout.tasks_of_chunk(key->chunk) : layout.tasks_of_record(key->chunk);
@@ -279,7 +279,7 @@
   }
   const Version version = item.value.is_null() ? Version(0) : item.version;
   if (is_undivided_chunk) {
-    job.undivided_chunks[key->chunk] = {std::move(*record), version};
+    job.whole[key->chunk] = {std::move(*record), version};
     derive_pieces(job, key->chunk, now);
   } else {
     replace_chunk(job, key->chunk, {std::move(*record), version}, now);
@@ -288,9 +288,8 @@
 
 void StateCache::divide_chunks(Job& job, Time now) {
   job.divide();
-  remove_assignments(job, job.undivided_chunks);
-  for (std::uint32_t chunk = 0; chunk < job.undivided_chunks.size(); ++chunk)
-    derive_pieces(job, chunk, now);
+  remove_assignments(job, job.whole);
+  for (std::uint32_t chunk = 0; chunk < job.whole.size(); ++chunk) derive_pieces(job, chunk, now);
 }
 
 void StateCache::derive_pieces(Job& job, std::uint32_t chunk, Time now) {
@@ -298,7 +297,7 @@
   const std::size_t end = std::min<std::size_t>(layout.end_of_pieces(chunk), job.chunks.size());
   for (std::uint32_t piece = layout.first_piece(chunk); piece < end; ++piece) {
     if (job.chunks[piece].version.get() != 0) continue;
-    replace_chunk(job, piece, {job.piece_of_undivided_chunk(piece), Version(0)}, now);
+    replace_chunk(job, piece, {job.piece_of_whole(piece), Version(0)}, now);
   }
 }
 
--- a/tests/job_test.cpp
+++ b/tests/job_test.cpp
@@ -72,9 +72,9 @@
   job.divide();
   EXPECT_FALSE(job.needs_dividing());
   EXPECT_EQ(job.chunks.size(), 5u);
-  EXPECT_EQ(job.undivided_chunks.size(), 2u);
+  EXPECT_EQ(job.whole.size(), 2u);
   EXPECT_EQ(job.done, 0u);
-  const ChunkRecord last = job.piece_of_undivided_chunk(4);  // tasks 140 to 149
+  const ChunkRecord last = job.piece_of_whole(4);  // tasks 140 to 149
   EXPECT_EQ(last.done_count(), 1u);
   EXPECT_TRUE(last.done[1]);
   EXPECT_TRUE(last.assigned.contains(142));
