--- a/src/api/user_api.h
+++ b/src/api/user_api.h
@@ -1,4 +1,4 @@
-// What users ask: to submit a job, to see its status, to cancel it.
+// The API for users: submits jobs, reports their status and cancels them.
 #pragma once
 
 #include <functional>
@@ -13,104 +13,128 @@
 
 namespace saddleslip {
 
-// Answers the requests of users.
+// Handles users' requests to submit a job, to read its status and to cancel it.
 //
-// Contract: a user is told nothing that another controller could contradict later. A job is accepted
-// once its record is committed, and stays so whatever a repeated submission holds. A status is told from
-// a local cache that was brought up to date after the request came, or is a final state, which never
-// changes. What cannot be decided so is answered with 503, and may be tried again.
+// Consistency: replies are linearizable across all controllers. A job is accepted once its record is
+// committed, and no later submission of the same id changes that. A reported status is either final,
+// and then never changes, or read from a local cache that was brought up to date after the request
+// arrived. If neither is possible, the reply is 503 and the user may retry.
 //
-// Threading: any thread may call, and several at once. Calls block on the state service. The mutex is
-// that of the controller: it is held for reads and updates of the controller's cache only, and never
-// while the state service is called. It must not be held by the caller.
+// Threading: all functions may be called by several threads at once, and block on calls to the state
+// service. The mutex guards the controller. It is with_lock only to read or update the controller's
+// cache and never during a call to the state service; the caller must not hold it.
 //
-// Ownership: refers to the settings, mutex and controller, which must outlive it.
+// Lifetime: keeps references to the settings, the mutex and the controller, which must outlive it.
 class UserApi {
  public:
-  // The state service, and the daemon that this is part of. All functions may be called by several
-  // threads at once.
+  // Callbacks for access to the state service and for notifications to the process that owns this
+  // object. All of them may be called by several threads at once.
   struct Store {
-    // Brings the local cache up to the store's state at a moment after the call; false: it could not.
+    // Brings the local cache up to date with the store as of some moment after the call. Returns
+    // false if that failed.
     std::function<bool()> read_barrier;
     std::function<protocol::StateClient::Got(const std::string& key)> get;
     std::function<protocol::StateClient::Committed(const protocol::Transaction& transaction)>
         commit;
-    std::function<double()> wall;   // seconds since 1970
-    std::function<void()> changed;  // a job was accepted or cancelled: a scheduling round is due
-    // A cancellation was committed, and its user is about to be told: the other controllers are told
-    // at once, since one of them may have no contact to the state service.
-    std::function<void(const base::JobId& id)> cancelled;
+    std::function<double()> time_of_day;  // in seconds since 1970
+    // Requests a scheduling round after a job was accepted or cancelled.
+    std::function<void()> request_scheduling_round;
+    // Sends a committed cancellation to the other controllers before the user gets the reply. A
+    // controller that cannot reach the state service learns of the cancellation only this way.
+    std::function<void(const base::JobId& id)> broadcast_cancellation;
   };
   UserApi(const base::Settings& settings, std::mutex& mutex, coordination::Controller& controller,
           Store store)
       : settings_(settings), mutex_(mutex), controller_(controller), store_(std::move(store)) {}
 
-  // `body`: the job as JSON. 201: accepted; 200: it was accepted before; 400, 422: refused.
+  // Submits the job described by the JSON text `body`. Replies 201 if the job is accepted now, 200 if
+  // it was accepted before, 400 or 422 if it is refused, and 503 if the user has to retry.
   transport::Reply submit(const std::string& body, base::Time now);
+  // Replies 200 with the job's status, 404 if the job was never accepted, or 503.
   transport::Reply status(const base::JobId& id);
-  // 200 with the job's final status, which is another than cancelled if it was done before.
+  // Cancels a job. Replies 200 with the job's final status, which is not "cancelled" if the job was
+  // done before; 404 if the job was never accepted; or 503.
   transport::Reply cancel(const base::JobId& id, base::Time now);
 
  private:
+  // Whether any controller has accepted a job.
   enum class Acceptance {
     kAccepted,
-    kNever,    // no controller ever accepted the job
-    kUnknown,  // the state service did not answer, or not in time
+    kNeverAccepted,
+    kUnknown,  // the state service did not answer in time
   };
+  // The part of a job's state that users see.
   struct JobState {
     protocol::JobStatus status = protocol::JobStatus::kQueued;
-    std::optional<base::TaskNo> done, running;  // numbers of tasks; none for final jobs
+    std::optional<base::TaskNo> done_tasks,
+        running_tasks;  // numbers of tasks; not set for final jobs
   };
+  // The result of looking up a job in the cache and the store.
   struct LookupResult {
     Acceptance acceptance = Acceptance::kUnknown;
-    JobState state;  // if it was accepted
+    JobState state;  // meaningful only if the job was accepted
   };
+  // The result of looking up all dependencies of a submission.
   struct DependencyLookup {
-    Acceptance acceptance = Acceptance::kAccepted;  // of all dependencies
-    base::JobId never_accepted;                     // the first that never was
-    bool is_cancelled = false;  // one of them is cancelled, and so is what depends on it
+    Acceptance acceptance = Acceptance::kAccepted;  // kAccepted if all dependencies were accepted
+    base::JobId never_accepted;  // the first dependency that no controller has accepted
+    bool is_cancelled = false;   // a dependency is cancelled, which cancels the dependent job too
   };
-  // What is known of a new submission without a call to the state service.
+  // The result of checking a submission against the cache, without a call to the state service.
   struct LocalCheck {
-    bool is_known = false;                    // a job of this id was accepted
-    std::optional<transport::Reply> refusal;  // why it cannot be accepted, unless it was before
+    bool was_accepted = false;  // the cache holds a job of this id
+    // The reply that refuses the submission. Does not apply to a job that was accepted before.
+    std::optional<transport::Reply> refusal;
   };
 
-  // The state of a job, not older than anything that any controller has told.
-  LookupResult look_up(const base::JobId& id);
-  // The final state of a job, from the cache. The store's are in it once read_final has read them.
-  std::optional<protocol::FinalState> cached_final(const base::JobId& id);
-  // The state of a job, final or not, from the cache.
-  std::optional<JobState> cached_state(const base::JobId& id);
-  // Reads a job's final state from the store into the cache. kNever: it has none.
-  Acceptance read_final(const base::JobId& id);
-  // Reads the final states of dependencies that the cache lacks; false: not all could be read.
+  // Returns the state of a job, at least as new as any state that a controller has reported before.
+  LookupResult look_up_job(const base::JobId& id);
+  // Returns the final state of a job if the cache holds it. Final states from before the cache was
+  // loaded are in it only after read_final_state has read them.
+  std::optional<protocol::FinalState> cached_final_state(const base::JobId& id);
+  // Returns the state of a job, final or not, if the cache holds the job.
+  std::optional<JobState> cached_job_state(const base::JobId& id);
+  // Reads a job's final state from the store into the cache. Returns kNeverAccepted if the store has none.
+  Acceptance read_final_state(const base::JobId& id);
+  // Reads the final states of the job's dependencies that the cache lacks. Returns false if one of
+  // them could not be read.
   bool read_unresolved_dependencies(const base::JobId& id);
 
+  // Looks up all dependencies of a submission, in the store if the cache lacks some of them.
   DependencyLookup look_up_dependencies(const protocol::JobSpec& spec);
-  std::vector<base::JobId> unknown_dependencies(const protocol::JobSpec& spec);
+  // Returns the dependencies that the cache has neither as a live job nor as a final state.
+  std::vector<base::JobId> dependencies_missing_from_cache(const protocol::JobSpec& spec);
+  // Returns whether the cache shows a dependency of the submission as cancelled.
   bool has_cancelled_dependency(const protocol::JobSpec& spec);
 
-  static transport::Reply state_reply(const base::JobId& id, const JobState& state);
-  // The status of an accepted job; 503 if that is unknown; none if it was never accepted.
-  std::optional<transport::Reply> reply_if_accepted(const base::JobId& id);
+  static transport::Reply job_status_reply(const base::JobId& id, const JobState& state);
+  // Returns a reply with the status of an accepted job, or 503 if the state service did not answer.
+  // Returns no reply if the job was never accepted.
+  std::optional<transport::Reply> status_reply_if_accepted(const base::JobId& id);
 
+  // Checks a submission against the cache and the settings.
   LocalCheck check_locally(const protocol::JobSpec& spec);
+  // Builds the record of a job that is about to be accepted.
   protocol::JobRecord new_record(const protocol::JobSpec& spec, bool dependency_cancelled);
-  // Commits the record of a new job.
-  transport::Reply accept(const protocol::JobRecord& record, base::Time now);
-  // Commits the lists of a job's dependencies, before the record that makes it accepted. Returns the
-  // version of the record that names them; none: they are not all written.
+  // Commits the record of a new job, preceded by its dependency lists if it has any.
+  transport::Reply commit_new_job(const protocol::JobRecord& record, base::Time now);
+  // Writes the dependency lists of a job, which must be complete before the job's record is committed.
+  // Returns the version of their manifest, or nothing if a write failed.
   std::optional<base::Version> write_dependency_lists(const protocol::JobRecord& record);
-  std::optional<base::Version> name_dependency_lists(const protocol::JobRecord& record) const;
+  // Commits the manifest that names the job's dependency lists, unless the store holds the same one
+  // already. Returns the manifest's version, or nothing if the store did not answer or commit.
+  std::optional<base::Version> commit_dependency_list_manifest(
+      const protocol::JobRecord& record) const;
 
-  // None: another commit came between, or the outcome is unknown; try again.
+  // Makes one attempt to cancel a job. Returns no reply if a concurrent commit changed the record or
+  // the outcome is unknown: the caller retries.
   std::optional<transport::Reply> try_cancel(const base::JobId& id, base::Time now);
 
+  // Calls function(controller) with the mutex with_lock and returns its result by value.
   template <class F>
-  auto locked(F f) {
+  auto with_lock(F function) {
     const std::lock_guard lock(mutex_);
-    return f(controller_);
+    return function(controller_);
   }
 
   const base::Settings& settings_;
