--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -88,10 +88,10 @@
   if (const auto final_state = cached_final_state(id)) {
     return {Acceptance::kAccepted, {final_state->status, {}, {}}};
   }
-  // Another controller may have reported a newer state than this cache holds, so a state that is not
-  // final is reported only after a read barrier. A live job's record is only ever replaced by a final
-  // state: a job that the cache lacks after the barrier either has its final state in the store or was
-  // never accepted.
+  // Another controller may have reported a newer state than this cache holds, so a state that is
+  // not final is reported only after a read barrier. A live job's record is only ever replaced by a
+  // final state: a job that the cache lacks after the barrier either has its final state in the
+  // store or was never accepted.
   if (!store_.read_barrier()) return {};
   // A job is cancelled if any of its dependencies is. Another controller may have reported that
   // already, so this one must read the dependencies' final states before it reports "queued".
--- a/src/api/user_api.h
+++ b/src/api/user_api.h
@@ -15,14 +15,14 @@
 
 // Handles users' requests to submit a job, to read its status and to cancel it.
 //
-// Consistency: replies are linearizable across all controllers. A job is accepted once its record is
-// committed, and no later submission of the same id changes that. A reported status is either final,
-// and then never changes, or read from a local cache that was brought up to date after the request
-// arrived. If neither is possible, the reply is 503 and the user may retry.
+// Consistency: replies are linearizable across all controllers. A job is accepted once its record
+// is committed, and no later submission of the same id changes that. A reported status is either
+// final, and then never changes, or read from a local cache that was brought up to date after the
+// request arrived. If neither is possible, the reply is 503 and the user may retry.
 //
-// Threading: all functions may be called by several threads at once, and block on calls to the state
-// service. The mutex guards the controller. It is with_lock only to read or update the controller's
-// cache and never during a call to the state service; the caller must not hold it.
+// Threading: all functions may be called by several threads at once, and block on calls to the
+// state service. The mutex guards the controller. It is locked only to read or update the
+// controller's cache and never during a call to the state service; the caller must not hold it.
 //
 // Lifetime: keeps references to the settings, the mutex and the controller, which must outlive it.
 class UserApi {
@@ -47,8 +47,8 @@
           Store store)
       : settings_(settings), mutex_(mutex), controller_(controller), store_(std::move(store)) {}
 
-  // Submits the job described by the JSON text `body`. Replies 201 if the job is accepted now, 200 if
-  // it was accepted before, 400 or 422 if it is refused, and 503 if the user has to retry.
+  // Submits the job described by the JSON text `body`. Replies 201 if the job is accepted now, 200
+  // if it was accepted before, 400 or 422 if it is refused, and 503 if the user has to retry.
   transport::Reply submit(const std::string& body, base::Time now);
   // Replies 200 with the job's status, 404 if the job was never accepted, or 503.
   transport::Reply status(const base::JobId& id);
@@ -63,7 +63,7 @@
     kNeverAccepted,
     kUnknown,  // the state service did not answer in time
   };
-  // The part of a job's state that users see.
+  // The status of a job and its progress, as reported to users.
   struct JobState {
     protocol::JobStatus status = protocol::JobStatus::kQueued;
     std::optional<base::TaskNo> done_tasks,
@@ -94,7 +94,8 @@
   std::optional<protocol::FinalState> cached_final_state(const base::JobId& id);
   // Returns the state of a job, final or not, if the cache holds the job.
   std::optional<JobState> cached_job_state(const base::JobId& id);
-  // Reads a job's final state from the store into the cache. Returns kNeverAccepted if the store has none.
+  // Reads a job's final state from the store into the cache. Returns kNeverAccepted if the store
+  // has none.
   Acceptance read_final_state(const base::JobId& id);
   // Reads the final states of the job's dependencies that the cache lacks. Returns false if one of
   // them could not be read.
@@ -118,19 +119,19 @@
   protocol::JobRecord new_record(const protocol::JobSpec& spec, bool dependency_cancelled);
   // Commits the record of a new job, preceded by its dependency lists if it has any.
   transport::Reply commit_new_job(const protocol::JobRecord& record, base::Time now);
-  // Writes the dependency lists of a job, which must be complete before the job's record is committed.
-  // Returns the version of their manifest, or nothing if a write failed.
+  // Writes the dependency lists of a job, which must be complete before the job's record is
+  // committed. Returns the version of their manifest, or nothing if a write failed.
   std::optional<base::Version> write_dependency_lists(const protocol::JobRecord& record);
   // Commits the manifest that names the job's dependency lists, unless the store holds the same one
   // already. Returns the manifest's version, or nothing if the store did not answer or commit.
   std::optional<base::Version> commit_dependency_list_manifest(
       const protocol::JobRecord& record) const;
 
-  // Makes one attempt to cancel a job. Returns no reply if a concurrent commit changed the record or
-  // the outcome is unknown: the caller retries.
+  // Makes one attempt to cancel a job. Returns no reply if a concurrent commit changed the record
+  // or the outcome is unknown: the caller retries.
   std::optional<transport::Reply> try_cancel(const base::JobId& id, base::Time now);
 
-  // Calls function(controller) with the mutex with_lock and returns its result by value.
+  // Calls function(controller) with the mutex locked and returns its result by value.
   template <class F>
   auto with_lock(F function) {
     const std::lock_guard lock(mutex_);
--- a/src/daemon/command_sender.cpp
+++ b/src/daemon/command_sender.cpp
@@ -24,7 +24,7 @@
       queue_.push_back(std::move(batch));
     }
   }
-  queued_.notify_all();
+  batch_queued_.notify_all();
 }
 
 void CommandSender::run(const std::stop_token& stop) {
@@ -32,7 +32,7 @@
     CommandBatch batch;
     {
       std::unique_lock lock(mutex_);
-      queued_.wait(lock, stop, [this] { return !queue_.empty(); });
+      batch_queued_.wait(lock, stop, [this] { return !queue_.empty(); });
       if (stop.stop_requested()) return;
       batch = std::move(queue_.front());
       queue_.pop_front();
@@ -42,19 +42,21 @@
 }
 
 void CommandSender::send(CommandBatch batch) {
-  SharedController& controller = context_.controller;
-  const bool is_due = controller.locked(
-      [&](Controller& c) { return c.drop_stale_commands(batch, SteadyClock::now()); });
-  if (!is_due) return;
-  const auto answer = workers_.order(batch.address, batch.fencing_token, batch.agent_incarnation,
-                                     batch.commands, kCommandTimeout);
-  if (answer.sent != transport::Sent::kYes) {
-    spdlog::info("command batch not answered machine={}", batch.machine.get());
-    controller.locked([&](Controller& c) { c.commands_lost(batch.machine); });
+  SharedController& shared_controller = context_.controller;
+  const bool may_send = shared_controller.with_lock([&](Controller& controller) {
+    return controller.drop_stale_commands(batch, SteadyClock::now());
+  });
+  if (!may_send) return;
+  const auto response = worker_client_.order(
+      batch.address, batch.fencing_token, batch.agent_incarnation, batch.commands, kCommandTimeout);
+  if (response.sent != transport::Sent::kYes) {
+    spdlog::info("no response to command batch: machine={}", batch.machine.get());
+    shared_controller.with_lock(
+        [&](Controller& controller) { controller.commands_lost(batch.machine); });
     return;
   }
-  controller.locked([&](Controller& c) {
-    c.handle_command_reply(batch.machine, answer.heartbeat, SteadyClock::now());
+  shared_controller.with_lock([&](Controller& controller) {
+    controller.handle_command_reply(batch.machine, response.heartbeat, SteadyClock::now());
   });
 }
 
--- a/src/daemon/command_sender.h
+++ b/src/daemon/command_sender.h
@@ -1,4 +1,4 @@
-// Sends commands to the workers' agents without waiting for their next heartbeat.
+// Sends commands to the agents on the machines without waiting for their next heartbeat.
 #pragma once
 
 #include <condition_variable>
@@ -12,26 +12,27 @@
 
 namespace saddleslip {
 
-// A bounded queue of command batches. Several threads may run() at once; each sends one batch at a
-// time. Sending is an optimization: what is lost or does not fit into the queue goes out with the
-// response to the machine's next heartbeat.
+// A bounded queue of command batches. Several threads may execute run() at once; each of them sends
+// one batch at a time. Sending directly is an optimization: commands that are lost or do not fit
+// into the queue are sent again in the response to the machine's next heartbeat.
 class CommandSender {
  public:
-  CommandSender(const DaemonContext& context, protocol::WorkerClient& workers)
-      : context_(context), workers_(workers) {}
+  CommandSender(const DaemonContext& context, protocol::WorkerClient& worker_client)
+      : context_(context), worker_client_(worker_client) {}
 
-  // Batches beyond the queue's bound are dropped. Does not block on the network.
+  // Appends batches to the queue. Drops those that exceed its bound. Does not block on the network.
   void enqueue(std::vector<coordination::CommandBatch> batches);
   // Sends batches from the queue until a stop is requested.
   void run(const std::stop_token& stop);
 
  private:
+  // Sends one batch without the commands that are out of date, and processes the agent's response.
   void send(coordination::CommandBatch batch);
 
   const DaemonContext context_;
-  protocol::WorkerClient& workers_;
+  protocol::WorkerClient& worker_client_;
   std::mutex mutex_;
-  std::condition_variable_any queued_;
+  std::condition_variable_any batch_queued_;
   std::deque<coordination::CommandBatch> queue_;  // guarded by mutex_
 };
 
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -1,4 +1,5 @@
-// One controller process: connects the loops, the routes and the decisions, and owns their threads.
+// The controller process: creates the clients, loops, servers and the controller, and owns their
+// threads.
 #pragma once
 
 #include <memory>
@@ -24,6 +25,8 @@
 
 namespace saddleslip {
 
+// One controller process. Its servers handle requests from users, workers and peers; its loops
+// renew the lease, schedule, manage the fleet and talk to the peers and the state service.
 class Daemon {
  public:
   explicit Daemon(base::Settings settings);
@@ -32,18 +35,21 @@
   Daemon(const Daemon&) = delete;
   Daemon& operator=(const Daemon&) = delete;
 
-  // Starts all threads. Throws std::runtime_error if an address cannot be listened on.
+  // Starts all threads. Throws std::runtime_error if an address cannot be bound.
   void start();
-  // Asks all loops to end after the calls that they have under way. May be called from any thread.
+  // Asks every loop to end once its current call has returned. May be called from any thread.
   void request_stop() { stop_.request_stop(); }
-  // Blocks until all loops have ended, which is after a stop was requested.
+  // Blocks until all loops have ended. They end only after request_stop().
   void wait();
 
  private:
-  UserApi::Store users_store();
+  // Builds the callbacks through which UserApi uses this daemon.
+  UserApi::Store make_user_api_store();
+  // Starts the server for users, workers and probes and the server for peers.
   void start_servers();
+  // Starts the threads of all loops.
   void start_loops();
-  // Starts a thread that calls loop.run().
+  // Starts a thread that runs loop.run() until a stop is requested.
   template <class Loop>
   void start_loop(Loop& loop);
 
@@ -52,23 +58,24 @@
   LoopWakeups wakeups_;
   const DaemonContext context_{settings_, controller_, wakeups_};
 
-  protocol::StateClient state_;
-  protocol::StateClient users_state_;  // of its own, so that users do not hold up the rounds
-  protocol::CloudClient cloud_;
-  protocol::WorkerClient workers_;
+  protocol::StateClient state_client_;
+  // A separate client for user requests, so that they do not delay scheduling rounds.
+  protocol::StateClient user_state_client_;
+  protocol::CloudClient cloud_client_;
+  protocol::WorkerClient worker_client_;
 
   StateReplicator replicator_;
   ReadBarrier read_barrier_;
   PeerSyncs peers_;
   LeaseRenewer lease_renewer_;
-  CommandSender commands_;
-  SchedulingLoop scheduling_;
-  FleetLoop fleet_;
+  CommandSender command_sender_;
+  SchedulingLoop scheduling_loop_;
+  FleetLoop fleet_loop_;
 
-  UserApi users_;
-  HttpRoutes routes_;
-  PeerRequestHandler peer_requests_;
-  // Destroyed before what they call.
+  UserApi user_api_;
+  HttpRoutes http_routes_;
+  PeerRequestHandler peer_request_handler_;
+  // Declared after the objects that they call, so that they are destroyed first.
   std::unique_ptr<transport::HttpServer> server_;
   std::unique_ptr<transport::HttpServer> peer_server_;
   std::stop_source stop_;
--- a/src/daemon/http_routes.h
+++ b/src/daemon/http_routes.h
@@ -1,4 +1,4 @@
-// What users, workers and the load balancer's probes ask a controller.
+// The HTTP routes for users, workers and the load balancer's health probes.
 #pragma once
 
 #include <atomic>
@@ -11,33 +11,41 @@
 
 namespace saddleslip {
 
-// Dispatches requests by path and method. Safe for use from any number of threads.
+// Dispatches requests to their handlers by path and method. May be called by several threads at
+// once.
 class HttpRoutes {
  public:
-  // Of users' requests, at most `max_user_requests` are served at once. Most of them wait for the
-  // state service; while it is slow or silent they must not occupy all the threads that answer
-  // workers and probes.
-  HttpRoutes(const DaemonContext& context, const StateReplicator& replicator, UserApi& users,
-             int max_user_requests)
+  // Serves at most `max_concurrent_user_requests` user requests at the same time and refuses others
+  // with 503. Most user requests wait for the state service; while it is slow or unavailable, they
+  // must not occupy all threads that serve workers and probes.
+  HttpRoutes(const DaemonContext& context, const StateReplicator& replicator, UserApi& user_api,
+             int max_concurrent_user_requests)
       : context_(context),
         replicator_(replicator),
-        users_(users),
-        max_user_requests_(max_user_requests) {}
+        user_api_(user_api),
+        max_concurrent_user_requests_(max_concurrent_user_requests) {}
 
+  // Returns the reply to a request of any path and method.
   transport::Reply serve(const transport::Request& request);
 
  private:
-  transport::Reply serve_user(const transport::Request& request);
-  transport::Reply serve_job(const transport::Request& request, std::string id);
+  // Serves a submission, a status request or a cancellation.
+  transport::Reply serve_user_request(const transport::Request& request);
+  // Serves a request for one job. `id` is the path after the submissions path and its slash; a
+  // cancellation has a suffix there.
+  transport::Reply serve_job_request(const transport::Request& request, std::string id);
+  // Passes a worker's heartbeat to the controller and replies with its commands.
   transport::Reply handle_heartbeat(const std::string& body);
-  transport::Reply readiness();
+  // Replies to a readiness probe: 200 if the load balancer may send requests here, 503
+  // if not.
+  transport::Reply handle_readiness_probe();
 
   const DaemonContext context_;
   const StateReplicator& replicator_;
-  UserApi& users_;
-  const int max_user_requests_;
-  std::atomic<int> user_requests_{0};
-  std::atomic<bool> was_ready_{false};
+  UserApi& user_api_;
+  const int max_concurrent_user_requests_;
+  std::atomic<int> active_user_requests_{0};  // being served now
+  std::atomic<bool> was_ready_{false};        // a readiness probe was answered with 200 before
 };
 
 }  // namespace saddleslip
--- a/src/daemon/lease_renewer.cpp
+++ b/src/daemon/lease_renewer.cpp
@@ -20,102 +20,107 @@
 namespace {
 
 constexpr double kRenewalsPerTtl = 4.0;
-constexpr Seconds kMaxTimeout{1.0};
-constexpr Seconds kNewLeaseDelay = kRetryDelay * 2.0;
+constexpr Seconds kMaxLeaseCallTimeout{1.0};
+constexpr Seconds kLeaseCreationRetryDelay = kRetryDelay * 2.0;
 
 }  // namespace
 
-LeaseRenewer::LeaseRenewer(const DaemonContext& context, StateClient& state,
+LeaseRenewer::LeaseRenewer(const DaemonContext& context, StateClient& state_client,
                            StateReplicator& replicator, const PeerSyncs& peers)
     : context_(context),
-      state_(state),
+      state_client_(state_client),
       replicator_(replicator),
       peers_(peers),
-      ttl_(context.settings.tuning.member_ttl),
-      period_(ttl_ / kRenewalsPerTtl),
-      timeout_(std::min(kMaxTimeout, period_)) {}
+      lease_ttl_(context.settings.tuning.member_ttl),
+      renewal_interval_(lease_ttl_ / kRenewalsPerTtl),
+      lease_call_timeout_(std::min(kMaxLeaseCallTimeout, renewal_interval_)) {}
 
 void LeaseRenewer::run(const std::stop_token& stop) {
-  WakeupEvent& wakeup = context_.wakeups.lease_renewal;
+  WakeupEvent& renewal_wakeup = context_.wakeups.lease_renewal;
   while (!stop.stop_requested()) {
     if (!replicator_.is_loaded()) {
-      wakeup.wait_for(kRetryDelay, stop);
+      renewal_wakeup.wait_for(kRetryDelay, stop);
       continue;
     }
     if (!lease_ && !begin_incarnation()) {
-      wakeup.wait_for(kNewLeaseDelay, stop);
+      renewal_wakeup.wait_for(kLeaseCreationRetryDelay, stop);
       continue;
     }
-    context_.controller.locked(
-        [](Controller& c) { c.tell_time(SteadyClock::now(), base::wall_seconds()); });
-    if (!renew()) continue;
+    context_.controller.with_lock([](Controller& controller) {
+      controller.tell_time(SteadyClock::now(), base::wall_seconds());
+    });
+    if (!renew_lease()) continue;
     if (commit_membership_change()) continue;
     commit_ownership_claims();
     context_.wakeups.scheduling.notify();
-    wakeup.wait_for(period_, stop);
+    renewal_wakeup.wait_for(renewal_interval_, stop);
   }
 }
 
 bool LeaseRenewer::begin_incarnation() {
-  const Time sent = SteadyClock::now();
-  const std::optional<LeaseId> lease = state_.create_lease(ttl_, timeout_);
+  const Time sent_at = SteadyClock::now();
+  const std::optional<LeaseId> lease = state_client_.create_lease(lease_ttl_, lease_call_timeout_);
   if (!lease) return false;
   const ControllerIncarnation incarnation{context_.settings.member,
                                           base::Incarnation(lease->get())};
-  const Transaction txn = context_.controller.locked([&](Controller& c) {
-    c.begin_incarnation(incarnation, SteadyClock::now());
-    return c.member_record(*lease, false);
+  const Transaction transaction = context_.controller.with_lock([&](Controller& controller) {
+    controller.begin_incarnation(incarnation, SteadyClock::now());
+    return controller.member_record(*lease, false);
   });
-  const auto result = state_.commit(txn, kCommitTimeout);
-  if (result.outcome != Outcome::kDone) {
-    context_.controller.locked([](Controller& c) { c.end_incarnation(); });
-    state_.delete_lease(*lease, timeout_);
+  const auto commit_result = state_client_.commit(transaction, kCommitTimeout);
+  if (commit_result.outcome != Outcome::kDone) {
+    context_.controller.with_lock([](Controller& controller) { controller.end_incarnation(); });
+    state_client_.delete_lease(*lease, lease_call_timeout_);
     return false;
   }
   lease_ = lease;
-  context_.controller.locked([&](Controller& c) {
-    c.cache().apply(txn, result.revision, SteadyClock::now());
-    c.lease_acquired(sent);
+  context_.controller.with_lock([&](Controller& controller) {
+    controller.cache().apply(transaction, commit_result.revision, SteadyClock::now());
+    controller.lease_acquired(sent_at);
   });
-  spdlog::info("incarnation started member={} incarnation={}", incarnation.member.get(),
+  spdlog::info("incarnation started: member={} incarnation={}", incarnation.member.get(),
                incarnation.incarnation.get());
-  for (const auto& peer : peers_) peer->notify();
+  for (const auto& peer : peers_) peer->request_status();
   return true;
 }
 
-bool LeaseRenewer::renew() {
+bool LeaseRenewer::renew_lease() {
   using Renewed = StateClient::Renewed;
-  const Time sent = SteadyClock::now();
-  const Renewed renewed = state_.renew_lease(*lease_, timeout_);
-  if (renewed == Renewed::kGone) {
+  const Time sent_at = SteadyClock::now();
+  const Renewed renewal = state_client_.renew_lease(*lease_, lease_call_timeout_);
+  if (renewal == Renewed::kGone) {
     spdlog::warn("lease lost, incarnation ended lease={}", lease_->get());
     lease_.reset();
-    context_.controller.locked([](Controller& c) { c.end_incarnation(); });
+    context_.controller.with_lock([](Controller& controller) { controller.end_incarnation(); });
     return false;
   }
-  if (renewed != Renewed::kYes) return true;
-  context_.controller.locked([&](Controller& c) { c.lease_acquired(sent); });
-  // Authority to command needs more than the present view: a copy of the jobs that is as new as the
-  // renewal. After an outage the renewal is answered before the watch has delivered anything, and a
-  // job that was cancelled elsewhere meanwhile would be started again.
-  const auto generation =
-      context_.controller.locked([](Controller& c) { return c.cache_generation(); });
-  if (replicator_.catch_up(timeout_)) {
-    context_.controller.locked([&](Controller& c) { c.lease_renewed(sent, generation); });
+  if (renewal != Renewed::kYes) return true;
+  context_.controller.with_lock(
+      [&](Controller& controller) { controller.lease_acquired(sent_at); });
+  // Authority to send commands requires a local copy of the jobs that is as new as the renewal, not
+  // only the current view. After an outage the renewal succeeds before the watch has delivered any
+  // changes; without this check, a job that another controller cancelled meanwhile would be
+  // started.
+  const auto generation = context_.controller.with_lock(
+      [](Controller& controller) { return controller.cache_generation(); });
+  if (replicator_.catch_up(lease_call_timeout_)) {
+    context_.controller.with_lock(
+        [&](Controller& controller) { controller.lease_renewed(sent_at, generation); });
   }
   return true;
 }
 
 bool LeaseRenewer::commit_membership_change() {
-  const auto txn = context_.controller.locked(
-      [&](Controller& c) { return c.propose_membership_change(SteadyClock::now(), *lease_); });
-  if (!txn) return false;
-  const auto result = state_.commit(*txn, kCommitTimeout);
-  if (result.outcome == Outcome::kConflict) replicator_.refresh(result.failed);
-  if (result.outcome != Outcome::kDone) return false;
-  context_.controller.locked([&](Controller& c) {
-    c.cache().apply(*txn, result.revision, SteadyClock::now());
-    c.install_view(SteadyClock::now());
+  const auto transaction = context_.controller.with_lock([&](Controller& controller) {
+    return controller.propose_membership_change(SteadyClock::now(), *lease_);
+  });
+  if (!transaction) return false;
+  const auto commit_result = state_client_.commit(*transaction, kCommitTimeout);
+  if (commit_result.outcome == Outcome::kConflict) replicator_.refresh(commit_result.failed);
+  if (commit_result.outcome != Outcome::kDone) return false;
+  context_.controller.with_lock([&](Controller& controller) {
+    controller.cache().apply(*transaction, commit_result.revision, SteadyClock::now());
+    controller.install_view(SteadyClock::now());
   });
   context_.wakeups.scheduling.notify();
   context_.wakeups.fleet.notify();
@@ -123,9 +128,10 @@
 }
 
 void LeaseRenewer::commit_ownership_claims() {
-  const auto txn = context_.controller.locked(
-      [](Controller& c) { return c.propose_ownership_claims(SteadyClock::now()); });
-  if (txn) replicator_.commit(*txn);
+  const auto transaction = context_.controller.with_lock([](Controller& controller) {
+    return controller.propose_ownership_claims(SteadyClock::now());
+  });
+  if (transaction) replicator_.commit(*transaction);
 }
 
 }  // namespace saddleslip
--- a/src/daemon/lease_renewer.h
+++ b/src/daemon/lease_renewer.h
@@ -1,4 +1,4 @@
-// Keeps this member's lease in the store, and proposes changes of the membership.
+// Renews this member's lease in the store and commits membership changes.
 #pragma once
 
 #include <optional>
@@ -11,34 +11,36 @@
 
 namespace saddleslip {
 
-// Creates the lease, which begins an incarnation of this controller; renews it four times within
-// its time to live; begins a new incarnation when it was lost. Each renewal is followed by a proof
-// that the local copy is current, and by what the controller proposes about the membership.
+// Creates a lease, which starts an incarnation of this controller, and renews it four times per
+// time to live. Starts a new incarnation if the lease is lost. After each renewal, brings the local
+// copy of the store up to date and commits the membership changes that the controller proposes.
 class LeaseRenewer {
  public:
-  LeaseRenewer(const DaemonContext& context, protocol::StateClient& state,
+  LeaseRenewer(const DaemonContext& context, protocol::StateClient& state_client,
                StateReplicator& replicator, const PeerSyncs& peers);
 
   // Runs on a thread of its own until a stop is requested.
   void run(const std::stop_token& stop);
 
  private:
-  // Creates a lease and puts this member's record under it. Returns whether both were done.
+  // Creates a lease and commits this member's record under it. Returns whether both succeeded.
   bool begin_incarnation();
-  // Renews the lease; returns false if it no longer exists, which ends the incarnation.
-  bool renew();
-  // Takes leadership or proposes a view, if one is due. Returns whether it was committed.
+  // Renews the lease. Returns false if it no longer exists, after ending the incarnation.
+  bool renew_lease();
+  // Commits a change of leadership or a new view if the controller proposes one. Returns whether a
+  // change was committed.
   bool commit_membership_change();
+  // Commits claims to machines that other members own, if the controller proposes any.
   void commit_ownership_claims();
 
   const DaemonContext context_;
-  protocol::StateClient& state_;
+  protocol::StateClient& state_client_;
   StateReplicator& replicator_;
   const PeerSyncs& peers_;
-  const base::Seconds ttl_;
-  const base::Seconds period_;
-  const base::Seconds timeout_;  // of each call that concerns the lease
-  std::optional<base::LeaseId> lease_;
+  const base::Seconds lease_ttl_;
+  const base::Seconds renewal_interval_;
+  const base::Seconds lease_call_timeout_;  // for each call to create, renew or delete the lease
+  std::optional<base::LeaseId> lease_;      // not set while no incarnation is active
 };
 
 }  // namespace saddleslip
--- a/src/daemon/peer_request_handler.cpp
+++ b/src/daemon/peer_request_handler.cpp
@@ -15,15 +15,16 @@
   }
   const auto message = protocol::parse_peer_message(request.body, SteadyClock::now());
   if (!message) return error_reply(400, "malformed");
-  const auto instructions = context_.controller.locked([&](Controller& c) {
-    for (const auto& offers : message->offers) c.add_offers(offers, SteadyClock::now());
-    for (const base::JobId& job : message->cancelled) c.notify_cancelled(job);
-    return c.handle_peer_status(message->status, SteadyClock::now());
+  const auto instructions = context_.controller.with_lock([&](Controller& controller) {
+    for (const auto& offers : message->offers) controller.add_offers(offers, SteadyClock::now());
+    for (const base::JobId& job : message->cancelled) controller.notify_cancelled(job);
+    return controller.handle_peer_status(message->status, SteadyClock::now());
   });
   if (!message->offers.empty() || !message->cancelled.empty()) {
     context_.wakeups.scheduling.notify();
   }
-  // The peer's machines lose their tasks unless another controller answers them within their lease.
+  // The tasks on the peer's machines stop unless another controller takes the machines over and
+  // answers their heartbeats before their leases expire. The lease renewal commits such a change.
   if (message->status.contact == protocol::WorkerContact::kLost) {
     context_.wakeups.lease_renewal.notify();
   }
--- a/src/daemon/peer_request_handler.h
+++ b/src/daemon/peer_request_handler.h
@@ -1,4 +1,4 @@
-// The receiving side of the messages between controllers.
+// The receiving side of messages between controllers.
 #pragma once
 
 #include "daemon/shared_controller.h"
@@ -6,11 +6,13 @@
 
 namespace saddleslip {
 
-// Answers what PeerSync of another controller sends. Safe for use from any number of threads.
+// Handles the status messages that other controllers' PeerSync sends. May be called by several
+// threads at once.
 class PeerRequestHandler {
  public:
   explicit PeerRequestHandler(const DaemonContext& context) : context_(context) {}
 
+  // Processes one status message and replies with the instructions for its sender.
   transport::Reply serve(const transport::Request& request);
 
  private:
--- a/src/daemon/peer_sync.cpp
+++ b/src/daemon/peer_sync.cpp
@@ -47,39 +47,41 @@
   while (!stop.stop_requested()) {
     wakeup_.wait_for(period, stop);
     if (stop.stop_requested()) return;
-    if (!send(next_message())) sleep_for(kRetryDelay, stop);
+    if (!send(make_message())) sleep_for(kRetryDelay, stop);
   }
 }
 
-PeerMessage PeerSync::next_message() {
+PeerMessage PeerSync::make_message() {
   PeerMessage message;
   {
     const std::lock_guard lock(mutex_);
     message.offers.swap(offers_);
     message.cancelled.assign(cancellations_.begin(), cancellations_.end());
   }
-  message.status = context_.controller.locked(
-      [&](Controller& c) { return c.status(member_, SteadyClock::now()); });
+  message.status = context_.controller.with_lock(
+      [&](Controller& controller) { return controller.status(member_, SteadyClock::now()); });
   return message;
 }
 
 bool PeerSync::send(const PeerMessage& message) {
   const std::string body = protocol::encode_peer_message(message, SteadyClock::now());
-  const auto answer = http_.post(protocol::kPeerStatusPath, body, kPeerTimeout);
-  if (!answer.ok()) {
+  const auto response = http_.post(protocol::kPeerStatusPath, body, kPeerTimeout);
+  if (!response.ok()) {
     if (!message.offers.empty()) {
-      context_.controller.locked([&](Controller& c) { c.offers_lost(member_, message.offers); });
+      context_.controller.with_lock(
+          [&](Controller& controller) { controller.offers_lost(member_, message.offers); });
       context_.wakeups.scheduling.notify();
     }
     return false;
   }
-  remove_delivered(message.cancelled);
-  handle_reply(protocol::parse_peer_reply(answer.body), message.status.upto);
+  remove_delivered_cancellations(message.cancelled);
+  handle_reply(protocol::parse_peer_reply(response.body), message.status.upto);
   return true;
 }
 
-void PeerSync::remove_delivered(const std::vector<JobId>& cancelled) {
-  // Those that were added meanwhile stand behind them, unless the bound has removed some.
+void PeerSync::remove_delivered_cancellations(const std::vector<JobId>& cancelled) {
+  // Cancellations queued since the message was built follow the delivered ones, unless the bound
+  // has removed some of those from the front.
   const std::lock_guard lock(mutex_);
   for (const JobId& job : cancelled) {
     if (cancellations_.empty()) return;
@@ -89,12 +91,12 @@
 
 void PeerSync::handle_reply(const PeerReply& reply, std::uint64_t status_revision) {
   if (reply.needs_full_status) wakeup_.notify();
-  context_.controller.locked([&](Controller& c) {
-    c.peer_reached(member_, SteadyClock::now());
-    c.status_acknowledged(member_, reply.needs_full_status ? 0 : status_revision);
-    c.mark_released(reply.released, SteadyClock::now());
-    c.cordon_idle(reply.cordon);
-    c.drain(reply.drain);
+  context_.controller.with_lock([&](Controller& controller) {
+    controller.peer_reached(member_, SteadyClock::now());
+    controller.status_acknowledged(member_, reply.needs_full_status ? 0 : status_revision);
+    controller.mark_released(reply.released, SteadyClock::now());
+    controller.cordon_idle(reply.cordon);
+    controller.drain(reply.drain);
   });
   if (!reply.released.empty()) context_.wakeups.scheduling.notify();
 }
--- a/src/daemon/peer_sync.h
+++ b/src/daemon/peer_sync.h
@@ -1,4 +1,4 @@
-// Sends one peer this controller's status, offers and cancellations.
+// Sends this controller's status, offers and cancellations to one peer.
 #pragma once
 
 #include <deque>
@@ -13,29 +13,34 @@
 
 namespace saddleslip {
 
-// Posts the status regularly, and offers and cancellations at once. Best effort: that a cancelled
-// task ends in time rests on the end of authority and of the workers' leases. run() has a thread of
-// its own; the other functions may be called from any thread.
+// Posts the status periodically, and offers and cancellations immediately. Delivery is best effort:
+// tasks of a cancelled job end in time even if no message arrives, because the peer's authority and
+// the workers' leases expire. run() needs a thread of its own; the other functions may be called
+// from any thread.
 class PeerSync {
  public:
   PeerSync(const DaemonContext& context, const base::Peer& peer);
 
   const base::MemberId& member() const { return member_; }
 
-  // Dropped if the peer has taken none for long.
+  // Queues offers for the next message. Drops them if too many offers are waiting.
   void send_offers(protocol::Offers offers);
+  // Queues a cancellation for the next message. Drops the oldest one if too many are waiting.
   void send_cancellation(const base::JobId& job);
-  // Sends the status now.
-  void notify() { wakeup_.notify(); }
+  // Requests that the status is sent now instead of after the period.
+  void request_status() { wakeup_.notify(); }
 
   // Sends messages until a stop is requested.
   void run(const std::stop_token& stop);
 
  private:
-  protocol::PeerMessage next_message();
-  // Returns whether the peer answered.
+  // Builds a message with the current status and all waiting offers and cancellations.
+  protocol::PeerMessage make_message();
+  // Sends a message and processes the reply. Returns whether the peer replied.
   bool send(const protocol::PeerMessage& message);
-  void remove_delivered(const std::vector<base::JobId>& cancelled);
+  // Removes cancellations that the peer has received from the queue.
+  void remove_delivered_cancellations(const std::vector<base::JobId>& cancelled);
+  // Applies the instructions in the peer's reply to the status of the given revision.
   void handle_reply(const protocol::PeerReply& reply, std::uint64_t status_revision);
 
   const DaemonContext context_;
@@ -44,9 +49,10 @@
   WakeupEvent wakeup_;
   std::mutex mutex_;
   std::vector<protocol::Offers> offers_;   // guarded by mutex_
-  std::deque<base::JobId> cancellations_;  // not delivered yet; bounded; guarded by mutex_
+  std::deque<base::JobId> cancellations_;  // not yet delivered; bounded; guarded by mutex_
 };
 
+// One sender for each peer of this controller.
 using PeerSyncs = std::vector<std::unique_ptr<PeerSync>>;
 
 }  // namespace saddleslip
--- a/src/daemon/read_barrier.h
+++ b/src/daemon/read_barrier.h
@@ -1,4 +1,4 @@
-// Linearizable reads from the local copy of the store.
+// Linearizable reads from the local copy of the state service's store.
 #pragma once
 
 #include <condition_variable>
@@ -11,42 +11,43 @@
 
 namespace saddleslip {
 
-// Brings the local copy up to the store's state as of a moment after the read began. One catch-up
-// serves all reads that began before it did, so that the store sees few requests whatever users ask.
+// Brings the local copy up to date with the store as of some moment after a read began. One
+// catch-up serves all reads that began before it, which bounds the number of requests to the store
+// however many reads there are.
 //
-// Safe for use from any number of threads. Calls `catch_up` on the thread of one of the readers,
-// without its mutex, and never twice at once.
+// May be used by several threads at once. Calls `catch_up` on the thread of one of the readers,
+// with its mutex unlocked, and never concurrently.
 class ReadBarrier {
  public:
   struct Options {
-    base::Seconds min_interval;  // between the starts of two catch-ups
-    base::Seconds timeout;       // of waiting for another reader's catch-up
+    base::Seconds min_interval;  // minimum time between the starts of two catch-ups
+    base::Seconds timeout;       // for waiting on another reader's catch-up
   };
-  // `catch_up` returns whether the copy is as new as the store was when it was called.
+  // `catch_up` must return whether the copy is at least as new as the store was at the call.
   ReadBarrier(Options options, std::function<bool()> catch_up)
       : options_(options), catch_up_(std::move(catch_up)) {}
 
-  // Blocks until a catch-up that began after this call has ended. Returns whether it succeeded;
-  // false after the timeout.
+  // Blocks until a catch-up that began after this call has ended. Returns whether it succeeded, or
+  // false if the timeout has passed.
   bool wait();
-  // Reads that wait for another reader's catch-up at this moment.
+  // Returns the number of reads that are waiting for another reader's catch-up.
   std::size_t waiting_reads() const;
 
  private:
-  // Runs one catch-up. Requires the lock, which is released meanwhile.
+  // Runs one catch-up. `lock` must hold mutex_; it is unlocked while `catch_up` runs.
   void run_catch_up(std::unique_lock<std::mutex>& lock);
 
   const Options options_;
   const std::function<bool()> catch_up_;
 
-  mutable std::mutex mutex_;  // guards what follows
+  mutable std::mutex mutex_;  // guards the members below
   std::condition_variable catch_up_ended_;
-  std::uint64_t catch_ups_begun_ = 0;
+  std::uint64_t catch_ups_started_ = 0;
   std::uint64_t catch_ups_ended_ = 0;
   std::size_t waiting_reads_ = 0;
-  bool is_running_ = false;
-  bool has_succeeded_ = false;  // the last one that ended
-  base::Time last_began_at_{};
+  bool is_running_ = false;      // a reader is waiting to run or is running a catch-up
+  bool last_succeeded_ = false;  // the result of the last catch-up that ended
+  base::Time last_started_at_{};
 };
 
 }  // namespace saddleslip
--- a/src/daemon/scheduling_loop.cpp
+++ b/src/daemon/scheduling_loop.cpp
@@ -18,17 +18,19 @@
 
 namespace {
 
-constexpr Seconds kMinRoundGap{0.05};      // events of one burst share a round
-constexpr double kMaxRoundGapShare = 0.7;  // of the period
-// The gap before a round, in multiples of the time that planning takes: the longer it takes, the
-// fewer plans are made, and the more each of them covers.
-constexpr double kGapPerPlanningTime = 6;
-constexpr double kAverageWeight = 0.3;  // of the latest planning time
+constexpr Seconds kMinRoundGap{0.05};      // a burst of events is handled in one round
+constexpr double kMaxRoundGapShare = 0.7;  // of the round period
+// The gap before a round, in multiples of the average planning time. If planning takes longer,
+// rounds are less frequent and each plan covers more tasks.
+constexpr double kRoundGapPerPlanningTime = 6;
+constexpr double kLatestPlanningTimeWeight = 0.3;  // in the moving average
 constexpr int kMaxPlansPerRound = 6;
-constexpr int kMaxFinalizedPerRound = 8;
-constexpr std::size_t kMaxFinalsReadPerRound = 16;
-constexpr std::size_t kMaxOrphans = 4000;  // records kept for later removal
-constexpr double kUsedShareOfWriteRate = 0.85;
+constexpr int kMaxFinalizationsPerRound = 8;
+constexpr std::size_t kMaxFinalStateReadsPerRound = 16;
+// If more obsolete records than this are waiting, they are removed even without surplus write
+// budget.
+constexpr std::size_t kMaxOrphanRecords = 4000;
+constexpr double kUsableWriteRateShare = 0.85;
 
 }  // namespace
 
@@ -36,9 +38,9 @@
   const Seconds period = context_.settings.tuning.round_period;
   while (!stop.stop_requested()) {
     context_.wakeups.scheduling.wait_for(period, stop);
-    const Seconds gap = std::clamp(average_planning_time_ * kGapPerPlanningTime, kMinRoundGap,
-                                   period * kMaxRoundGapShare);
-    sleep_for(gap, stop);
+    const Seconds round_gap = std::clamp(average_planning_time_ * kRoundGapPerPlanningTime,
+                                         kMinRoundGap, period * kMaxRoundGapShare);
+    sleep_for(round_gap, stop);
     if (replicator_.is_loaded() && !stop.stop_requested()) run_round(stop);
   }
 }
@@ -50,41 +52,42 @@
   finalize_jobs();
   collect_garbage(stop);
   read_unresolved_dependencies();
-  notify_if_jobs_unblocked();
+  request_round_if_jobs_unblocked();
 }
 
 bool SchedulingLoop::schedule_once(const std::stop_token& stop) {
   const WriteBudget write_budget = await_write_budget(stop);
-  const Time began = SteadyClock::now();
+  const Time started_at = SteadyClock::now();
   route_offers();
-  const RoundPlan plan = context_.controller.locked(
-      [&](Controller& c) { return c.plan(SteadyClock::now(), write_budget); });
-  average_planning_time_ = average_planning_time_ * (1 - kAverageWeight) +
-                           base::between(began, SteadyClock::now()) * kAverageWeight;
-
-  std::optional<Commands> starts;
-  if (!plan.empty()) starts = commit_plan(plan, stop);
-  const bool is_committed = starts.has_value();
-  Commands commands = std::move(starts).value_or(Commands{});
-  auto stops =
-      context_.controller.locked([](Controller& c) { return c.stops(SteadyClock::now()); });
-  std::move(stops.begin(), stops.end(), std::back_inserter(commands));
-  commands_.enqueue(std::move(commands));
-
-  // Another plan is due only for what one record could not hold, or for what another controller
-  // overtook: whatever arrives meanwhile is notified for the next round.
+  const RoundPlan plan = context_.controller.with_lock(
+      [&](Controller& controller) { return controller.plan(SteadyClock::now(), write_budget); });
+  average_planning_time_ =
+      average_planning_time_ * (1 - kLatestPlanningTimeWeight) +
+      base::between(started_at, SteadyClock::now()) * kLatestPlanningTimeWeight;
+
+  std::optional<Commands> start_commands;
+  if (!plan.empty()) start_commands = commit_plan(plan, stop);
+  const bool is_committed = start_commands.has_value();
+  Commands commands = std::move(start_commands).value_or(Commands{});
+  auto stop_commands = context_.controller.with_lock(
+      [](Controller& controller) { return controller.stops(SteadyClock::now()); });
+  std::move(stop_commands.begin(), stop_commands.end(), std::back_inserter(commands));
+  command_sender_.enqueue(std::move(commands));
+
+  // Another plan in this round is needed only if one record could not hold all changes or the
+  // commit failed. Events that arrive meanwhile start the next round.
   if (plan.empty()) return false;
   if (!is_committed) sleep_for(kMinRoundGap, stop);
   return !is_committed || plan.more;
 }
 
 void SchedulingLoop::route_offers() {
-  auto routed = context_.controller.locked([](Controller& c) {
-    c.install_view(SteadyClock::now());
-    auto offers = c.route(SteadyClock::now());
-    const auto own = offers.find(c.self().member);
+  auto routed = context_.controller.with_lock([](Controller& controller) {
+    controller.install_view(SteadyClock::now());
+    auto offers = controller.route(SteadyClock::now());
+    const auto own = offers.find(controller.self().member);
     if (own != offers.end()) {
-      c.add_offers(own->second, SteadyClock::now());
+      controller.add_offers(own->second, SteadyClock::now());
       offers.erase(own);
     }
     return offers;
@@ -98,19 +101,20 @@
 std::optional<SchedulingLoop::Commands> SchedulingLoop::commit_plan(const RoundPlan& plan,
                                                                     const std::stop_token& stop) {
   using Outcome = StateClient::Outcome;
-  const auto result = state_.commit(plan.txn, kCommitTimeout);
+  const auto commit_result = state_client_.commit(plan.txn, kCommitTimeout);
   write_limiter_.charge(plan.txn.writes.size());
-  switch (result.outcome) {
+  switch (commit_result.outcome) {
     case Outcome::kDone:
-      return context_.controller.locked([&](Controller& c) {
-        return c.committed(plan, base::Version(result.revision.get()), SteadyClock::now());
+      return context_.controller.with_lock([&](Controller& controller) {
+        return controller.committed(plan, base::Version(commit_result.revision.get()),
+                                    SteadyClock::now());
       });
     case Outcome::kConflict:
-      replicator_.refresh(result.failed);
+      replicator_.refresh(commit_result.failed);
       return {};
     case Outcome::kUnknown: {
-      // It may have been carried out, or may be later. The preconditions decide: the next commit of
-      // these keys builds on the versions read now, and only one of the two can succeed.
+      // The commit may have been applied, or may still be. The next commit of these keys requires
+      // the versions that are read now, so the preconditions let only one of the two succeed.
       std::vector<std::string> keys;
       for (const auto& write : plan.txn.writes) keys.push_back(write.key);
       replicator_.refresh(keys);
@@ -125,58 +129,59 @@
 }
 
 void SchedulingLoop::finalize_jobs() {
-  for (int i = 0; i < kMaxFinalizedPerRound; ++i) {
-    const auto txn = context_.controller.locked([](Controller& c) {
-      auto finalization = c.finalize_one_job(SteadyClock::now());
-      return finalization ? finalization : c.split_one_record(SteadyClock::now());
+  for (int i = 0; i < kMaxFinalizationsPerRound; ++i) {
+    const auto transaction = context_.controller.with_lock([](Controller& controller) {
+      auto finalization = controller.finalize_one_job(SteadyClock::now());
+      return finalization ? finalization : controller.split_one_record(SteadyClock::now());
     });
-    if (!txn) return;
-    write_limiter_.charge(txn->writes.size());
-    if (!replicator_.commit(*txn)) return;
+    if (!transaction) return;
+    write_limiter_.charge(transaction->writes.size());
+    if (!replicator_.commit(*transaction)) return;
   }
 }
 
-// Removes records of jobs that are over, when there are writes to spare or too many such records.
 void SchedulingLoop::collect_garbage(const std::stop_token& stop) {
   const bool has_surplus = await_write_budget(stop) == WriteBudget::kSurplus;
-  const auto txn =
-      context_.controller.locked([&](Controller& c) -> std::optional<protocol::Transaction> {
-        if (!has_surplus && c.cache().orphans().size() <= kMaxOrphans) return {};
-        return c.collect_garbage();
+  const auto transaction = context_.controller.with_lock(
+      [&](Controller& controller) -> std::optional<protocol::Transaction> {
+        if (!has_surplus && controller.cache().orphans().size() <= kMaxOrphanRecords) return {};
+        return controller.collect_garbage();
       });
-  if (!txn) return;
-  write_limiter_.charge(txn->writes.size());
-  replicator_.commit(*txn);
+  if (!transaction) return;
+  write_limiter_.charge(transaction->writes.size());
+  replicator_.commit(*transaction);
 }
 
-// Jobs may depend on others that were over before this copy was loaded: their final states are not
-// among what is loaded and watched.
+// A job may depend on jobs that ended before the local copy was loaded. Their final states are
+// neither loaded nor watched, so they are read one by one.
 void SchedulingLoop::read_unresolved_dependencies() {
-  std::vector<JobId> ids =
-      context_.controller.locked([](Controller& c) { return c.cache().unresolved_dependencies(); });
-  if (ids.size() > kMaxFinalsReadPerRound) ids.resize(kMaxFinalsReadPerRound);
+  std::vector<JobId> ids = context_.controller.with_lock(
+      [](Controller& controller) { return controller.cache().unresolved_dependencies(); });
+  if (ids.size() > kMaxFinalStateReadsPerRound) ids.resize(kMaxFinalStateReadsPerRound);
   for (const JobId& id : ids) {
-    const auto got = state_.get(protocol::final_key(id), kUserReadTimeout);
-    if (!got.answered) return;
-    const auto state = protocol::parse_final(got.item.value);
+    const auto response = state_client_.get(protocol::final_key(id), kUserReadTimeout);
+    if (!response.answered) return;
+    const auto state = protocol::parse_final(response.item.value);
     if (!state) continue;
-    context_.controller.locked([&](Controller& c) { c.cache().remember_final(id, *state); });
+    context_.controller.with_lock(
+        [&](Controller& controller) { controller.cache().remember_final(id, *state); });
   }
 }
 
-// Jobs that this controller's own commits have unblocked have no other event to wait for.
-void SchedulingLoop::notify_if_jobs_unblocked() {
-  const std::uint64_t unblocked =
-      context_.controller.locked([](Controller& c) { return c.cache().jobs_unblocked(); });
-  if (unblocked != jobs_unblocked_) context_.wakeups.scheduling.notify();
-  jobs_unblocked_ = unblocked;
+// Jobs that this controller's own commits unblocked would otherwise wait for the next period, as no
+// other event starts a round for them.
+void SchedulingLoop::request_round_if_jobs_unblocked() {
+  const std::uint64_t unblocked = context_.controller.with_lock(
+      [](Controller& controller) { return controller.cache().jobs_unblocked(); });
+  if (unblocked != last_jobs_unblocked_) context_.wakeups.scheduling.notify();
+  last_jobs_unblocked_ = unblocked;
 }
 
 double SchedulingLoop::write_rate() {
-  const std::size_t members = context_.controller.locked([](Controller& c) {
-    return c.cache().view() ? c.cache().view()->members.size() : std::size_t{0};
+  const std::size_t members = context_.controller.with_lock([](Controller& controller) {
+    return controller.cache().view() ? controller.cache().view()->members.size() : std::size_t{0};
   });
-  return context_.settings.state_write_rps * kUsedShareOfWriteRate /
+  return context_.settings.state_write_rps * kUsableWriteRateShare /
          static_cast<double>(std::max<std::size_t>(1, members));
 }
 
--- a/src/daemon/shared_controller.h
+++ b/src/daemon/shared_controller.h
@@ -1,4 +1,4 @@
-// The controller's decisions, shared between the daemon's threads.
+// The controller, shared between the daemon's threads.
 #pragma once
 
 #include <mutex>
@@ -9,27 +9,27 @@
 
 namespace saddleslip {
 
-// Guards the Controller, and all that it owns, by one mutex.
+// Guards a Controller and everything that it owns with one mutex.
 //
-// Order of mutexes: this one is the innermost. No other mutex is taken and no call to another
-// process is made while it is held.
+// Lock order: this mutex is the innermost. While it is held, no other mutex is locked and no
+// call to another process is made.
 class SharedController {
  public:
-  // The settings must outlive it.
+  // The settings must outlive this object.
   explicit SharedController(const base::Settings& settings) : controller_(settings) {}
   ~SharedController() = default;
   SharedController(const SharedController&) = delete;
   SharedController& operator=(const SharedController&) = delete;
 
-  // Calls f(Controller&) with the mutex held, and returns its result by value. f must not keep a
-  // reference to the controller or to anything in it.
+  // Calls function(Controller&) with the mutex locked and returns its result by value. The
+  // function must not keep a reference to the controller or to anything in it.
   template <class F>
-  auto locked(F f) {
+  auto with_lock(F function) {
     const std::lock_guard lock(mutex_);
-    return f(controller_);
+    return function(controller_);
   }
 
-  // For UserApi, which takes the mutex itself whenever it uses the controller.
+  // Unguarded access for UserApi, which locks the mutex itself whenever it uses the controller.
   std::mutex& mutex() { return mutex_; }
   coordination::Controller& controller() { return controller_; }
 
@@ -38,7 +38,8 @@
   coordination::Controller controller_;  // guarded by mutex_
 };
 
-// What all loops and routes of the daemon use. Daemon owns it and outlives them.
+// References that all loops and request handlers of the daemon share. Daemon owns the objects,
+// which outlive the loops and handlers.
 struct DaemonContext {
   const base::Settings& settings;
   SharedController& controller;
--- a/src/daemon/state_replicator.h
+++ b/src/daemon/state_replicator.h
@@ -1,4 +1,4 @@
-// Keeps this process's copy of the state service's contents up to date.
+// Replicates the contents of the state service's store into this process.
 #pragma once
 
 #include <atomic>
@@ -11,42 +11,47 @@
 
 namespace saddleslip {
 
-// Loads the store's contents into the controller's cache, follows the store's watch, and takes in
-// this process's own commits. run() has a thread of its own; the other functions may be called from
-// any thread.
+// Loads the store's contents into the controller's cache, then applies the changes that the store's
+// watch delivers and the commits of this process. run() needs a thread of its own; the other
+// functions may be called from any thread.
 class StateReplicator {
  public:
-  StateReplicator(const DaemonContext& context, protocol::StateClient& state)
-      : context_(context), state_(state) {}
+  StateReplicator(const DaemonContext& context, protocol::StateClient& state_client)
+      : context_(context), state_client_(state_client) {}
 
-  // Loads the copy and follows the watch until a stop is requested. Loads it again when the watch
-  // has fallen too far behind.
+  // Loads the local copy and follows the watch until a stop is requested. Reloads the copy if the
+  // watch has fallen too far behind.
   void run(const std::stop_token& stop);
 
-  // Has the copy been complete once?
+  // Returns whether the copy has been loaded completely at least once.
   bool is_loaded() const { return is_loaded_; }
 
-  // Takes in all that has changed in the store up to this call. Returns whether the copy is proved
-  // current as of the call.
+  // Reads and applies all changes of the store up to this call. Returns whether the copy is known
+  // to be current as of the call.
   bool catch_up(base::Seconds timeout);
 
-  // Commits and takes in the result. Returns whether it was certainly committed; after a conflict,
-  // the keys in conflict are read again.
-  bool commit(const protocol::Transaction& txn);
+  // Commits a transaction and applies it to the copy. Returns whether the commit is confirmed.
+  // After a conflict, reads the conflicting keys again.
+  bool commit(const protocol::Transaction& transaction);
 
-  // Reads those keys ahead of the watch, as far as their records stand for themselves.
+  // Reads keys from the store ahead of the watch and applies them to the copy. Skips keys whose
+  // records imply earlier changes of other keys.
   void refresh(const std::vector<std::string>& keys);
 
  private:
+  // Replaces the copy with the store's current contents. Returns false if the store did not answer.
   bool load();
-  bool list(const std::string& prefix, std::vector<protocol::Item>& items,
-            base::Revision& revision);
-  // Returns false if it came too late for a copy that was loaded again meanwhile.
+  // Appends all items under the prefix, read page by page. Sets `revision` to the store's revision
+  // at the first page. Returns false if the store did not answer.
+  bool list_all(const std::string& prefix, std::vector<protocol::Item>& items,
+                base::Revision& revision);
+  // Applies changes that the store delivered. Returns false if the copy was reloaded meanwhile,
+  // which makes them useless.
   bool apply(const protocol::StateClient::Watched& changes);
 
   const DaemonContext context_;
-  protocol::StateClient& state_;
-  std::atomic<bool> is_loaded_{false};
+  protocol::StateClient& state_client_;
+  std::atomic<bool> is_loaded_{false};  // stays true while the copy is reloaded
 };
 
 }  // namespace saddleslip
--- a/src/daemon/wakeup_event.h
+++ b/src/daemon/wakeup_event.h
@@ -1,4 +1,4 @@
-// An event that wakes a loop before its period is over.
+// An event that wakes a loop before its period has passed.
 #pragma once
 
 #include <condition_variable>
@@ -9,12 +9,14 @@
 
 namespace saddleslip {
 
-// Set by any thread, waited for by one. Notifications between two waits count as one.
+// An auto-reset event that any thread may set and one thread waits for. Several notifications
+// between two waits wake the waiting thread once.
 class WakeupEvent {
  public:
+  // Sets the event and wakes the waiting thread.
   void notify();
-  // Waits until notified, until the timeout or until a stop is requested, and resets the event.
-  // Returns whether it was notified.
+  // Waits until the event is set, the timeout has passed or a stop is requested, then resets the
+  // event. Returns whether the event was set.
   bool wait_for(base::Seconds timeout, const std::stop_token& stop);
 
  private:
@@ -23,14 +25,14 @@
   bool is_set_ = false;  // guarded by mutex_
 };
 
-// The events of the loops that other threads wake.
+// The wakeup events of the daemon's loops, which other threads set.
 struct LoopWakeups {
   WakeupEvent lease_renewal;
   WakeupEvent scheduling;
   WakeupEvent fleet;
 };
 
-// Sleeps for that time, or until a stop is requested.
+// Sleeps for the given duration, or until a stop is requested.
 void sleep_for(base::Seconds duration, const std::stop_token& stop);
 
 }  // namespace saddleslip
--- a/src/daemon/write_rate_limiter.cpp
+++ b/src/daemon/write_rate_limiter.cpp
@@ -9,17 +9,19 @@
 
 namespace {
 
-constexpr Seconds kMaxSavings{1.0};  // of writes that the bucket holds
-constexpr Seconds kMaxDebt{0.4};     // of writes that urgent work may run ahead
-constexpr Seconds kSurplus{0.6};     // of writes saved: records that could wait are written too
+// Token amounts, given as the time in which they are refilled.
+constexpr Seconds kBucketCapacity{1.0};
+constexpr Seconds kMaxDebt{0.4};
+constexpr Seconds kSurplusThreshold{0.6};  // above this, deferrable records are written too
 
 }  // namespace
 
 Seconds WriteRateLimiter::refill(base::Time now, double writes_per_second) {
-  const double refilled = tokens_ + base::between(refilled_at_, now).count() * writes_per_second;
-  tokens_ = std::min(writes_per_second * kMaxSavings.count(), refilled);
+  const double refilled_tokens =
+      tokens_ + base::between(last_refill_at_, now).count() * writes_per_second;
+  tokens_ = std::min(writes_per_second * kBucketCapacity.count(), refilled_tokens);
   writes_per_second_ = writes_per_second;
-  refilled_at_ = now;
+  last_refill_at_ = now;
   const double excess_debt = -tokens_ - writes_per_second * kMaxDebt.count();
   return excess_debt > 0 ? Seconds(excess_debt / writes_per_second) : Seconds(0);
 }
@@ -30,8 +32,8 @@
 
 WriteBudget WriteRateLimiter::budget() const {
   if (tokens_ <= 0) return WriteBudget::kExhausted;
-  return tokens_ > writes_per_second_ * kSurplus.count() ? WriteBudget::kSurplus
-                                                         : WriteBudget::kNormal;
+  return tokens_ > writes_per_second_ * kSurplusThreshold.count() ? WriteBudget::kSurplus
+                                                                  : WriteBudget::kNormal;
 }
 
 }  // namespace saddleslip
