--- a/src/base/address.cpp
+++ b/src/base/address.cpp
@@ -27,7 +27,8 @@
     const std::string port = text.substr(colon + 1);
     if (is_port(port)) return {text.substr(0, colon), std::stoi(port)};
   }
-  throw BadSettings(SettingsFile::kPlatform, field, "must be host:port, not '" + text + "'");
+  throw BadSettings(SettingsFile::kPlatform, field,
+                    "must have the form host:port, but is '" + text + "'");
 }
 
 }  // namespace saddleslip::base
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,7 +1,7 @@
-// Time: instants of the steady clock, durations in seconds, and the time of day.
+// Clocks: time points of the steady clock, durations in seconds, and the time of day.
 //
-// Steady instants are compared within one process only, and never sent to another. The time of day
-// may differ between machines; it is compared only within the bound that the settings give.
+// Time points of the steady clock are valid in one process only and are never sent to another. The
+// time of day may differ between machines, by at most the bound in the settings.
 #pragma once
 
 #include <chrono>
@@ -10,7 +10,7 @@
 
 using Seconds = std::chrono::duration<double>;
 
-// The system's steady clock, with instants of a type of its own. Safe to read from any thread.
+// The system's steady clock with a distinct time point type. now() may be called from any thread.
 struct SteadyClock {
   using duration = std::chrono::nanoseconds;
   using rep = duration::rep;
@@ -20,24 +20,24 @@
   static time_point now();
 };
 
-// An instant of the steady clock. The default value stands for "never" or "not yet".
+// A time point of the steady clock. The default value means "never" or "not yet".
 using Time = SteadyClock::time_point;
 
-// The instant that lies so long after `time`; before it if the duration is negative.
+// Returns the time point `duration` after `time`, or before it if the duration is negative.
 inline Time after(Time time, Seconds duration) {
   return time + std::chrono::duration_cast<SteadyClock::duration>(duration);
 }
 
-// How long `to` lies after `from`; negative if it lies before.
+// Returns the time from `from` to `to`, which is negative if `to` is earlier.
 inline Seconds between(Time from, Time to) {
   return std::chrono::duration_cast<Seconds>(to - from);
 }
 
-// The time of day, in seconds since 1970 (UTC).
+// Returns the time of day in seconds since 1970-01-01 UTC.
 double wall_seconds();
 
-// The steady clocks of two machines drift apart by at most this fraction of the time that passes:
-// twice what the protocol specifies, for safety.
+// The maximum clock drift: the steady clocks of two machines drift apart by at most this fraction
+// of the elapsed time. It is twice the bound in the protocol's specification, as a safety margin.
 inline constexpr double kDrift = 0.001;
 
 }  // namespace saddleslip::base
--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -1,5 +1,5 @@
-// Types for ids, versions, tokens and counters, each of its own, so that the compiler refuses to take
-// one for another.
+// Distinct types for ids, versions, tokens and counters, so that the compiler rejects a value of
+// one kind where another is expected.
 #pragma once
 
 #include <compare>
@@ -10,51 +10,54 @@
 
 namespace saddleslip::base {
 
-// A value of type T that mixes with no other Strong type. `Tag` is never defined; it only tells the
-// types apart. Values compare and hash as T does.
+// A strong typedef: wraps a T without implicit conversions. `Tag` is an incomplete type that makes
+// each instantiation distinct. Values are compared and hashed like T.
 template <class Tag, class T>
-class Strong {
+class StrongType {
  public:
   using value_type = T;
-  constexpr Strong() = default;
-  constexpr explicit Strong(T value) : value_(std::move(value)) {}
+  constexpr StrongType() = default;
+  constexpr explicit StrongType(T value) : value_(std::move(value)) {}
   constexpr const T& get() const { return value_; }
-  auto operator<=>(const Strong&) const = default;
+  auto operator<=>(const StrongType&) const = default;
 
  private:
   T value_{};
 };
 
-using JobId = Strong<struct JobIdTag, std::string>;
-using MachineId = Strong<struct MachineIdTag, std::string>;
-// A controller's name in the settings; it is the same after a restart.
-using MemberId = Strong<struct MemberIdTag, std::string>;
+// The id of a job, chosen by the user who submits it.
+using JobId = StrongType<struct JobIdTag, std::string>;
+// The id of a rented machine, assigned by the cloud.
+using MachineId = StrongType<struct MachineIdTag, std::string>;
+// The name of a controller in the settings. It stays the same after a restart.
+using MemberId = StrongType<struct MemberIdTag, std::string>;
 
-// One run of a controller's process, by the number of the lease that it took in the store when it
-// started. The store never gives a number twice, so two runs of one member are never mixed up.
-using Incarnation = Strong<struct IncarnationTag, std::uint64_t>;
-// The number of a membership view; each new view has a higher one.
-using Epoch = Strong<struct EpochTag, std::uint64_t>;
-// Rises with each change of what a machine is told: an agent refuses commands under a lower token
-// than the highest it has seen.
-using FencingToken = Strong<struct FencingTokenTag, std::uint64_t>;
-// One run of the agent's process on a machine.
-using AgentIncarnation = Strong<struct AgentIncarnationTag, std::uint64_t>;
-// Numbers the heartbeats of one agent incarnation.
-using Sequence = Strong<struct SequenceTag, std::uint64_t>;
-// Numbers the attempts to run a task; never given twice for one task.
-using Attempt = Strong<struct AttemptTag, std::uint64_t>;
-// A key's version in the store; 0: the key does not exist.
-using Version = Strong<struct VersionTag, std::uint64_t>;
-// The store's count of all changes. A key's version is the revision of its last change.
-using Revision = Strong<struct RevisionTag, std::uint64_t>;
-// A lease in the store; the keys under it are removed when it ends.
-using LeaseId = Strong<struct LeaseIdTag, std::uint64_t>;
+// Identifies one period in which a controller holds a lease, by the id of that lease. The store
+// never assigns a lease id twice, so two incarnations of one member are always distinct.
+using Incarnation = StrongType<struct IncarnationTag, std::uint64_t>;
+// The number of a membership view. Each new view has a higher number.
+using Epoch = StrongType<struct EpochTag, std::uint64_t>;
+// Orders the commands for a machine. It increases with each change of its commands, and an agent
+// rejects commands with a lower token than the highest one it has received.
+using FencingToken = StrongType<struct FencingTokenTag, std::uint64_t>;
+// Identifies one run of the agent process on a machine.
+using AgentIncarnation = StrongType<struct AgentIncarnationTag, std::uint64_t>;
+// The sequence number of a heartbeat within one agent incarnation.
+using Sequence = StrongType<struct SequenceTag, std::uint64_t>;
+// The number of an attempt to run a task, unique among the attempts of that task.
+using Attempt = StrongType<struct AttemptTag, std::uint64_t>;
+// The version of a key in the store, or 0 if the key does not exist.
+using Version = StrongType<struct VersionTag, std::uint64_t>;
+// The store's revision, which increases with each change. The version of a key is the revision of
+// its last change.
+using Revision = StrongType<struct RevisionTag, std::uint64_t>;
+// The id of a lease in the store. The store deletes the keys attached to a lease when it ends.
+using LeaseId = StrongType<struct LeaseIdTag, std::uint64_t>;
 
-// Numbers the tasks of one job, from 0.
+// The number of a task within its job, starting at 0.
 using TaskNo = std::uint32_t;
 
-// A task of a job.
+// Identifies a task by its job and its number in the job.
 struct TaskId {
   JobId job;
   TaskNo no = 0;
@@ -71,8 +74,8 @@
 };
 
 template <class Tag, class T>
-struct std::hash<saddleslip::base::Strong<Tag, T>> {
-  std::size_t operator()(const saddleslip::base::Strong<Tag, T>& strong) const noexcept {
+struct std::hash<saddleslip::base::StrongType<Tag, T>> {
+  std::size_t operator()(const saddleslip::base::StrongType<Tag, T>& strong) const noexcept {
     return std::hash<T>{}(strong.get());
   }
 };
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -5,9 +5,9 @@
 
 namespace saddleslip::base {
 
-// Installs the default logger. The environment variable LOG_LEVEL says what is logged: error, warn,
-// info or debug; info if it is not set or says something else. To be called once, before any other
-// thread logs; logging itself is safe from every thread.
+// Installs the default logger. The environment variable LOG_LEVEL sets the level: error, warn, info
+// or debug. If it is not set or has another value, the level is info. Must be called once, before
+// other threads log; logging itself is thread-safe.
 void init_log();
 
 }  // namespace saddleslip::base
--- a/src/base/operator_settings.cpp
+++ b/src/base/operator_settings.cpp
@@ -1,4 +1,4 @@
-// The operators' file (YAML): parsing, and the range of each field.
+// Parses the operators' settings file (YAML) and checks the range of each field.
 #include <yaml-cpp/yaml.h>
 
 #include <cmath>
@@ -13,14 +13,15 @@
 
 constexpr double kSecondsPerDay = 86400;
 
-[[noreturn]] void fail(const std::string& field, const std::string& reason) {
+[[noreturn]] void throw_settings_error(const std::string& field, const std::string& reason) {
   throw BadSettings(SettingsFile::kOperators, field, reason);
 }
 
-// Sets a field; false if the value is out of its range.
+// Sets a field of the settings. Returns false, without setting it, if the value is out of range.
 using Setter = std::function<bool(double value)>;
 
-Setter number(double& field, double min, double max) {
+// Returns a setter for a number in the range [min, max].
+Setter number_setter(double& field, double min, double max) {
   return [&field, min, max](double value) {
     if (value < min || value > max) return false;
     field = value;
@@ -28,7 +29,8 @@
   };
 }
 
-Setter seconds(Seconds& field, double min, double max) {
+// Returns a setter for a duration in the range [min, max], in seconds.
+Setter seconds_setter(Seconds& field, double min, double max) {
   return [&field, min, max](double value) {
     if (value < min || value > max) return false;
     field = Seconds(value);
@@ -36,7 +38,8 @@
   };
 }
 
-Setter integer(int& field, int min, int max) {
+// Returns a setter for an integer in the range [min, max].
+Setter integer_setter(int& field, int min, int max) {
   return [&field, min, max](double value) {
     if (value < min || value > max || value != std::floor(value)) return false;
     field = static_cast<int>(value);
@@ -44,49 +47,51 @@
   };
 }
 
-// The setters refer to the tuning of `settings`.
-std::map<std::string, Setter> setters(Settings& settings) {
+// Returns the setter of each field, by name. The setters keep references to `settings.tuning`.
+std::map<std::string, Setter> make_setters(Settings& settings) {
   Tuning& tuning = settings.tuning;
-  const double longest_ttl = longest_member_ttl(settings).count();
+  const double max_ttl = max_member_ttl(settings).count();
   return {
-      {"round_period_s", seconds(tuning.round_period, 0.05, 60)},
-      {"member_ttl_s", seconds(tuning.member_ttl, kShortestMemberTtl.count(), longest_ttl)},
-      {"idle_return_s", seconds(tuning.idle_return, 0, kSecondsPerDay)},
-      {"longest_wait_s", seconds(tuning.longest_wait, 1, kSecondsPerDay)},
-      {"record_within_s", seconds(tuning.record_within, 0, 600)},
-      {"headroom", number(tuning.headroom, 0, 10)},
-      {"mute_release_s", seconds(tuning.silent_release, 0, kSecondsPerDay)},
-      {"spot_share", number(tuning.spot_share, 0, 1)},
-      {"max_connections", integer(tuning.max_connections, 8, 100000)},
+      {"round_period_s", seconds_setter(tuning.round_period, 0.05, 60)},
+      {"member_ttl_s", seconds_setter(tuning.member_ttl, kMinMemberTtl.count(), max_ttl)},
+      {"idle_return_s", seconds_setter(tuning.idle_return, 0, kSecondsPerDay)},
+      {"longest_wait_s", seconds_setter(tuning.longest_wait, 1, kSecondsPerDay)},
+      {"record_within_s", seconds_setter(tuning.record_within, 0, 600)},
+      {"headroom", number_setter(tuning.headroom, 0, 10)},
+      {"mute_release_s", seconds_setter(tuning.silent_release, 0, kSecondsPerDay)},
+      {"spot_share", number_setter(tuning.spot_share, 0, 1)},
+      {"max_connections", integer_setter(tuning.max_connections, 8, 100000)},
   };
 }
 
-YAML::Node load(const std::string& yaml_text) {
+// Parses the text of the file. Throws BadSettings if it is not valid YAML.
+YAML::Node parse_yaml(const std::string& yaml_text) {
   try {
     return YAML::Load(yaml_text);
-  } catch (const YAML::Exception& e) {
-    fail("", e.what());
+  } catch (const YAML::Exception& error) {
+    throw_settings_error("", error.what());
   }
 }
 
 }  // namespace
 
 void apply_tuning(Settings& settings, const std::string& yaml_text) {
-  const YAML::Node root = load(yaml_text);
+  const YAML::Node root = parse_yaml(yaml_text);
   if (root.IsNull()) return;
-  if (!root.IsMap()) fail("", "not a map");
-  const auto fields = setters(settings);
+  if (!root.IsMap()) throw_settings_error("", "the file must be a map of fields");
+  const auto setters = make_setters(settings);
   for (const auto& entry : root) {
     std::string name;
     try {
       name = entry.first.as<std::string>();
-      const auto field = fields.find(name);
-      if (field == fields.end()) fail("", "unknown field '" + name + "'");
+      const auto setter = setters.find(name);
+      if (setter == setters.end()) throw_settings_error("", "unknown field '" + name + "'");
       const double value = entry.second.as<double>();
-      if (!std::isfinite(value) || !field->second(value)) fail(name, "is out of range");
+      if (!std::isfinite(value) || !setter->second(value))
+        throw_settings_error(name, "is out of range");
     } catch (const YAML::Exception&) {
-      // A key that is no string has no name to show: its place stays empty.
-      fail(name, name.empty() ? " must be a number" : "must be a number");
+      // The error names no field if the key itself is not a string.
+      throw_settings_error(name, name.empty() ? " must be a number" : "must be a number");
     }
   }
 }
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -8,34 +8,35 @@
 
 namespace {
 
-// Until a worker whose lease has ended has stopped its tasks.
-constexpr Seconds kWorkerDelay{1.0};
+// The time that a worker needs to stop its tasks after its lease has expired.
+constexpr Seconds kWorkerStopDelay{1.0};
 
+// Returns the contents of a file. Throws BadSettings if it cannot be read.
 std::string read_file(const std::string& path) {
-  std::ifstream in(path, std::ios::binary);
-  if (!in) throw BadSettings("cannot read " + path);
-  std::stringstream text;
-  text << in.rdbuf();
-  if (in.bad()) throw BadSettings("cannot read " + path);
-  return text.str();
+  std::ifstream file(path, std::ios::binary);
+  if (!file) throw BadSettings("cannot read " + path);
+  std::stringstream contents;
+  contents << file.rdbuf();
+  if (file.bad()) throw BadSettings("cannot read " + path);
+  return contents.str();
 }
 
 }  // namespace
 
-Seconds longest_member_ttl(const Settings& settings) {
+Seconds max_member_ttl(const Settings& settings) {
   const Seconds lease_with_drift = settings.worker_lease * (1.0 + 2.0 * kDrift);
-  const Seconds left = settings.cancel_within - lease_with_drift - kWorkerDelay;
-  return std::min(settings.worker_lease * 0.5, left);
+  const Seconds remaining = settings.cancel_within - lease_with_drift - kWorkerStopDelay;
+  return std::min(settings.worker_lease * 0.5, remaining);
 }
 
-std::optional<std::string> caution(const Settings& settings) {
-  if (settings.tuning.member_ttl <= longest_member_ttl(settings)) return {};
-  std::ostringstream out;
-  out << "settings: a controller's authority (" << settings.tuning.member_ttl.count()
-      << " s) and then a worker's lease (" << settings.worker_lease.count()
-      << " s) may outlast cancel_s (" << settings.cancel_within.count()
-      << " s), or half a lease: cancelled tasks may stay too long";
-  return out.str();
+std::optional<std::string> cancellation_time_warning(const Settings& settings) {
+  if (settings.tuning.member_ttl <= max_member_ttl(settings)) return {};
+  std::ostringstream warning;
+  warning << "settings: member_ttl_s (" << settings.tuning.member_ttl.count()
+          << " s) is more than half of lease_s (" << settings.worker_lease.count()
+          << " s), or both together may exceed cancel_s (" << settings.cancel_within.count()
+          << " s): tasks of cancelled jobs may run too long";
+  return warning.str();
 }
 
 Settings load_settings(const std::string& path, const std::optional<std::string>& operators_path) {
--- a/src/base/settings_error.cpp
+++ b/src/base/settings_error.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-std::string message(SettingsFile file, const std::string& field, const std::string& reason) {
+// Builds the text of what().
+std::string format_message(SettingsFile file, const std::string& field, const std::string& reason) {
   const std::string prefix =
       file == SettingsFile::kPlatform ? "settings: " : "operators' settings: ";
   return prefix + (field.empty() ? "" : field + " ") + reason;
@@ -15,7 +16,7 @@
 }  // namespace
 
 BadSettings::BadSettings(SettingsFile file, std::string field, std::string reason)
-    : std::runtime_error(message(file, field, reason)),
+    : std::runtime_error(format_message(file, field, reason)),
       file_(file),
       field_(std::move(field)),
       reason_(std::move(reason)) {}
--- a/src/base/settings_error.h
+++ b/src/base/settings_error.h
@@ -1,4 +1,4 @@
-// What is wrong with a settings file.
+// The error type for invalid settings.
 #pragma once
 
 #include <optional>
@@ -7,23 +7,28 @@
 
 namespace saddleslip::base {
 
+// The two settings files of a controller.
 enum class SettingsFile {
   kPlatform,   // JSON, written by the platform
   kOperators,  // YAML, written by operators
 };
 
-// The reason why a controller does not start. what() is one line for whoever wrote the file.
+// Thrown if a settings file is invalid or cannot be read. what() is a message of one line for the
+// author of the file.
 class BadSettings : public std::runtime_error {
  public:
-  // A file that cannot be read, or settings that do not go together.
+  // An error that is not in one file: a file cannot be read, or settings contradict each other.
   explicit BadSettings(const std::string& message) : std::runtime_error(message) {}
-  // A fault in a file. `field`: its path from the root, e.g. "settings.workers.lease_s"; empty: the
-  // fault concerns more than one field, or the whole file. `reason` reads on from the field.
+  // An error in a file. `field` is the path of the invalid field from the root, such as
+  // "settings.workers.lease_s"; it is empty if the error concerns the whole file or several fields.
+  // `reason` completes the sentence that the field begins, such as "is missing".
   BadSettings(SettingsFile file, std::string field, std::string reason);
 
-  // None: the fault is not in one file.
+  // Returns the file that contains the error, or nothing if the error is not in one file.
   const std::optional<SettingsFile>& file() const { return file_; }
+  // Returns the path of the invalid field, or "" if there is none.
   const std::string& field() const { return field_; }
+  // Returns what is wrong with the field.
   const std::string& reason() const { return reason_; }
 
  private:
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// The program's entry: command line, settings, and one daemon.
+// Entry point of the program: parses the command line, loads the settings and runs one daemon.
 #include <malloc.h>
 #include <pthread.h>
 
@@ -17,20 +17,23 @@
 namespace base = saddleslip::base;
 
 constexpr int kExitFailure = 1;
-constexpr int kExitUsage = 2;
+constexpr int kExitUsageError = 2;
 
 constexpr std::size_t kThreadStackBytes = 192u << 10;
-constexpr int kTrimThresholdBytes = 256 * 1024;  // free memory beyond this goes back to the system
+// Free heap memory above this amount is returned to the system.
+constexpr int kTrimThresholdBytes = 256 * 1024;
 
+// The options of the command line.
 struct Options {
   std::string settings_path;
   std::optional<std::string> operators_path;
-  bool only_checks = false;  // reads the settings and ends
+  bool check_only = false;  // check the settings and exit
 };
 
-// The process has little memory and hundreds of threads: stacks of the usual size, and one arena of
-// the allocator for each thread, would not fit. Must be called before the first thread is started.
-void limit_memory() {
+// Reduces the memory use of threads. The process has little memory and hundreds of threads, so
+// stacks of the default size and a malloc arena per thread would not fit. Must be called before the
+// first thread is started.
+void limit_thread_memory() {
   mallopt(M_ARENA_MAX, 1);
   mallopt(M_TRIM_THRESHOLD, kTrimThresholdBytes);
   pthread_attr_t attributes;
@@ -40,8 +43,8 @@
   pthread_attr_destroy(&attributes);
 }
 
-// Fills the options. Returns the exit status if the program is to end here: after a usage error, or
-// after help or the version was printed.
+// Parses the command line into `options`. Returns an exit status if the program must exit now,
+// either after a usage error or because help or the version was printed.
 std::optional<int> parse_command_line(int argc, char** argv, Options& options) {
   CLI::App app{"saddleslip, a cluster scheduler: runs one controller"};
   app.set_version_flag("--version", std::string("saddleslip ") + SADDLESLIP_VERSION);
@@ -49,35 +52,35 @@
       ->required();
   app.add_option("--operators", options.operators_path, "the operators' own settings (YAML)")
       ->envname("SADDLESLIP_OPERATORS");
-  app.add_flag("--check-config", options.only_checks,
-               "read the settings, say whether they are good, and end");
-  app.footer("LOG_LEVEL sets how much is logged to standard error: error, warn, info, debug.");
+  app.add_flag("--check-config", options.check_only,
+               "check the settings, report the result and exit");
+  app.footer("The environment variable LOG_LEVEL sets the log level: error, warn, info or debug.");
   try {
     app.parse(argc, argv);
-  } catch (const CLI::Success& e) {
-    return app.exit(e);
-  } catch (const CLI::ParseError& e) {
-    std::fprintf(stderr, "saddleslip: %s\n", e.what());
-    return kExitUsage;
+  } catch (const CLI::Success& error) {
+    return app.exit(error);
+  } catch (const CLI::ParseError& error) {
+    std::fprintf(stderr, "saddleslip: %s\n", error.what());
+    return kExitUsageError;
   }
   return {};
 }
 
-// Runs the controller, or only checks its settings. Throws if the settings are bad or an address
-// cannot be listened on.
+// Runs the controller, or only checks its settings. Throws if the settings are invalid or an
+// address cannot be bound.
 void run(const Options& options) {
   auto settings = base::load_settings(options.settings_path, options.operators_path);
-  const auto caution = base::caution(settings);
-  if (caution && options.only_checks) throw base::BadSettings(*caution);
-  if (caution) spdlog::warn(*caution);
-  if (options.only_checks) {
+  const auto warning = base::cancellation_time_warning(settings);
+  if (warning && options.check_only) throw base::BadSettings(*warning);
+  if (warning) spdlog::warn(*warning);
+  if (options.check_only) {
     std::printf("the settings of %s are good\n", settings.member.get().c_str());
     return;
   }
   saddleslip::Daemon daemon(std::move(settings));
   daemon.start();
-  // SIGTERM keeps its default action, which ends the process at once: all state that must outlast
-  // it is in the store, and the peers take over when its lease has expired.
+  // SIGTERM keeps its default action, which terminates the process immediately. This is safe: all
+  // durable state is in the store, and the peers take over once this controller's lease expires.
   daemon.wait();
 }
 
@@ -86,13 +89,13 @@
 int main(int argc, char** argv) {
   Options options;
   if (const auto exit_status = parse_command_line(argc, argv, options)) return *exit_status;
-  limit_memory();
+  limit_thread_memory();
   std::signal(SIGPIPE, SIG_IGN);
   base::init_log();
   try {
     run(options);
-  } catch (const std::exception& e) {
-    std::fprintf(stderr, "saddleslip: %s\n", e.what());
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "saddleslip: %s\n", error.what());
     return kExitFailure;
   }
   return 0;
