--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -49,7 +49,7 @@
 }
 
 int max_concurrent_user_requests(const base::Settings& settings) {
-  return std::max(kMinConcurrentUserRequests, server_limits(settings).threads * 3 / 4);
+  return std::max(kMinConcurrentUserRequests, server_limits(settings).max_threads * 3 / 4);
 }
 
 PeerSyncs make_peers(const DaemonContext& context) {
--- a/src/transport/file_descriptor.h
+++ b/src/transport/file_descriptor.h
@@ -1,3 +1,4 @@
+// Ownership of file descriptors.
 #pragma once
 
 #include <unistd.h>
@@ -6,7 +7,8 @@
 
 namespace saddleslip::transport {
 
-// Owns a file descriptor, and closes it at the end of its life. Negative: owns none.
+// Owns a file descriptor and closes it when destroyed. A negative descriptor means that it owns
+// none.
 class FileDescriptor {
  public:
   FileDescriptor() = default;
@@ -24,9 +26,11 @@
   FileDescriptor(const FileDescriptor&) = delete;
   FileDescriptor& operator=(const FileDescriptor&) = delete;
 
+  // Returns whether this object owns a descriptor.
   bool is_open() const { return descriptor_ >= 0; }
+  // Returns the descriptor without giving up ownership.
   int get() const { return descriptor_; }
-  // Gives the descriptor to the caller, who has to close it.
+  // Transfers ownership of the descriptor to the caller, who must close it.
   int release() { return std::exchange(descriptor_, kNone); }
 
  private:
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -14,17 +14,19 @@
 
 namespace {
 
-constexpr std::size_t kMaxBytesOfDelete = 1 << 16;
+constexpr std::size_t kMaxDeleteResponseBytes = 1 << 16;
 
-// Connects a non-blocking socket. False if this fails or takes longer than the deadline.
-bool connect_within(int socket, const sockaddr_in& to, base::Time deadline) {
-  if (::connect(socket, reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0) return true;
+// Connects a non-blocking socket. Returns false if this fails or the deadline passes first.
+bool connect_before(int socket, const sockaddr_in& server_address, base::Time deadline) {
+  if (::connect(socket, reinterpret_cast<const sockaddr*>(&server_address),
+                sizeof server_address) == 0)
+    return true;
   if (errno != EINPROGRESS) return false;
-  const auto left =
+  const auto remaining =
       std::chrono::duration_cast<std::chrono::milliseconds>(deadline - base::SteadyClock::now());
-  if (left.count() <= 0) return false;
+  if (remaining.count() <= 0) return false;
   pollfd request{socket, POLLOUT, 0};
-  if (::poll(&request, 1, static_cast<int>(left.count()) + 1) <= 0) return false;
+  if (::poll(&request, 1, static_cast<int>(remaining.count()) + 1) <= 0) return false;
   int error = 0;
   socklen_t size = sizeof error;
   return ::getsockopt(socket, SOL_SOCKET, SO_ERROR, &error, &size) == 0 && error == 0;
@@ -32,8 +34,8 @@
 
 }  // namespace
 
-// One kept-alive connection; for one thread at a time. It connects again by itself when the server
-// has closed it.
+// One persistent connection, used by one thread at a time. It reconnects automatically if the
+// server has closed it.
 class HttpClient::Connection final : public httplib::ClientImpl {
  public:
   explicit Connection(const base::Address& address)
@@ -43,8 +45,9 @@
     set_decompress(false);
   }
 
+  // Sends one request and waits for the response until the deadline.
   Answer call(const char* method, const std::string& path, const std::string& body,
-              base::Time deadline, std::size_t max_bytes) {
+              base::Time deadline, std::size_t max_response_bytes) {
     deadline_ = deadline;
     is_connected_ = socket_.is_open();
     httplib::Request request;
@@ -56,7 +59,7 @@
     }
     Answer answer;
     request.content_receiver = [&](const char* data, size_t size, uint64_t, uint64_t) {
-      answer.too_large = answer.body.size() + size > max_bytes;
+      answer.too_large = answer.body.size() + size > max_response_bytes;
       if (!answer.too_large) answer.body.append(data, size);
       return !answer.too_large;
     };
@@ -76,15 +79,16 @@
   bool create_and_connect_socket(Socket& socket, httplib::Error& error) override {
     is_connected_ = false;
     error = httplib::Error::Connection;
-    sockaddr_in to{};
-    to.sin_family = AF_INET;
-    to.sin_port = htons(static_cast<std::uint16_t>(port_));
-    if (::inet_pton(AF_INET, host_.c_str(), &to.sin_addr) != 1) return false;
+    sockaddr_in server_address{};
+    server_address.sin_family = AF_INET;
+    server_address.sin_port = htons(static_cast<std::uint16_t>(port_));
+    if (::inet_pton(AF_INET, host_.c_str(), &server_address.sin_addr) != 1) return false;
     FileDescriptor descriptor(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-    if (!descriptor.is_open() || !connect_within(descriptor.get(), to, deadline_)) return false;
-    const int yes = 1;
-    ::setsockopt(descriptor.get(), IPPROTO_TCP, TCP_NODELAY, &yes, sizeof yes);
-    socket.sock = descriptor.release();  // cpp-httplib closes it
+    if (!descriptor.is_open() || !connect_before(descriptor.get(), server_address, deadline_))
+      return false;
+    const int enabled = 1;
+    ::setsockopt(descriptor.get(), IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
+    socket.sock = descriptor.release();  // from here on owned and closed by cpp-httplib
     is_connected_ = true;
     error = httplib::Error::Success;
     return true;
@@ -98,30 +102,31 @@
   }
 
   base::Time deadline_{};
-  bool is_connected_ = false;  // did the present call have a connection?
+  bool is_connected_ = false;  // whether the current call has had a connection
 };
 
 HttpClient::HttpClient(base::Address address, std::size_t max_connections)
     : address_(std::move(address)), max_connections_(max_connections) {}
 HttpClient::~HttpClient() = default;
 
-Answer HttpClient::get(const std::string& path, base::Seconds timeout, std::size_t max_bytes) {
-  return call("GET", path, {}, timeout, max_bytes);
+Answer HttpClient::get(const std::string& path, base::Seconds timeout,
+                       std::size_t max_response_bytes) {
+  return call("GET", path, {}, timeout, max_response_bytes);
 }
 Answer HttpClient::post(const std::string& path, const std::string& body, base::Seconds timeout,
-                        std::size_t max_bytes) {
-  return call("POST", path, body, timeout, max_bytes);
+                        std::size_t max_response_bytes) {
+  return call("POST", path, body, timeout, max_response_bytes);
 }
 Answer HttpClient::del(const std::string& path, base::Seconds timeout) {
-  return call("DELETE", path, {}, timeout, kMaxBytesOfDelete);
+  return call("DELETE", path, {}, timeout, kMaxDeleteResponseBytes);
 }
 
 Answer HttpClient::call(const char* method, const std::string& path, const std::string& body,
-                        base::Seconds timeout, std::size_t max_bytes) {
+                        base::Seconds timeout, std::size_t max_response_bytes) {
   const base::Time deadline = base::after(base::SteadyClock::now(), timeout);
   std::unique_ptr<Connection> connection = acquire(deadline);
   if (!connection) return {};
-  Answer answer = connection->call(method, path, body, deadline, max_bytes);
+  Answer answer = connection->call(method, path, body, deadline, max_response_bytes);
   release(std::move(connection));
   return answer;
 }
@@ -129,15 +134,16 @@
 std::unique_ptr<HttpClient::Connection> HttpClient::acquire(base::Time deadline) {
   {
     std::unique_lock lock(mutex_);
-    const bool is_available = released_.wait_until(
-        lock, deadline, [this] { return !idle_.empty() || connections_ < max_connections_; });
+    const bool is_available = connection_released_.wait_until(lock, deadline, [this] {
+      return !idle_connections_.empty() || connection_count_ < max_connections_;
+    });
     if (!is_available) return nullptr;
-    if (!idle_.empty()) {
-      std::unique_ptr<Connection> connection = std::move(idle_.back());
-      idle_.pop_back();
+    if (!idle_connections_.empty()) {
+      std::unique_ptr<Connection> connection = std::move(idle_connections_.back());
+      idle_connections_.pop_back();
       return connection;
     }
-    ++connections_;
+    ++connection_count_;
   }
   return std::make_unique<Connection>(address_);
 }
@@ -145,9 +151,9 @@
 void HttpClient::release(std::unique_ptr<Connection> connection) {
   {
     const std::lock_guard lock(mutex_);
-    idle_.push_back(std::move(connection));
+    idle_connections_.push_back(std::move(connection));
   }
-  released_.notify_one();
+  connection_released_.notify_one();
 }
 
 }  // namespace saddleslip::transport
--- a/src/transport/http_client.h
+++ b/src/transport/http_client.h
@@ -1,3 +1,4 @@
+// An HTTP client with a bounded pool of connections to one server.
 #pragma once
 
 #include <condition_variable>
@@ -13,61 +14,71 @@
 
 namespace saddleslip::transport {
 
-// What is known of a request's delivery. A caller that must not act twice may repeat a request only
-// after kNo.
+// Whether a request was delivered to the server. A request that is not idempotent may be retried
+// only after kNo.
 enum class Sent {
-  kNo,     // it certainly did not reach the server: there was no connection
-  kMaybe,  // no complete response: it may have been carried out, or may still be
-  kYes,    // the server responded
+  kNo,     // not delivered, because there was no connection
+  kMaybe,  // unknown: the response is incomplete, and the server may execute the request even later
+  kYes,    // delivered, and the server responded
 };
 
-// The outcome of a call.
+// The result of an HTTP call.
 struct Answer {
   Sent sent = Sent::kNo;
-  int status = 0;  // the HTTP status code, if the server responded
+  int status = 0;  // the HTTP status code, or 0 if the server did not respond
   std::string body;
-  bool too_large = false;  // the response exceeded the caller's limit: none of its body is kept
+  bool too_large = false;  // the response exceeded the caller's limit, and its body was discarded
+  // Returns whether the server responded with status 200.
   bool ok() const { return sent == Sent::kYes && status == 200; }
 };
 
-// A client of one server: a bounded pool of kept-alive connections, each call with a deadline.
+// An HTTP client for one server, with a bounded pool of persistent connections and a timeout for
+// each call.
 //
-// Safe for use from several threads at once. Calls block until the response, the timeout or a
-// failure; none of them throws for a fault of the network or the server. A call that finds all
-// connections busy waits for one within its own timeout, and returns Sent::kNo if none comes free.
+// May be used by several threads at once. A call blocks until the response has arrived, the timeout
+// has passed or the connection has failed. It does not throw if the network or the server fails. If
+// all connections are in use, a call waits for one until its timeout, and returns Sent::kNo if none
+// becomes idle.
 class HttpClient {
  public:
-  static constexpr std::size_t kDefaultMaxBytes = 1 << 20;
+  static constexpr std::size_t kDefaultMaxResponseBytes = 1 << 20;
 
-  // Connects when first called. Requires a host in dotted decimal notation.
+  // Does not connect before the first call. The host of the address must be in dotted decimal
+  // notation.
   HttpClient(base::Address address, std::size_t max_connections);
-  // Requires that no call is under way.
+  // No call may be in progress.
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  // `max_bytes` is the longest response body that is taken.
+  // Makes a GET request. Discards a response whose body is longer than `max_response_bytes`.
   Answer get(const std::string& path, base::Seconds timeout,
-             std::size_t max_bytes = kDefaultMaxBytes);
+             std::size_t max_response_bytes = kDefaultMaxResponseBytes);
+  // Makes a POST request with a JSON body. Discards a response whose body is longer than
+  // `max_response_bytes`.
   Answer post(const std::string& path, const std::string& body, base::Seconds timeout,
-              std::size_t max_bytes = kDefaultMaxBytes);
+              std::size_t max_response_bytes = kDefaultMaxResponseBytes);
+  // Makes a DELETE request.
   Answer del(const std::string& path, base::Seconds timeout);
   const base::Address& address() const { return address_; }
 
  private:
   class Connection;
+  // Makes a request on a connection of the pool.
   Answer call(const char* method, const std::string& path, const std::string& body,
-              base::Seconds timeout, std::size_t max_bytes);
-  // Takes an idle connection, or a new one if fewer than the most exist. nullptr: none came free.
+              base::Seconds timeout, std::size_t max_response_bytes);
+  // Returns an idle connection, or a new one if the pool has fewer than max_connections_. Waits
+  // until the deadline if neither is possible, and returns nullptr if no connection becomes idle.
   std::unique_ptr<Connection> acquire(base::Time deadline);
+  // Returns a connection to the pool.
   void release(std::unique_ptr<Connection> connection);
 
   const base::Address address_;
   const std::size_t max_connections_;
-  std::mutex mutex_;  // guards idle_ and connections_
-  std::condition_variable released_;
-  std::vector<std::unique_ptr<Connection>> idle_;
-  std::size_t connections_ = 0;  // idle or in use
+  std::mutex mutex_;  // guards idle_connections_ and connection_count_
+  std::condition_variable connection_released_;
+  std::vector<std::unique_ptr<Connection>> idle_connections_;
+  std::size_t connection_count_ = 0;  // the number of connections, idle or in use
 };
 
 }  // namespace saddleslip::transport
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -26,53 +26,58 @@
 
 namespace {
 
-constexpr base::Seconds kIdleTimeout{75.0};    // an idle connection is closed after this
-constexpr base::Seconds kMessageTimeout{5.0};  // a request that has begun must be complete by then
-constexpr base::Seconds kSweepInterval{5.0};   // how often idle connections are looked for
+constexpr base::Seconds kIdleTimeout{75.0};       // an idle connection is closed after this time
+constexpr base::Seconds kRequestTimeout{5.0};     // for receiving a request that has begun
+constexpr base::Seconds kIdleSweepInterval{5.0};  // between two checks for idle connections
 
-// How often a thread looks whether the server stops, if nothing can wake it for that.
+// The interval in which waiting threads check whether the server stops, if there is no stop event
+// to wake them.
 constexpr base::Seconds kStopPollInterval{0.25};
 
-constexpr std::size_t kMaxPath = 512;
+constexpr std::size_t kMaxPathBytes = 512;
 constexpr int kMinBacklog = 256;
 
+// The state of one accepted connection.
 struct Connection {
   FileDescriptor descriptor;
   base::Time last_used_at{};
-  bool is_busy = false;  // a thread serves it
-  bool is_bulk = false;  // it has asked for the bulk path
+  bool is_busy = false;            // a thread is serving it
+  bool uses_limited_path = false;  // it has requested ServerLimits::limited_path
 };
 
-// cpp-httplib's callbacks say nothing of the connection, so that these two belong to the thread.
+// The callbacks of cpp-httplib do not identify the connection, so its state is thread-local.
 
-// The connection that this thread serves.
+// The connection that this thread is serving.
 thread_local Connection* t_connection = nullptr;
-// Set when the request's body was left unread: it cannot be told apart from a next request, so the
-// connection has to be closed.
+// Set if the body of a request was not read. The server cannot distinguish an unread body from the
+// next request, so it must close the connection.
 thread_local bool t_must_close = false;
 
+// Writes a reply of the handler or of the server itself into the response.
 void write_reply(const Reply& reply, httplib::Response& response) {
   response.status = reply.status;
   if (reply.retry_after_s > 0)
     response.set_header("Retry-After", std::to_string(reply.retry_after_s));
-  // Without this header a quick client would send its next request on a connection that ends.
+  // Without this header, a client could send its next request on a connection that is about to
+  // close.
   if (t_must_close) response.set_header("Connection", "close");
   response.set_content(reply.body, "application/json");
 }
 
-// Answers a request whose body, if it has any, is left unread.
+// Answers a request without reading its body, and closes the connection afterwards.
 void refuse_and_close(const Reply& reply, httplib::Response& response) {
   t_must_close = true;
   write_reply(reply, response);
 }
 
-// Answers what cpp-httplib refused itself: what it could not parse, or a body over the limit.
-void answer_malformed(const httplib::Request&, httplib::Response& response) {
+// Answers a request that cpp-httplib rejected because it is malformed or its body is too long.
+void answer_rejected_request(const httplib::Request&, httplib::Response& response) {
   if (!response.body.empty()) return;
   const int status = response.status == 413 ? 400 : response.status;
   refuse_and_close({status, R"({"error":"malformed request"})", 0}, response);
 }
 
+// Logs an exception of the handler and answers the request with status 500.
 void answer_exception(const httplib::Request& request, httplib::Response& response,
                       std::exception_ptr exception) {
   try {
@@ -88,8 +93,9 @@
 
 }  // namespace
 
-// cpp-httplib accepts connections and parses requests; this class decides which thread serves which
-// connection. A connection belongs to one thread while it is busy, and to the epoll set otherwise.
+// Accepts connections and parses requests with cpp-httplib, and assigns connections to its own
+// threads. A busy connection is used only by the thread that serves it; other connections are in
+// the epoll set.
 class HttpServer::Impl final : public httplib::Server {
  public:
   Impl(const ServerLimits& limits, transport::Handler handler)
@@ -97,30 +103,31 @@
         handler_(std::move(handler)),
         epoll_(::epoll_create1(EPOLL_CLOEXEC)),
         stop_event_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {
-    if (!epoll_.is_open()) throw std::runtime_error("cannot wait for connections (epoll)");
+    if (!epoll_.is_open()) throw std::runtime_error("cannot create an epoll instance");
     if (stop_event_.is_open()) {
       epoll_event event{};
       event.events = EPOLLIN;
       event.data.fd = stop_event_.get();
       ::epoll_ctl(epoll_.get(), EPOLL_CTL_ADD, stop_event_.get(), &event);
     }
-    set_payload_max_length(limits_.max_body);
+    set_payload_max_length(limits_.max_body_bytes);
     set_tcp_nodelay(true);
     set_handlers();
   }
 
-  // cpp-httplib listens with a backlog of 5, which a burst of new connections overruns: all workers
-  // may connect within a second, each of them once.
-  void widen_backlog() { ::listen(svr_sock_, std::max(kMinBacklog, limits_.connections)); }
+  // Increases the backlog of the listening socket. The backlog of 5 that cpp-httplib sets is too
+  // small if all workers connect within one second.
+  void increase_backlog() { ::listen(svr_sock_, std::max(kMinBacklog, limits_.max_connections)); }
 
+  // Starts the first serving thread.
   void start_serving() {
     const std::lock_guard lock(mutex_);
     add_thread();
   }
 
-  // Once this returns no thread serves, and no connection is left.
+  // Stops all serving threads and closes all connections before it returns.
   void stop_serving() {
-    stopping_ = true;
+    is_stopping_ = true;
     stop();
     if (stop_event_.is_open()) ::eventfd_write(stop_event_.get(), 1);
     std::vector<std::thread> threads;
@@ -134,14 +141,14 @@
     connections_.clear();
   }
 
-  int threads() {
+  int thread_count() {
     const std::lock_guard lock(mutex_);
     return static_cast<int>(threads_.size());
   }
 
  private:
-  // cpp-httplib hands over each accepted connection as a task, which only adds it to the epoll set:
-  // this needs no thread.
+  // Runs tasks on the calling thread. cpp-httplib creates a task for each accepted connection; the
+  // task only adds the connection to the epoll set, which needs no thread of its own.
   class InlineTaskQueue final : public httplib::TaskQueue {
    public:
     void enqueue(std::function<void()> task) override { task(); }
@@ -153,36 +160,37 @@
     set_pre_routing_handler([this](const httplib::Request& request, httplib::Response& response) {
       return answer_without_body(request, response);
     });
-    Post(".*",
-         [this](const httplib::Request& request, httplib::Response& response,
-                const httplib::ContentReader& read) { answer_with_body(request, response, read); });
-    set_error_handler(answer_malformed);
+    Post(".*", [this](const httplib::Request& request, httplib::Response& response,
+                      const httplib::ContentReader& read_body) {
+      answer_with_body(request, response, read_body);
+    });
+    set_error_handler(answer_rejected_request);
     set_exception_handler(answer_exception);
   }
 
   // --- Threads
 
-  // Starts one more serving thread, unless there are enough. Requires mutex_.
+  // Starts another serving thread unless the limit is reached. Requires mutex_ to be locked.
   void add_thread() {
-    if (stopping_ || static_cast<int>(threads_.size()) >= limits_.threads) return;
+    if (is_stopping_ || static_cast<int>(threads_.size()) >= limits_.max_threads) return;
     try {
       ++waiting_threads_;
-      threads_.emplace_back([this] { serve(); });
+      threads_.emplace_back([this] { run_serving_thread(); });
     } catch (const std::system_error&) {
-      --waiting_threads_;  // the system gives no more threads: the present ones go on
+      --waiting_threads_;  // no more threads are available; the existing ones continue
     }
   }
 
-  // What each serving thread runs.
-  void serve() {
-    const base::Seconds timeout = stop_event_.is_open() ? kSweepInterval : kStopPollInterval;
+  // The main loop of each serving thread.
+  void run_serving_thread() {
+    const base::Seconds timeout = stop_event_.is_open() ? kIdleSweepInterval : kStopPollInterval;
     const int timeout_ms = static_cast<int>(timeout.count() * 1000);
     for (;;) {
       epoll_event event{};
       const int ready = ::epoll_wait(epoll_.get(), &event, 1, timeout_ms);
-      if (stopping_) return;
+      if (is_stopping_) return;
       if (ready > 0) {
-        // The last one that waited: another takes its place while this one is busy.
+        // This was the last waiting thread, so start another one to wait while this one is busy.
         if (waiting_threads_.fetch_sub(1) == 1) {
           const std::lock_guard lock(mutex_);
           add_thread();
@@ -196,25 +204,28 @@
 
   // --- Connections
 
+  // Adds an accepted connection, unless the limit is reached or the server stops.
   bool process_and_close_socket(socket_t socket) override {
     const std::lock_guard lock(mutex_);
     FileDescriptor descriptor(socket);
-    if (stopping_ || static_cast<int>(connections_.size()) >= limits_.connections) return false;
+    if (is_stopping_ || static_cast<int>(connections_.size()) >= limits_.max_connections)
+      return false;
     connections_[socket] = {std::move(descriptor), base::SteadyClock::now(), false, false};
-    if (watch(socket, EPOLL_CTL_ADD)) return true;
+    if (register_with_epoll(socket, EPOLL_CTL_ADD)) return true;
     connections_.erase(socket);
     return false;
   }
 
-  // Has a thread woken once there is something to read on the connection, or its end. For one thread
-  // and one time: then the connection is that thread's alone.
-  bool watch(socket_t socket, int operation) {
+  // Registers a connection with epoll. The next time that it becomes readable or is closed, epoll
+  // wakes exactly one thread, which then has exclusive use of the connection.
+  bool register_with_epoll(socket_t socket, int operation) {
     epoll_event event{};
     event.events = EPOLLIN | EPOLLRDHUP | EPOLLONESHOT;
     event.data.fd = socket;
     return ::epoll_ctl(epoll_.get(), operation, socket, &event) == 0;
   }
 
+  // Serves the requests that have arrived on a connection, then keeps or closes it.
   void serve_connection(socket_t socket) {
     Connection* connection = begin_serving(socket);
     if (!connection) return;
@@ -224,20 +235,21 @@
     end_serving(socket, *connection, is_kept);
   }
 
-  // The pointer is valid until end_serving: only the serving thread removes a connection.
+  // Marks a connection as busy. The pointer is valid until end_serving(), because only the serving
+  // thread removes a connection. Returns nullptr if the connection no longer exists.
   Connection* begin_serving(socket_t socket) {
     const std::lock_guard lock(mutex_);
-    const auto at = connections_.find(socket);
-    if (at == connections_.end()) return nullptr;
-    at->second.is_busy = true;
-    return &at->second;
+    const auto position = connections_.find(socket);
+    if (position == connections_.end()) return nullptr;
+    position->second.is_busy = true;
+    return &position->second;
   }
 
-  // Serves all requests that have arrived. False: the connection has to be closed.
+  // Serves all requests that have arrived. Returns false if the connection must be closed.
   bool serve_requests(socket_t socket) {
     SocketStream stream(socket);
     do {
-      stream.set_deadline(base::after(base::SteadyClock::now(), kMessageTimeout));
+      stream.set_deadline(base::after(base::SteadyClock::now(), kRequestTimeout));
       if (!stream.wait_for_data()) return false;
       bool is_closed = false;
       t_must_close = false;
@@ -248,24 +260,25 @@
     return true;
   }
 
+  // Puts a connection back into the epoll set, or closes it if it is not to be kept.
   void end_serving(socket_t socket, Connection& connection, bool is_kept) {
     const std::lock_guard lock(mutex_);
     if (is_kept) {
       connection.is_busy = false;
       connection.last_used_at = base::SteadyClock::now();
-      if (watch(socket, EPOLL_CTL_MOD)) return;
+      if (register_with_epoll(socket, EPOLL_CTL_MOD)) return;
     }
-    if (connection.is_bulk) --bulk_connections_;
+    if (connection.uses_limited_path) --limited_path_connections_;
     ::shutdown(socket, SHUT_RDWR);
     connections_.erase(socket);
   }
 
-  // Shuts down connections that have been idle for too long: their end wakes a thread, which removes
-  // them.
+  // Shuts down connections that have been idle for too long. The shutdown wakes a thread, which
+  // removes the connection.
   void close_idle_connections() {
     const base::Time now = base::SteadyClock::now();
     const std::lock_guard lock(mutex_);
-    if (base::between(last_sweep_at_, now) < kSweepInterval) return;
+    if (base::between(last_sweep_at_, now) < kIdleSweepInterval) return;
     last_sweep_at_ = now;
     for (const auto& [socket, connection] : connections_) {
       if (!connection.is_busy && base::between(connection.last_used_at, now) > kIdleTimeout)
@@ -275,40 +288,45 @@
 
   // --- Requests
 
-  // Answers requests that need no body. A body that comes with them all the same is left unread.
+  // Answers requests that need no body, without reading a body that they may have. Leaves POST
+  // requests with a body to answer_with_body().
   HandlerResponse answer_without_body(const httplib::Request& request,
                                       httplib::Response& response) {
     const bool has_body =
         request.has_header("Content-Length") || request.has_header("Transfer-Encoding");
-    if (request.path.size() > kMaxPath) {
-      // Also keeps long paths from the routes' regular expressions, whose depth grows with them.
+    if (request.path.size() > kMaxPathBytes) {
+      // Must precede route matching: the recursion depth of the routes' regular expressions grows
+      // with the length of the path.
       t_must_close = has_body;
       write_reply({404, R"({"error":"no such path"})", 0}, response);
       return HandlerResponse::Handled;
     }
     const bool is_post = request.method == "POST";
-    if (is_post && has_body) return HandlerResponse::Unhandled;  // answer_with_body does it
+    if (is_post && has_body) return HandlerResponse::Unhandled;  // handled by answer_with_body()
     if (!is_post) t_must_close = has_body;
-    answer(request, {}, response);
+    answer_request(request, {}, response);
     return HandlerResponse::Handled;
   }
 
+  // Reads the body of a POST request and answers the request.
   void answer_with_body(const httplib::Request& request, httplib::Response& response,
-                        const httplib::ContentReader& read) {
+                        const httplib::ContentReader& read_body) {
     std::string body;
-    const bool is_complete = read([&body, this](const char* data, size_t size) {
+    const bool is_complete = read_body([&body, this](const char* data, size_t size) {
       body.append(data, size);
-      return body.size() <= limits_.max_body;
+      return body.size() <= limits_.max_body_bytes;
     });
     if (!is_complete) {
       refuse_and_close({400, R"({"error":"the body is too long or incomplete"})", 0}, response);
       return;
     }
-    answer(request, std::move(body), response);
+    answer_request(request, std::move(body), response);
   }
 
-  void answer(const httplib::Request& request, std::string body, httplib::Response& response) {
-    if (!admit_bulk(request.path)) {
+  // Passes a complete request to the handler, unless the connection may not request the path.
+  void answer_request(const httplib::Request& request, std::string body,
+                      httplib::Response& response) {
+    if (!admit_path(request.path)) {
       refuse_and_close({503, R"({"error":"too many connections"})", 1}, response);
       return;
     }
@@ -316,27 +334,29 @@
                 response);
   }
 
-  // May this thread's connection ask for the path? Counts it among the bulk connections if so.
-  bool admit_bulk(const std::string& path) {
-    if (limits_.bulk_path.empty() || path != limits_.bulk_path || t_connection->is_bulk)
+  // Returns whether the connection of this thread may request the path. Counts the connection
+  // towards the limit if the path is the limited one.
+  bool admit_path(const std::string& path) {
+    if (limits_.limited_path.empty() || path != limits_.limited_path ||
+        t_connection->uses_limited_path)
       return true;
     const std::lock_guard lock(mutex_);
-    if (bulk_connections_ >= limits_.bulk_connections) return false;
-    ++bulk_connections_;
-    t_connection->is_bulk = true;
+    if (limited_path_connections_ >= limits_.max_limited_path_connections) return false;
+    ++limited_path_connections_;
+    t_connection->uses_limited_path = true;
     return true;
   }
 
   const ServerLimits limits_;
   const transport::Handler handler_;
   const FileDescriptor epoll_;
-  const FileDescriptor stop_event_;  // readable once the server stops; may be missing
-  std::atomic<bool> stopping_{false};
-  std::atomic<int> waiting_threads_{0};                   // threads that wait for a request
-  std::mutex mutex_;                                      // guards all below
+  const FileDescriptor stop_event_;  // readable once the server stops; not open if eventfd failed
+  std::atomic<bool> is_stopping_{false};
+  std::atomic<int> waiting_threads_{0};                   // threads that wait in epoll_wait()
+  std::mutex mutex_;                                      // guards the members below
   std::unordered_map<socket_t, Connection> connections_;  // pointers to its elements stay valid
   std::vector<std::thread> threads_;
-  int bulk_connections_ = 0;
+  int limited_path_connections_ = 0;  // connections with uses_limited_path
   base::Time last_sweep_at_{};
 };
 
@@ -348,13 +368,13 @@
     port_ = address.port;
   }
   if (port_ <= 0) throw std::runtime_error("cannot listen on " + address.str());
-  impl_->widen_backlog();
+  impl_->increase_backlog();
   impl_->start_serving();
   accept_thread_ = std::thread([this] { impl_->listen_after_bind(); });
 }
 
-int HttpServer::threads() const {
-  return impl_->threads();
+int HttpServer::thread_count() const {
+  return impl_->thread_count();
 }
 
 HttpServer::~HttpServer() {
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -1,3 +1,4 @@
+// An HTTP server whose number of threads does not depend on the number of connections.
 #pragma once
 
 #include <cstddef>
@@ -11,43 +12,47 @@
 
 namespace saddleslip::transport {
 
-// Answers one request. Called by several threads at once; it may block, and takes up one of the
-// server's threads meanwhile. An exception is logged and answered with status 500.
+// Handles one request and returns the reply. It is called by several threads at once and may block,
+// but occupies one of the server's threads meanwhile. An exception is logged and answered with
+// status 500.
 using Handler = std::function<Reply(const Request&)>;
 
+// The limits of an HttpServer.
 struct ServerLimits {
-  int connections = 8;  // open at the same time; further ones are closed as soon as they come
-  int threads = 8;      // requests served at the same time; threads are started as they are needed
-  std::size_t max_body = 64u << 10;  // in bytes; a longer request body is answered with status 400
-  // Connections that have asked for this path may be only so many, so that they leave places for the
-  // others: a request for it on a further connection is answered with status 503, and the connection
-  // is closed. Empty: no such path.
-  std::string bulk_path{};
-  int bulk_connections = 0;
+  int max_connections = 8;  // open connections; further ones are closed immediately
+  int max_threads = 8;      // serving threads, each for one request; started on demand
+  std::size_t max_body_bytes = 64u << 10;  // a longer request body is answered with status 400
+  // At most `max_limited_path_connections` connections may request `limited_path`, so that
+  // connections remain for other requests. A request for the path on a further connection is
+  // answered with status 503, and that connection is closed. No path is limited if `limited_path`
+  // is empty.
+  std::string limited_path{};
+  int max_limited_path_connections = 0;
 };
 
-// An HTTP/1.1 server on blocking sockets. Idle connections are waited for together, and a bounded
-// set of threads serves those that have a request.
+// An HTTP/1.1 server. All idle connections are watched with one epoll instance, and a bounded
+// number of threads serves the connections that have a request.
 //
-// A thread for each connection does not scale to hundreds of machines, all of which may send
-// heartbeats to one controller: a process may have 2,000 threads, and each of them costs memory.
+// One thread per connection would not scale: hundreds of machines may send heartbeats to one
+// controller, a process may have at most 2,000 threads, and each thread costs memory.
 //
-// A request must be complete 5 s after it has begun, and a connection is closed after being idle for
-// 75 s. What cannot be parsed is answered with status 400, a path of more than 512 bytes with 404.
+// A request must be complete within 5 s after its first byte. A connection is closed after it has
+// been idle for 75 s. A malformed request is answered with status 400, and a path of more than 512
+// bytes with status 404.
 class HttpServer {
  public:
-  // Listens and serves from now on. Port 0: any free port. The handler must be callable until the
-  // server is destroyed. Throws std::runtime_error if the address cannot be bound.
+  // Starts listening and serving. Port 0 selects any free port. The handler must remain callable
+  // until the server is destroyed. Throws std::runtime_error if the address cannot be bound.
   HttpServer(const base::Address& address, const ServerLimits& limits, Handler handler);
-  // Ends all connections and waits for the requests under way. Not to be called from the handler.
+  // Closes all connections and waits for requests in progress. Must not be called from the handler.
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  // The port that it listens on.
+  // Returns the port on which the server listens.
   int port() const { return port_; }
-  // How many serving threads have been started so far. May be called from any thread.
-  int threads() const;
+  // Returns the number of serving threads started so far. May be called from any thread.
+  int thread_count() const;
 
  private:
   class Impl;
--- a/src/transport/socket_stream.cpp
+++ b/src/transport/socket_stream.cpp
@@ -11,8 +11,9 @@
 
 namespace {
 
-constexpr long kLongestPollMs = 3'600'000;          // poll(2) takes an int
-constexpr std::size_t kMostIdleOutput = 16u << 10;  // a larger output buffer is given back
+constexpr long kMaxPollMs = 3'600'000;  // poll(2) takes its timeout as an int
+constexpr std::size_t kMaxIdleOutputBytes = 16u
+                                            << 10;  // a larger output buffer is freed after a flush
 
 bool would_block(int error) {
   return error == EAGAIN || error == EWOULDBLOCK;
@@ -20,14 +21,14 @@
 
 }  // namespace
 
-bool SocketStream::wait(short events) const {
+bool SocketStream::wait_for_events(short events) const {
   for (;;) {
-    const auto left =
+    const auto remaining =
         std::chrono::duration_cast<std::chrono::milliseconds>(deadline_ - base::SteadyClock::now());
-    if (left.count() <= 0) return false;
+    if (remaining.count() <= 0) return false;
     pollfd request{socket_, events, 0};
-    // One more, as the remaining time was rounded down.
-    const int timeout_ms = static_cast<int>(std::min<long>(left.count(), kLongestPollMs)) + 1;
+    // Adds one millisecond because the remaining time was rounded down.
+    const int timeout_ms = static_cast<int>(std::min<long>(remaining.count(), kMaxPollMs)) + 1;
     const int ready = ::poll(&request, 1, timeout_ms);
     if (ready > 0) return true;
     if (ready < 0 && errno != EINTR) return false;
@@ -36,15 +37,16 @@
 
 bool SocketStream::receive() {
   for (;;) {
-    const ssize_t received = ::recv(socket_, input_.data(), input_.size(), MSG_DONTWAIT);
+    const ssize_t received =
+        ::recv(socket_, input_buffer_.data(), input_buffer_.size(), MSG_DONTWAIT);
     if (received > 0) {
-      begin_ = 0;
-      end_ = static_cast<std::size_t>(received);
+      unread_begin_ = 0;
+      unread_end_ = static_cast<std::size_t>(received);
       return true;
     }
     if (received == 0) return false;
     if (errno == EINTR) continue;
-    if (!would_block(errno) || !wait(POLLIN)) return false;
+    if (!would_block(errno) || !wait_for_events(POLLIN)) return false;
   }
 }
 
@@ -55,36 +57,36 @@
 ssize_t SocketStream::read(char* ptr, size_t size) {
   if (!flush()) return -1;
   if (!has_data() && !receive()) return -1;
-  const std::size_t count = std::min(size, end_ - begin_);
-  std::memcpy(ptr, input_.data() + begin_, count);
-  begin_ += count;
+  const std::size_t count = std::min(size, unread_end_ - unread_begin_);
+  std::memcpy(ptr, input_buffer_.data() + unread_begin_, count);
+  unread_begin_ += count;
   return static_cast<ssize_t>(count);
 }
 
 ssize_t SocketStream::write(const char* ptr, size_t size) {
-  if (is_broken_) return -1;
-  output_.append(ptr, size);
+  if (has_send_failed_) return -1;
+  output_buffer_.append(ptr, size);
   return static_cast<ssize_t>(size);
 }
 
 bool SocketStream::flush() {
   std::size_t sent = 0;
-  while (sent < output_.size() && !is_broken_) {
-    const ssize_t count =
-        ::send(socket_, output_.data() + sent, output_.size() - sent, MSG_NOSIGNAL | MSG_DONTWAIT);
+  while (sent < output_buffer_.size() && !has_send_failed_) {
+    const ssize_t count = ::send(socket_, output_buffer_.data() + sent,
+                                 output_buffer_.size() - sent, MSG_NOSIGNAL | MSG_DONTWAIT);
     if (count > 0) {
       sent += static_cast<std::size_t>(count);
     } else if (count < 0 && errno == EINTR) {
       continue;
     } else if (count < 0 && would_block(errno)) {
-      if (!wait(POLLOUT)) is_broken_ = true;
+      if (!wait_for_events(POLLOUT)) has_send_failed_ = true;
     } else {
-      is_broken_ = true;
+      has_send_failed_ = true;
     }
   }
-  output_.clear();
-  if (output_.capacity() > kMostIdleOutput) output_.shrink_to_fit();
-  return !is_broken_;
+  output_buffer_.clear();
+  if (output_buffer_.capacity() > kMaxIdleOutputBytes) output_buffer_.shrink_to_fit();
+  return !has_send_failed_;
 }
 
 }  // namespace saddleslip::transport
--- a/tests/transport_test.cpp
+++ b/tests/transport_test.cpp
@@ -95,7 +95,7 @@
     ASSERT_TRUE(clients.back()->get("/first", base::Seconds(5)).ok()) << i;
   }
   for (auto& c : clients) EXPECT_EQ(c->get("/again", base::Seconds(5)).body, "/again");
-  EXPECT_LE(server.threads(), 4);
+  EXPECT_LE(server.thread_count(), 4);
 }
 
 // The bulk of the connections may not shut out the others, nor come over its own share.
