--- a/tests/daemon_test.cpp
+++ b/tests/daemon_test.cpp
@@ -1,4 +1,4 @@
-// The daemon's building blocks: wake-up events, the write rate limiter and the read barrier.
+// Tests of the daemon and its parts: wakeup events, the write rate limiter and the read barrier.
 #include "daemon/daemon.h"
 
 #include <gtest/gtest.h>
@@ -21,28 +21,30 @@
 using base::Seconds;
 using coordination::WriteBudget;
 
-constexpr Seconds kLong{3600};
+constexpr Seconds kOneHour{3600};
 
-TEST(WakeupEvent, NotifiedTwiceBetweenWaitsWakesOnce) {
+TEST(WakeupEvent, TwoNotificationsBetweenWaitsWakeOnce) {
   WakeupEvent event;
   event.notify();
   event.notify();
-  EXPECT_TRUE(event.wait_for(kLong, {}));
+  EXPECT_TRUE(event.wait_for(kOneHour, {}));
   EXPECT_FALSE(event.wait_for(Seconds(0), {}));
 }
 
-TEST(WakeupEvent, StopRequestedEndsWaitUnnotified) {
+TEST(WakeupEvent, StopRequestEndsWaitWithoutNotification) {
   WakeupEvent event;
   std::stop_source stop;
-  std::thread stopper([&] { stop.request_stop(); });
-  EXPECT_FALSE(event.wait_for(kLong, stop.get_token()));
-  stopper.join();
-  sleep_for(kLong, stop.get_token());
+  std::thread stop_thread([&] { stop.request_stop(); });
+  EXPECT_FALSE(event.wait_for(kOneHour, stop.get_token()));
+  stop_thread.join();
+  sleep_for(kOneHour, stop.get_token());
 }
 
+// A rate limiter at 10 writes per second.
 class WriteRateLimiterTest : public ::testing::Test {
  protected:
   static constexpr double kRate = 10;  // writes per second
+  // Refills the bucket at a time given in seconds after the start. Returns the required wait.
   Seconds refill_at(double seconds) {
     return limiter_.refill(base::after(start_, Seconds(seconds)), kRate);
   }
@@ -65,7 +67,7 @@
   EXPECT_EQ(limiter_.budget(), WriteBudget::kExhausted);
 }
 
-TEST_F(WriteRateLimiterTest, SurplusNeedsMoreThanSixTenthsOfASecond) {
+TEST_F(WriteRateLimiterTest, SurplusRequiresMoreThanSixTenthsOfBucket) {
   refill_at(0);
   limiter_.charge(4);
   EXPECT_EQ(limiter_.budget(), WriteBudget::kNormal);
@@ -73,9 +75,9 @@
   EXPECT_EQ(limiter_.budget(), WriteBudget::kSurplus);
 }
 
-TEST_F(WriteRateLimiterTest, DebtBeyondLimitMustBeWaitedFor) {
+TEST_F(WriteRateLimiterTest, DebtBeyondLimitRequiresWait) {
   refill_at(0);
-  limiter_.charge(14);  // four in debt: the most allowed
+  limiter_.charge(14);  // the balance is -4, the maximum debt
   EXPECT_EQ(refill_at(0).count(), 0);
   limiter_.charge(5);
   const Seconds wait = refill_at(0);
@@ -84,11 +86,12 @@
   EXPECT_NEAR(refill_at(wait.count()).count(), 0, 1e-9);
 }
 
-// A barrier whose catch-up is a function of its number, counted from one.
+// A read barrier that counts its catch-ups. The callback gets the number of the catch-up, starting
+// at 1, and returns whether it succeeds.
 class CountedBarrier {
  public:
   explicit CountedBarrier(const std::function<bool(int)>& catch_up)
-      : barrier_({Seconds(0), kLong}, [this, catch_up] { return catch_up(++catch_ups_); }) {}
+      : barrier_({Seconds(0), kOneHour}, [this, catch_up] { return catch_up(++catch_ups_); }) {}
   ReadBarrier& barrier() { return barrier_; }
   int catch_ups() const { return catch_ups_; }
 
@@ -97,34 +100,34 @@
   ReadBarrier barrier_;
 };
 
-TEST(ReadBarrier, CatchUpFailedReadFails) {
-  CountedBarrier counted([](int number) { return number == 2; });
-  EXPECT_FALSE(counted.barrier().wait());
-  EXPECT_TRUE(counted.barrier().wait());
+TEST(ReadBarrier, ReadFailsIfCatchUpFails) {
+  CountedBarrier counted_barrier([](int number) { return number == 2; });
+  EXPECT_FALSE(counted_barrier.barrier().wait());
+  EXPECT_TRUE(counted_barrier.barrier().wait());
 }
 
-TEST(ReadBarrier, ReadsBegunDuringCatchUpShareTheNextOne) {
+TEST(ReadBarrier, ReadsBegunDuringCatchUpShareNextOne) {
   constexpr std::size_t kReaders = 3;
   std::vector<std::thread> readers;
-  std::atomic<int> succeeded{0};
-  CountedBarrier* reads = nullptr;
-  CountedBarrier counted([&](int number) {
+  std::atomic<int> succeeded_reads{0};
+  CountedBarrier* reader_barrier = nullptr;
+  CountedBarrier counted_barrier([&](int number) {
     if (number > 1) return true;
     for (std::size_t i = 0; i < kReaders; ++i) {
-      readers.emplace_back([&] { succeeded += reads->barrier().wait() ? 1 : 0; });
+      readers.emplace_back([&] { succeeded_reads += reader_barrier->barrier().wait() ? 1 : 0; });
     }
-    while (reads->barrier().waiting_reads() < kReaders) std::this_thread::yield();
+    while (reader_barrier->barrier().waiting_reads() < kReaders) std::this_thread::yield();
     return false;
   });
-  reads = &counted;
-  EXPECT_FALSE(counted.barrier().wait());
-  for (auto& r : readers) r.join();
-  EXPECT_EQ(succeeded, 3) << "served by a catch-up that had begun before them";
-  EXPECT_EQ(counted.catch_ups(), 2);
+  reader_barrier = &counted_barrier;
+  EXPECT_FALSE(counted_barrier.barrier().wait());
+  for (auto& reader : readers) reader.join();
+  EXPECT_EQ(succeeded_reads, 3) << "a read was served by a catch-up that began before it";
+  EXPECT_EQ(counted_barrier.catch_ups(), 2);
 }
 
-// With a state service and a peer that refuse connections: port 1 is not listened on.
-TEST(Daemon, StopRequestedAllThreadsEnd) {
+// The state service, the cloud and the peer refuse connections, as nothing listens on port 1.
+TEST(Daemon, AllThreadsEndAfterStopRequest) {
   spdlog::set_level(spdlog::level::off);
   base::Settings settings;
   settings.member = base::MemberId("m-0");
--- a/tests/file_descriptor_test.cpp
+++ b/tests/file_descriptor_test.cpp
@@ -1,4 +1,4 @@
-// Ownership of file descriptors.
+// Tests of FileDescriptor: each descriptor is closed once, by its last owner.
 #include "transport/file_descriptor.h"
 
 #include <fcntl.h>
@@ -10,17 +10,19 @@
 
 namespace {
 
+// Opens a new descriptor.
 int open_null() {
   return ::open("/dev/null", O_RDONLY | O_CLOEXEC);
 }
 
+// Returns whether the operating system has this descriptor open.
 bool is_open_in_system(int descriptor) {
   return ::fcntl(descriptor, F_GETFD) != -1;
 }
 
 }  // namespace
 
-TEST(FileDescriptor, DestructionCloses) {
+TEST(FileDescriptor, DestructorClosesDescriptor) {
   const int descriptor = open_null();
   {
     const FileDescriptor owner(descriptor);
@@ -30,7 +32,7 @@
   EXPECT_FALSE(is_open_in_system(descriptor));
 }
 
-TEST(FileDescriptor, MoveHandsOverAndClosesWhatWasOwned) {
+TEST(FileDescriptor, MoveAssignmentTransfersAndClosesPreviousDescriptor) {
   const int first = open_null(), second = open_null();
   FileDescriptor target(first);
   FileDescriptor source(second);
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,3 +1,4 @@
+// Tests of reading and checking the settings files.
 #include "base/settings.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +9,8 @@
 
 using Json = nlohmann::json;
 
-Json good() {
+// Returns a valid file of the platform, with an unknown field.
+Json valid_platform_file() {
   return {{"member", "m-0"},
           {"serve_on", "127.0.0.1:1"},
           {"peer_listen", "127.0.0.1:2"},
@@ -18,83 +20,83 @@
           {"a_later_field", 1}};
 }
 
-TEST(Settings, TakesWhatThePlatformWrites) {
-  const Settings s = parse_settings(good().dump());
-  EXPECT_EQ(s.size, 2);
-  EXPECT_LT(s.tuning.member_ttl, s.worker_lease * 0.5);
+TEST(Settings, ValidPlatformFileIsParsed) {
+  const Settings settings = parse_settings(valid_platform_file().dump());
+  EXPECT_EQ(settings.size, 2);
+  EXPECT_LT(settings.tuning.member_ttl, settings.worker_lease * 0.5);
 }
 
-TEST(Settings, NamesTheFieldThatIsWrong) {
-  const auto says = [](const Json& j, const std::string& word) {
+TEST(Settings, ErrorNamesInvalidField) {
+  const auto expect_error_with = [](const Json& file, const std::string& expected_text) {
     try {
-      parse_settings(j.dump());
-      ADD_FAILURE() << "accepted: " << j.dump();
-    } catch (const BadSettings& e) {
-      EXPECT_NE(std::string(e.what()).find(word), std::string::npos) << e.what();
-      EXPECT_EQ(std::string(e.what()).find('\n'), std::string::npos);
+      parse_settings(file.dump());
+      ADD_FAILURE() << "accepted: " << file.dump();
+    } catch (const BadSettings& error) {
+      EXPECT_NE(std::string(error.what()).find(expected_text), std::string::npos) << error.what();
+      EXPECT_EQ(std::string(error.what()).find('\n'), std::string::npos);
     }
   };
-  for (const char* f : {"member", "serve_on", "peer_listen", "endpoints"}) {
-    Json j = good();
-    j.erase(f);
-    says(j, f);
+  for (const char* field : {"member", "serve_on", "peer_listen", "endpoints"}) {
+    Json file = valid_platform_file();
+    file.erase(field);
+    expect_error_with(file, field);
   }
-  Json j = good();
-  j["serve_on"] = "127.0.0.1:99999";
-  says(j, "serve_on");
-  j = good();
-  j["settings"]["workers"]["lease_s"] = "long";
-  says(j, "lease_s");
-  j = good();
-  j["settings"]["teams"] = {{{"name", "t"}, {"cpus", -1}}};
-  says(j, "cpus");
+  Json file = valid_platform_file();
+  file["serve_on"] = "127.0.0.1:99999";
+  expect_error_with(file, "serve_on");
+  file = valid_platform_file();
+  file["settings"]["workers"]["lease_s"] = "long";
+  expect_error_with(file, "lease_s");
+  file = valid_platform_file();
+  file["settings"]["teams"] = {{{"name", "t"}, {"cpus", -1}}};
+  expect_error_with(file, "cpus");
   EXPECT_THROW(parse_settings("{"), BadSettings);
 }
 
-TEST(BadSettings, FaultInAFileNamesFileFieldAndReason) {
-  Json j = good();
-  j["settings"]["state"]["next"] = {{"txn_ops", 3}};
+TEST(BadSettings, ErrorInFileHasFileFieldAndReason) {
+  Json file = valid_platform_file();
+  file["settings"]["state"]["next"] = {{"txn_ops", 3}};
   try {
-    parse_settings(j.dump());
+    parse_settings(file.dump());
     ADD_FAILURE() << "accepted";
-  } catch (const BadSettings& e) {
-    EXPECT_EQ(e.file(), SettingsFile::kPlatform);
-    EXPECT_EQ(e.field(), "settings.state.next.txn_ops");
-    EXPECT_EQ(e.reason(), "must be a number of at least 4.0");
-    EXPECT_STREQ(e.what(),
+  } catch (const BadSettings& error) {
+    EXPECT_EQ(error.file(), SettingsFile::kPlatform);
+    EXPECT_EQ(error.field(), "settings.state.next.txn_ops");
+    EXPECT_EQ(error.reason(), "must be a number of at least 4.0");
+    EXPECT_STREQ(error.what(),
                  "settings: settings.state.next.txn_ops must be a number of at least 4.0");
   }
-  Settings settings = parse_settings(good().dump());
+  Settings settings = parse_settings(valid_platform_file().dump());
   try {
     apply_tuning(settings, "headroom: 11");
     ADD_FAILURE() << "accepted";
-  } catch (const BadSettings& e) {
-    EXPECT_EQ(e.file(), SettingsFile::kOperators);
-    EXPECT_EQ(e.field(), "headroom");
-    EXPECT_STREQ(e.what(), "operators' settings: headroom is out of range");
+  } catch (const BadSettings& error) {
+    EXPECT_EQ(error.file(), SettingsFile::kOperators);
+    EXPECT_EQ(error.field(), "headroom");
+    EXPECT_STREQ(error.what(), "operators' settings: headroom is out of range");
   }
 }
 
-TEST(BadSettings, UnreadableFileNamesThePath) {
+TEST(BadSettings, UnreadableFileErrorNamesPath) {
   try {
     load_settings("/no/such/file", {});
     ADD_FAILURE() << "accepted";
-  } catch (const BadSettings& e) {
-    EXPECT_FALSE(e.file());
-    EXPECT_STREQ(e.what(), "cannot read /no/such/file");
+  } catch (const BadSettings& error) {
+    EXPECT_FALSE(error.file());
+    EXPECT_STREQ(error.what(), "cannot read /no/such/file");
   }
 }
 
-// Kinds of a later platform are no fault.
+// A later version of the platform may write kinds that this version does not know.
 TEST(Settings, UnknownObjectiveKindIsKeptAsOther) {
-  Json j = good();
-  j["settings"]["objectives"] = {{{"kind", "wait"}, {"within_s", 5}},
-                                 {{"kind", "deadline"}, {"times", 2}},
-                                 {{"kind", "finished"}},
-                                 {{"kind", "guarantee"}},
-                                 {{"share", 0.5}},
-                                 "no object"};
-  const auto objectives = parse_settings(j.dump()).objectives;
+  Json file = valid_platform_file();
+  file["settings"]["objectives"] = {{{"kind", "wait"}, {"within_s", 5}},
+                                    {{"kind", "deadline"}, {"times", 2}},
+                                    {{"kind", "finished"}},
+                                    {{"kind", "guarantee"}},
+                                    {{"share", 0.5}},
+                                    "no object"};
+  const auto objectives = parse_settings(file.dump()).objectives;
   const std::vector<ObjectiveKind> kinds = {ObjectiveKind::kWait, ObjectiveKind::kDeadline,
                                             ObjectiveKind::kFinished, ObjectiveKind::kOther,
                                             ObjectiveKind::kOther};
@@ -102,58 +104,60 @@
   for (std::size_t i = 0; i < kinds.size(); ++i) EXPECT_EQ(objectives[i].kind, kinds[i]) << i;
 }
 
-// Authority, then a worker's lease, must fit into the time that a cancellation has: the default shrinks
-// to it, operators can't set more, and what can't fit at all is said.
-TEST(Settings, AuthorityAndLeaseFitIntoACancellation) {
-  Json j = good();
-  const auto with = [&j](double lease, double cancel) {
-    j["settings"]["workers"] = {{"lease_s", lease}, {"cancel_s", cancel}};
-    return parse_settings(j.dump());
+// The time to live of a member's lease and the worker's lease together must not exceed cancel_s.
+// The default of the former is reduced accordingly, operators cannot set a higher value, and if
+// even the minimum does not fit, there is a warning.
+TEST(Settings, MemberTtlAndWorkerLeaseFitIntoCancelTime) {
+  Json file = valid_platform_file();
+  const auto settings_with = [&file](double worker_lease_s, double cancel_s) {
+    file["settings"]["workers"] = {{"lease_s", worker_lease_s}, {"cancel_s", cancel_s}};
+    return parse_settings(file.dump());
   };
-  Settings s = with(31, 56);
-  EXPECT_EQ(s.tuning.member_ttl, Seconds(5));
-  EXPECT_FALSE(caution(s));
-  s = with(31, 35);
-  EXPECT_LT(s.tuning.member_ttl + s.worker_lease, Seconds(34.1));
-  EXPECT_FALSE(caution(s));
-  EXPECT_THROW(apply_tuning(s, "member_ttl_s: 5"), BadSettings);
-  s = with(31, 31);
-  ASSERT_TRUE(caution(s));
-  EXPECT_EQ(caution(s)->find('\n'), std::string::npos);
+  Settings settings = settings_with(31, 56);
+  EXPECT_EQ(settings.tuning.member_ttl, Seconds(5));
+  EXPECT_FALSE(cancellation_time_warning(settings));
+  settings = settings_with(31, 35);
+  EXPECT_LT(settings.tuning.member_ttl + settings.worker_lease, Seconds(34.1));
+  EXPECT_FALSE(cancellation_time_warning(settings));
+  EXPECT_THROW(apply_tuning(settings, "member_ttl_s: 5"), BadSettings);
+  settings = settings_with(31, 31);
+  ASSERT_TRUE(cancellation_time_warning(settings));
+  EXPECT_EQ(cancellation_time_warning(settings)->find('\n'), std::string::npos);
 }
 
-TEST(Operators, AreChecked) {
-  Settings s = parse_settings(good().dump());
-  apply_tuning(s, "round_period_s: 0.5\nmember_ttl_s: 4\n");
-  EXPECT_EQ(s.tuning.round_period, Seconds(0.5));
-  apply_tuning(s, "");
-  for (const char* bad : {"round_period_s: -1", "speed: 3", "round_period_s: soon", "- 1", "a: [",
-                          "member_ttl_s: 60", "max_connections: 8.5"}) {
-    EXPECT_THROW(apply_tuning(s, bad), BadSettings) << bad;
+TEST(OperatorSettings, InvalidFilesAreRejected) {
+  Settings settings = parse_settings(valid_platform_file().dump());
+  apply_tuning(settings, "round_period_s: 0.5\nmember_ttl_s: 4\n");
+  EXPECT_EQ(settings.tuning.round_period, Seconds(0.5));
+  apply_tuning(settings, "");
+  for (const char* invalid_text : {"round_period_s: -1", "speed: 3", "round_period_s: soon", "- 1",
+                                   "a: [", "member_ttl_s: 60", "max_connections: 8.5"}) {
+    EXPECT_THROW(apply_tuning(settings, invalid_text), BadSettings) << invalid_text;
   }
 }
 
-// Limits that the state service gets later come without notice: the smaller ones hold from the start.
-TEST(Settings, KeepsTheSmallerOfPresentAndLaterLimits) {
-  Json j = good();
-  j["settings"]["state"] = {{"value_kb", 16}, {"txn_ops", 12}, {"write_rps", 60}, {"rps", 200}};
-  EXPECT_EQ(parse_settings(j.dump()).value_bytes, 16u << 10);
-  j["settings"]["state"]["next"] = {{"value_kb", 2}, {"txn_ops", 20}, {"write_rps", 42}};
-  const Settings s = parse_settings(j.dump());
-  EXPECT_EQ(s.value_bytes, 2u << 10);
-  EXPECT_EQ(s.txn_ops, 12u);
-  EXPECT_EQ(s.state_write_rps, 42);
-  EXPECT_EQ(s.state_rps, 200);
+// Announced limits of the state service may take effect without notice, so the smaller of the
+// current and the announced limit applies from the start.
+TEST(Settings, SmallerOfCurrentAndAnnouncedLimitsApplies) {
+  Json file = valid_platform_file();
+  file["settings"]["state"] = {{"value_kb", 16}, {"txn_ops", 12}, {"write_rps", 60}, {"rps", 200}};
+  EXPECT_EQ(parse_settings(file.dump()).value_bytes, 16u << 10);
+  file["settings"]["state"]["next"] = {{"value_kb", 2}, {"txn_ops", 20}, {"write_rps", 42}};
+  const Settings settings = parse_settings(file.dump());
+  EXPECT_EQ(settings.value_bytes, 2u << 10);
+  EXPECT_EQ(settings.txn_ops, 12u);
+  EXPECT_EQ(settings.state_write_rps, 42);
+  EXPECT_EQ(settings.state_rps, 200);
 }
 
-TEST(Settings, RefusesLaterLimitsThatDoNotFit) {
-  const auto message = [](const Json& next) -> std::string {
-    Json j = good();
-    j["settings"]["state"]["next"] = next;
+TEST(Settings, InvalidAnnouncedLimitsAreRejected) {
+  const auto message = [](const Json& announced_limits) -> std::string {
+    Json file = valid_platform_file();
+    file["settings"]["state"]["next"] = announced_limits;
     try {
-      parse_settings(j.dump());
-    } catch (const BadSettings& e) {
-      return e.what();
+      parse_settings(file.dump());
+    } catch (const BadSettings& error) {
+      return error.what();
     }
     return "";
   };
