--- a/src/api/user_api.h
+++ b/src/api/user_api.h
@@ -15,10 +15,10 @@
 
 // Handles users' requests to submit a job, to read its status and to cancel it.
 //
-// Consistency: replies are linearizable across all controllers. A job is accepted once its record
-// is committed, and no later submission of the same id changes that. A reported status is either
-// final, and then never changes, or read from a local cache that was brought up to date after the
-// request arrived. If neither is possible, the reply is 503 and the user may retry.
+// Consistency: no reply of any controller contradicts an earlier one. A job is accepted once its
+// record is committed, and no later submission of the same id changes that. A reported status is
+// either final, and then never changes, or read from a local cache that was brought up to date
+// after the request arrived. If neither is possible, the reply is 503 and the user may retry.
 //
 // Threading: all functions may be called by several threads at once, and block on calls to the
 // state service. The mutex guards the controller. It is locked only to read or update the
@@ -33,10 +33,13 @@
     // Brings the local cache up to date with the store as of some moment after the call. Returns
     // false if that failed.
     std::function<bool()> read_barrier;
+    // Reads one key from the state service.
     std::function<protocol::StateClient::Got(const std::string& key)> get;
+    // Commits one transaction to the state service.
     std::function<protocol::StateClient::Committed(const protocol::Transaction& transaction)>
         commit;
-    std::function<double()> time_of_day;  // in seconds since 1970
+    // Returns the time of day in seconds since 1970.
+    std::function<double()> time_of_day;
     // Requests a scheduling round after a job was accepted or cancelled.
     std::function<void()> request_scheduling_round;
     // Sends a committed cancellation to the other controllers before the user gets the reply. A
@@ -66,8 +69,8 @@
   // The status of a job and its progress, as reported to users.
   struct JobState {
     protocol::JobStatus status = protocol::JobStatus::kQueued;
-    std::optional<base::TaskNo> done_tasks,
-        running_tasks;  // numbers of tasks; not set for final jobs
+    // The numbers of completed and of running tasks. Not set if the job is final.
+    std::optional<base::TaskNo> done_tasks, running_tasks;
   };
   // The result of looking up a job in the cache and the store.
   struct LookupResult {
@@ -82,7 +85,7 @@
   };
   // The result of checking a submission against the cache, without a call to the state service.
   struct LocalCheck {
-    bool was_accepted = false;  // the cache holds a job of this id
+    bool was_accepted = false;  // the cache holds the job or its final state
     // The reply that refuses the submission. Does not apply to a job that was accepted before.
     std::optional<transport::Reply> refusal;
   };
@@ -108,6 +111,7 @@
   // Returns whether the cache shows a dependency of the submission as cancelled.
   bool has_cancelled_dependency(const protocol::JobSpec& spec);
 
+  // Returns a reply with status 200 and the state of the job.
   static transport::Reply job_status_reply(const base::JobId& id, const JobState& state);
   // Returns a reply with the status of an accepted job, or 503 if the state service did not answer.
   // Returns no reply if the job was never accepted.
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -45,7 +45,8 @@
   bool uses_limited_path = false;  // it has requested ServerLimits::limited_path
 };
 
-// The callbacks of cpp-httplib do not identify the connection, so its state is thread-local.
+// The callbacks of cpp-httplib do not identify the connection, so the two variables below hold the
+// state of the connection that the current thread is serving.
 
 // The connection that this thread is serving.
 thread_local Connection* t_connection = nullptr;
