--- a/src/protocol/base_types.h
+++ b/src/protocol/base_types.h
@@ -1,4 +1,5 @@
-// The ids and times of src/base under the names that messages and records use, and the JSON type.
+// Brings the id and time types of src/base into the namespace of the protocol, and names the JSON
+// type.
 #pragma once
 
 #include <nlohmann/json.hpp>
--- a/src/protocol/client_support.cpp
+++ b/src/protocol/client_support.cpp
@@ -4,14 +4,15 @@
 
 namespace saddleslip::protocol {
 
-Json parse_object(const transport::Answer& answer) {
-  Json object = Json::parse(answer.body, nullptr, false);
+Json parse_object(const transport::Answer& response) {
+  Json object = Json::parse(response.body, nullptr, false);
   if (object.is_object()) return object;
-  spdlog::warn("garbled answer with status {} ({} bytes)", answer.status, answer.body.size());
+  spdlog::warn("response is not a JSON object: status={} bytes={}", response.status,
+               response.body.size());
   return Json();
 }
 
-bool has_list(const Json& object, const char* field) {
+bool has_array(const Json& object, const char* field) {
   return object.is_object() && object.contains(field) && object.at(field).is_array();
 }
 
--- a/src/protocol/client_support.h
+++ b/src/protocol/client_support.h
@@ -1,4 +1,4 @@
-// What the clients of this folder share.
+// Limits and JSON helpers shared by the HTTP clients of the cloud and the state service.
 #pragma once
 
 #include <cstddef>
@@ -8,15 +8,16 @@
 
 namespace saddleslip::protocol {
 
-// Answers that are larger are not read.
-inline constexpr std::size_t kMaxAnswerBytes = 8u << 20;
-// Items on a page of a list.
+// The largest response body that a client reads when it lists items.
+inline constexpr std::size_t kMaxResponseBytes = 8u << 20;
+// The number of items per page when a client lists items, as a query parameter.
 inline constexpr const char* kPageSize = "500";
 
-// The JSON object in an answer; null, with a warning in the log, if there is none.
-Json parse_object(const transport::Answer& answer);
+// Parses the response body as a JSON object. If it is not one, logs a warning and returns JSON
+// null.
+Json parse_object(const transport::Answer& response);
 
-// True if `object` holds a list in that field.
-bool has_list(const Json& object, const char* field);
+// Returns whether `object` is a JSON object whose field `field` is an array.
+bool has_array(const Json& object, const char* field);
 
 }  // namespace saddleslip::protocol
--- a/src/protocol/clients.h
+++ b/src/protocol/clients.h
@@ -1,4 +1,5 @@
-// All clients of this folder. Include the single headers where one of them is enough.
+// Includes the clients of the cloud, the state service and the workers. Prefer the single headers
+// where one of them is enough.
 #pragma once
 
 #include "protocol/cloud_client.h"
--- a/src/protocol/cloud_client.cpp
+++ b/src/protocol/cloud_client.cpp
@@ -14,32 +14,35 @@
 
 namespace {
 
-constexpr std::size_t kMaxCalls = 2;  // at once
+constexpr std::size_t kMaxConcurrentCalls = 2;
 constexpr Seconds kCatalogTimeout{3.0};
 constexpr Seconds kRentalTimeout{5.0};
 constexpr std::size_t kMaxLoggedBytes = 200;
 
-// A refusal; kUnknown for other statuses.
-CloudClient::Rented::What parse_refusal(const Answer& answer) {
+// Classifies a response whose status is not 200: kNoCapacity or kRefused if nothing was rented,
+// kUnknown if machines may have been rented.
+CloudClient::Rented::What classify_refusal(const Answer& response) {
   using What = CloudClient::Rented::What;
-  if (answer.status == 503 && answer.body.find("no capacity") != std::string::npos) {
+  if (response.status == 503 && response.body.find("no capacity") != std::string::npos) {
     return What::kNoCapacity;
   }
-  if (answer.status == 400) {
-    spdlog::error("the cloud calls a rental malformed: {}", answer.body.substr(0, kMaxLoggedBytes));
+  if (response.status == 400) {
+    spdlog::error("cloud rejected a rental as malformed: response={}",
+                  response.body.substr(0, kMaxLoggedBytes));
   }
-  const bool is_refused = answer.status == 400 || answer.status == 429 || answer.status == 503;
+  const bool is_refused =
+      response.status == 400 || response.status == 429 || response.status == 503;
   return is_refused ? What::kRefused : What::kUnknown;
 }
 
 }  // namespace
 
-CloudClient::CloudClient(const base::Address& address) : http_(address, kMaxCalls) {}
+CloudClient::CloudClient(const base::Address& address) : http_(address, kMaxConcurrentCalls) {}
 
 std::optional<std::vector<MachineType>> CloudClient::catalogue() {
-  const Answer answer = http_.get("/catalog", kCatalogTimeout);
-  if (!answer.ok()) return {};
-  return parse_catalogue(parse_object(answer));
+  const Answer response = http_.get("/catalog", kCatalogTimeout);
+  if (!response.ok()) return {};
+  return parse_catalogue(parse_object(response));
 }
 
 CloudClient::Rented CloudClient::rent(const std::string& request, const std::string& type,
@@ -49,16 +52,16 @@
                      {wire::kZone, zone},
                      {wire::kSpot, spot},
                      {"how_many", std::clamp(count, 1, kMaxRentedPerCall)}};
-  const Answer answer = http_.post("/rentals", body.dump(), kRentalTimeout);
+  const Answer response = http_.post("/rentals", body.dump(), kRentalTimeout);
   Rented rented;
-  if (answer.sent == Sent::kNo) rented.what = Rented::What::kRefused;
-  if (answer.sent != Sent::kYes) return rented;
-  if (answer.status != 200) {
-    rented.what = parse_refusal(answer);
+  if (response.sent == Sent::kNo) rented.what = Rented::What::kRefused;
+  if (response.sent != Sent::kYes) return rented;
+  if (response.status != 200) {
+    rented.what = classify_refusal(response);
     return rented;
   }
-  const Json machines = parse_object(answer);
-  if (!has_list(machines, wire::kMachines)) return rented;
+  const Json machines = parse_object(response);
+  if (!has_array(machines, wire::kMachines)) return rented;
   rented.machines = parse_ids<MachineId>(machines, wire::kMachines);
   rented.what = Rented::What::kMachines;
   return rented;
@@ -74,10 +77,10 @@
   for (;;) {
     std::string path = std::string("/rentals?page=") + kPageSize;
     if (!machines.empty()) path += "&after=" + machines.back().id.get();
-    const Answer answer = http_.get(path, kRentalTimeout, kMaxAnswerBytes);
-    if (!answer.ok()) return {};
-    const Json page = parse_object(answer);
-    if (!has_list(page, wire::kMachines)) return {};
+    const Answer response = http_.get(path, kRentalTimeout, kMaxResponseBytes);
+    if (!response.ok()) return {};
+    const Json page = parse_object(response);
+    if (!has_array(page, wire::kMachines)) return {};
     const Json& entries = page.at(wire::kMachines);
     for (const Json& entry : entries) {
       auto machine = parse_cloud_machine(entry);
--- a/src/protocol/cloud_client.h
+++ b/src/protocol/cloud_client.h
@@ -1,4 +1,5 @@
-// Client of the cloud: its catalog, and renting and releasing machines.
+// HTTP client of the cloud: reads the catalog of machine types, and rents, lists and releases
+// machines.
 #pragma once
 
 #include <optional>
@@ -11,34 +12,39 @@
 
 namespace saddleslip::protocol {
 
+// The maximum number of machines that one call can rent.
 inline constexpr int kMaxRentedPerCall = 50;
 
-// All calls block until there is an answer or a timeout of some seconds has passed, and may be made
-// from any thread. A malformed answer counts as none.
+// Client of the cloud's HTTP interface. All calls are thread-safe and block until a response
+// arrives or a timeout of a few seconds expires. A malformed response is treated as no response.
 class CloudClient {
  public:
   explicit CloudClient(const base::Address& address);
 
-  // None: no answer.
+  // Returns the machine types that the cloud offers; nullopt if there was no valid response.
   std::optional<std::vector<MachineType>> catalogue();
 
+  // The result of a rental.
   struct Rented {
     enum class What {
-      kMachines,
+      kMachines,    // the machines were rented
       kNoCapacity,  // the cloud has no machines of this type in this zone now
-      kRefused,     // over a limit or malformed; certainly not carried out
-      kUnknown      // no answer: machines may have been rented
+      kRefused,     // rate limit exceeded or request malformed; certainly not carried out
+      kUnknown      // no valid response: machines may have been rented
     } what = What::kUnknown;
     std::vector<MachineId> machines;
   };
-  // `request` names the call: repeating it with the same name rents nothing more.
+  // Rents up to `count` machines. `request` is an idempotency key: a repeated call with the same
+  // key rents no further machines.
   Rented rent(const std::string& request, const std::string& type, const std::string& zone,
               bool spot, int count);
 
-  // True: the machines and everything on them are gone.
+  // Releases the machines. Returns true if the cloud confirmed it: the machines and all tasks on
+  // them no longer exist.
   bool release(const std::vector<MachineId>& machines);
 
-  // All rented machines; the list may lag. None: not all of it was read.
+  // Returns all rented machines; nullopt if any page of the list could not be read. The list may
+  // lag behind recent rentals and releases.
   std::optional<std::vector<CloudMachine>> list();
 
  private:
--- a/src/protocol/dependency_lists.cpp
+++ b/src/protocol/dependency_lists.cpp
@@ -6,15 +6,15 @@
 
 std::vector<Json> split_dependencies(const std::vector<JobId>& dependencies,
                                      std::size_t max_bytes) {
-  constexpr std::size_t kBrackets = 2;
-  constexpr std::size_t kIdPunctuation = 3;  // quotes and a comma
+  constexpr std::size_t kBracketBytes = 2;
+  constexpr std::size_t kIdPunctuationBytes = 3;  // quotes and a comma
   std::vector<Json> lists;
   std::size_t bytes = 0;
   for (const JobId& id : dependencies) {
-    const std::size_t added = id.get().size() + kIdPunctuation;
+    const std::size_t added = id.get().size() + kIdPunctuationBytes;
     if (lists.empty() || bytes + added > max_bytes) {
       lists.push_back(Json::array());
-      bytes = kBrackets;
+      bytes = kBracketBytes;
     }
     lists.back().push_back(id.get());
     bytes += added;
--- a/src/protocol/dependency_lists.h
+++ b/src/protocol/dependency_lists.h
@@ -1,4 +1,5 @@
-// Lists of the jobs that a job depends on, kept apart from its record if they do not fit into it.
+// Dependency lists: a job whose dependencies do not fit into its job record stores them in several
+// records of their own, which form a set.
 #pragma once
 
 #include <cstddef>
@@ -10,21 +11,21 @@
 
 namespace saddleslip::protocol {
 
-// Names a set of lists. The set's name stands for the content of the lists, so that the lists of two
-// submissions of one id are never mixed up.
+// Identifies the set of dependency lists of a job. The name of the set is a hash of the lists'
+// content, so that the lists of two submissions with the same job id are never mixed up.
 struct DependencyLists {
-  std::string set;
-  std::size_t count = 0;  // of lists
+  std::string set;        // the name of the set
+  std::size_t count = 0;  // the number of lists in the set
 };
 
-// The values of the lists, each of `max_bytes` at most.
+// Splits the dependencies into JSON arrays of job ids, each of at most `max_bytes` when encoded.
 std::vector<Json> split_dependencies(const std::vector<JobId>& dependencies, std::size_t max_bytes);
 
-// The name of the set that these lists make.
+// Returns the name of the set that consists of these lists, and their number.
 DependencyLists name_dependency_lists(const std::vector<Json>& lists);
 
 Json to_json(const DependencyLists& lists);
-// None if the value is malformed.
+// Parses the name and size of a set of dependency lists; nullopt if the value is malformed.
 std::optional<DependencyLists> parse_dependency_lists(const Json& value);
 
 }  // namespace saddleslip::protocol
--- a/src/protocol/field_reader.cpp
+++ b/src/protocol/field_reader.cpp
@@ -21,59 +21,59 @@
 
 }  // namespace
 
-std::string FieldReader::text(const char* field, std::size_t max_size) {
+std::string FieldReader::read_string(const char* field, std::size_t max_size) {
   const Json* value = find(field);
   const std::string* text = value ? value->get_ptr<const std::string*>() : nullptr;
   if (!text || text->empty() || text->size() > max_size) {
-    fail(field, "must be a non-empty string");
+    record_error(field, "must be a non-empty string");
     return {};
   }
   return *text;
 }
 
-double FieldReader::amount(const char* field, double min) {
+double FieldReader::read_amount(const char* field, double min) {
   const Json* value = find(field);
   if (!value || !is_amount(*value, min)) {
-    fail(field, "must be a number in range");
+    record_error(field, "must be a number in range");
     return 0;
   }
   return value->get<double>();
 }
 
-std::optional<double> FieldReader::optional_amount(const char* field, double min) {
-  if (!find_value(field)) return {};
-  return amount(field, min);
+std::optional<double> FieldReader::read_optional_amount(const char* field, double min) {
+  if (!find_non_null(field)) return {};
+  return read_amount(field, min);
 }
 
-std::uint64_t FieldReader::integer(const char* field, std::uint64_t min, std::uint64_t max) {
+std::uint64_t FieldReader::read_integer(const char* field, std::uint64_t min, std::uint64_t max) {
   const Json* value = find(field);
   if (!value || !is_integer(*value, min, max)) {
-    fail(field, "must be an integer in range");
+    record_error(field, "must be an integer in range");
     return min;
   }
   return value->get<std::uint64_t>();
 }
 
-bool FieldReader::boolean(const char* field) {
+bool FieldReader::read_boolean(const char* field) {
   const Json* value = find(field);
   if (!value || !value->is_boolean()) {
-    fail(field, "must be true or false");
+    record_error(field, "must be true or false");
     return false;
   }
   return value->get<bool>();
 }
 
 const Json* FieldReader::find(const char* field) const {
-  const auto at = object_.find(field);
-  return at == object_.end() ? nullptr : &*at;
+  const auto entry = object_.find(field);
+  return entry == object_.end() ? nullptr : &*entry;
 }
 
-const Json* FieldReader::find_value(const char* field) const {
+const Json* FieldReader::find_non_null(const char* field) const {
   const Json* value = find(field);
   return value && !value->is_null() ? value : nullptr;
 }
 
-void FieldReader::fail(const char* field, const char* reason) {
+void FieldReader::record_error(const char* field, const char* reason) {
   if (!error_) error_ = ParseError{field, reason};
 }
 
--- a/src/protocol/fleet_record.cpp
+++ b/src/protocol/fleet_record.cpp
@@ -6,29 +6,30 @@
 
 namespace {
 
-// A group of machines of one rental, which differ in their ids only: hundreds may boot at once.
-// [type, zone, spot, rented, [id, ...]]
-constexpr std::size_t kType = 0;
-constexpr std::size_t kZone = 1;
-constexpr std::size_t kSpot = 2;
-constexpr std::size_t kRented = 3;
-constexpr std::size_t kIds = 4;
+// Booting machines are encoded in groups, since hundreds may boot at once: machines of one group
+// differ only in their ids. A group is the array [type, zone, spot, rented, [id, ...]], with these
+// indices:
+constexpr std::size_t kTypeIndex = 0;
+constexpr std::size_t kZoneIndex = 1;
+constexpr std::size_t kSpotIndex = 2;
+constexpr std::size_t kRentedIndex = 3;
+constexpr std::size_t kIdsIndex = 4;
 
-// Upper bounds of bytes in the encoding.
-constexpr std::size_t kBrackets = 2;
-constexpr std::size_t kIdPunctuation = 3;
-constexpr std::size_t kGroupFrame = 48;
+// Upper bounds for the bytes of parts of the encoding.
+constexpr std::size_t kBracketBytes = 2;
+constexpr std::size_t kIdPunctuationBytes = 3;
+constexpr std::size_t kGroupFrameBytes = 48;
 
-bool is_of_group(const Booting& machine, const Json& group) {
-  return group[kType] == machine.type && group[kZone] == machine.zone &&
-         group[kSpot] == machine.spot && group[kRented] == machine.rented;
+bool belongs_to_group(const Booting& machine, const Json& group) {
+  return group[kTypeIndex] == machine.type && group[kZoneIndex] == machine.zone &&
+         group[kSpotIndex] == machine.spot && group[kRentedIndex] == machine.rented;
 }
 
-void append_group(const Json& group, std::vector<Booting>& fleet) {
-  for (const Json& id : group.at(kIds)) {
-    fleet.push_back({MachineId(id.get<std::string>()), group.at(kType).get<std::string>(),
-                     group.at(kZone).get<std::string>(), group.at(kSpot).get<bool>(),
-                     group.at(kRented).get<double>()});
+void append_machines(const Json& group, std::vector<Booting>& fleet) {
+  for (const Json& id : group.at(kIdsIndex)) {
+    fleet.push_back({MachineId(id.get<std::string>()), group.at(kTypeIndex).get<std::string>(),
+                     group.at(kZoneIndex).get<std::string>(), group.at(kSpotIndex).get<bool>(),
+                     group.at(kRentedIndex).get<double>()});
   }
 }
 
@@ -36,17 +37,17 @@
 
 Json to_json(const std::vector<Booting>& fleet, std::size_t max_bytes) {
   Json groups = Json::array();
-  std::size_t bytes = kBrackets;
+  std::size_t bytes = kBracketBytes;
   const std::vector<Booting> latest_first(fleet.rbegin(), fleet.rend());
   for (const Booting& machine : latest_first) {
-    const bool fits_last_group = !groups.empty() && is_of_group(machine, groups.back());
-    bytes += machine.id.get().size() + kIdPunctuation;
-    if (!fits_last_group) bytes += machine.type.size() + machine.zone.size() + kGroupFrame;
+    const bool fits_last_group = !groups.empty() && belongs_to_group(machine, groups.back());
+    bytes += machine.id.get().size() + kIdPunctuationBytes;
+    if (!fits_last_group) bytes += machine.type.size() + machine.zone.size() + kGroupFrameBytes;
     if (bytes > max_bytes) break;
     if (!fits_last_group) {
       groups.push_back({machine.type, machine.zone, machine.spot, machine.rented, Json::array()});
     }
-    groups.back()[kIds].push_back(machine.id.get());
+    groups.back()[kIdsIndex].push_back(machine.id.get());
   }
   return groups;
 }
@@ -54,7 +55,7 @@
 std::vector<Booting> parse_fleet(const Json& value) {
   std::vector<Booting> fleet;
   try {
-    for (const Json& group : value) append_group(group, fleet);
+    for (const Json& group : value) append_machines(group, fleet);
   } catch (const Json::exception&) {
     fleet.clear();
   }
--- a/src/protocol/fleet_record.h
+++ b/src/protocol/fleet_record.h
@@ -1,4 +1,4 @@
-// The record of machines that are rented and have sent no heartbeat yet.
+// The fleet record: the machines that are rented but have not sent their first heartbeat.
 #pragma once
 
 #include <cstddef>
@@ -9,20 +9,22 @@
 
 namespace saddleslip::protocol {
 
-// A machine between its rental and its first heartbeat.
+// A machine that is booting: rented, without a first heartbeat so far.
 struct Booting {
   MachineId id;
   std::string type;
   std::string zone;
   bool spot = false;
-  double rented = 0;  // when, in seconds since 1970
+  double rented = 0;  // time of the rental, in seconds since 1970 (UTC)
 };
 
-// `fleet` is in the order of the rentals. If not all fit into `max_bytes`, the latest are kept: the
-// cloud's list of machines lags, and shows the older ones.
+// Encodes the booting machines, given in the order of their rentals, in at most `max_bytes`. If not
+// all fit, the oldest are left out: they are likely to be in the cloud's list of machines, which
+// lags and may lack the latest ones.
 Json to_json(const std::vector<Booting>& fleet, std::size_t max_bytes);
 
-// Empty if the value is malformed.
+// Parses the fleet record into booting machines in the order of their rentals; an empty list if the
+// value is malformed.
 std::vector<Booting> parse_fleet(const Json& value);
 
 }  // namespace saddleslip::protocol
--- a/src/protocol/heartbeat.cpp
+++ b/src/protocol/heartbeat.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr auto kAnyInteger = std::numeric_limits<std::uint64_t>::max();
+constexpr auto kMaxInteger = std::numeric_limits<std::uint64_t>::max();
 constexpr std::size_t kMaxTaskDigits = 6;
 
-// In the order of the enum.
+// Names of the causes in heartbeats, in the order of enum Cause.
 constexpr std::array<const char*, 7> kCauseNames = {"none",    "done", "halted", "error",
                                                     "no_room", "busy", "unknown"};
 
@@ -30,12 +30,13 @@
   return TaskId{JobId(text.substr(0, slash)), number};
 }
 
-TaskState parse_state(const std::string& name) {
+TaskState parse_task_state(const std::string& name) {
   if (name == "pulling") return TaskState::kPulling;
   if (name == "running") return TaskState::kRunning;
   if (name == "saving") return TaskState::kSaving;
   if (name == "ended") return TaskState::kEnded;
-  // Gathering, or a state that a later agent knows: the attempt exists, and has not ended.
+  // The gathering state, or one that only newer agents report: the attempt exists and has not
+  // ended.
   return TaskState::kGathering;
 }
 
@@ -48,14 +49,15 @@
   return Cause::kError;
 }
 
-// False if the entry is malformed.
+// Adds the attempt that `entry` describes to the heartbeat. Returns false if the entry is
+// malformed.
 bool read_task(const Json& entry, Heartbeat& heartbeat) {
   if (!entry.is_object()) return false;
   FieldReader reader(entry);
-  const auto id = parse_task_id(reader.text(wire::kTask));
+  const auto id = parse_task_id(reader.read_string(wire::kTask));
   ReportedAttempt reported;
-  reported.attempt = Attempt(reader.integer(wire::kAttempt, 0, kAnyInteger));
-  reported.state = parse_state(reader.text("status"));
+  reported.attempt = Attempt(reader.read_integer(wire::kAttempt, 0, kMaxInteger));
+  reported.state = parse_task_state(reader.read_string("status"));
   if (reported.state == TaskState::kEnded) reported.cause = parse_cause(reader.find("cause"));
   if (!id || reader.error()) return false;
   heartbeat.tasks[*id].push_back(reported);
@@ -81,21 +83,22 @@
   if (!root.is_object()) return {};
   FieldReader reader(root);
   Heartbeat heartbeat;
-  heartbeat.machine = MachineId(reader.text(wire::kMachine));
-  heartbeat.address = reader.text(wire::kAddress);
-  heartbeat.type = reader.text(wire::kMachineType);
-  heartbeat.zone = reader.text(wire::kZone);
-  heartbeat.spot = reader.find(wire::kSpot) && reader.boolean(wire::kSpot);
+  heartbeat.machine = MachineId(reader.read_string(wire::kMachine));
+  heartbeat.address = reader.read_string(wire::kAddress);
+  heartbeat.type = reader.read_string(wire::kMachineType);
+  heartbeat.zone = reader.read_string(wire::kZone);
+  heartbeat.spot = reader.find(wire::kSpot) && reader.read_boolean(wire::kSpot);
   heartbeat.agent_incarnation =
-      AgentIncarnation(reader.integer(wire::kAgentIncarnation, 0, kAnyInteger));
-  heartbeat.sequence = Sequence(reader.integer(wire::kSequence, 0, kAnyInteger));
-  if (reader.find_value(wire::kFencingToken)) {
-    heartbeat.fencing_token = FencingToken(reader.integer(wire::kFencingToken, 0, kAnyInteger));
+      AgentIncarnation(reader.read_integer(wire::kAgentIncarnation, 0, kMaxInteger));
+  heartbeat.sequence = Sequence(reader.read_integer(wire::kSequence, 0, kMaxInteger));
+  if (reader.find_non_null(wire::kFencingToken)) {
+    heartbeat.fencing_token =
+        FencingToken(reader.read_integer(wire::kFencingToken, 0, kMaxInteger));
   }
-  if (const auto notice = reader.optional_amount(wire::kPreemptionNotice, -kMaxAmount)) {
+  if (const auto notice = reader.read_optional_amount(wire::kPreemptionNotice, -kMaxAmount)) {
     heartbeat.notice = Seconds(*notice);
   }
-  const Json* tasks = reader.find_value(wire::kTasks);
+  const Json* tasks = reader.find_non_null(wire::kTasks);
   if (tasks && !read_tasks(*tasks, heartbeat)) return {};
   if (reader.error()) return {};
   return heartbeat;
--- a/src/protocol/heartbeat.h
+++ b/src/protocol/heartbeat.h
@@ -1,4 +1,4 @@
-// What the agent on a machine reports of itself and its tasks.
+// Heartbeats: the messages in which the agent on a machine reports its state and its tasks.
 #pragma once
 
 #include <map>
@@ -10,13 +10,15 @@
 
 namespace saddleslip::protocol {
 
+// The state of an attempt, as the agent reports it. Only kEnded is final.
 enum class TaskState { kPulling, kGathering, kRunning, kSaving, kEnded };
 
-// Why an attempt ended; kNone if it has not.
+// The reason why an attempt ended; kNone if it has not ended.
 enum class Cause { kNone, kDone, kHalted, kError, kNoRoom, kBusy, kUnknown };
+// Returns the cause's name in heartbeats.
 const char* to_string(Cause cause);
 
-// One attempt of a task that the agent knows.
+// One attempt of a task, as listed in a heartbeat.
 struct ReportedAttempt {
   Attempt attempt;
   TaskState state = TaskState::kPulling;
@@ -24,6 +26,7 @@
   bool operator==(const ReportedAttempt&) const = default;
 };
 
+// The state of a machine and all attempts on it.
 struct Heartbeat {
   MachineId machine;
   std::string address;  // host:port at which the agent takes commands
@@ -31,14 +34,15 @@
   std::string zone;
   bool spot = false;
   AgentIncarnation agent_incarnation;
-  Sequence sequence;              // rises with each heartbeat of one incarnation
-  FencingToken fencing_token;     // the latest that the agent has seen; 0: none
-  std::optional<Seconds> notice;  // a preemption notice: the machine is taken after this time
-  std::map<TaskId, std::vector<ReportedAttempt>> tasks;  // seldom more than one attempt of a task
+  Sequence sequence;              // increases with each heartbeat of an agent incarnation
+  FencingToken fencing_token;     // the highest that the agent has received; 0: none
+  std::optional<Seconds> notice;  // preemption notice: time until the cloud takes the machine
+  std::map<TaskId, std::vector<ReportedAttempt>> tasks;  // a task's attempts; rarely more than one
 };
 
-// None if the body is malformed. A task state that is unknown here counts as kGathering: the attempt
-// exists and has not ended. An unknown cause counts as kError.
+// Parses the body of a heartbeat; nullopt if it is malformed. For compatibility with newer agents,
+// an unknown task state is read as kGathering (the attempt exists and has not ended), and an
+// unknown cause as kError.
 std::optional<Heartbeat> parse_heartbeat(const std::string& body);
 
 }  // namespace saddleslip::protocol
--- a/src/protocol/id_lists.h
+++ b/src/protocol/id_lists.h
@@ -1,4 +1,4 @@
-// Lists of ids as JSON arrays of strings.
+// Conversion between lists of ids and JSON arrays of strings.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -7,7 +7,7 @@
 
 namespace saddleslip::protocol {
 
-// `Id` is one of the string ids of base/ids.h.
+// Encodes ids as a JSON array of strings. `Id` is one of the string ids of base/ids.h.
 template <class Id>
 nlohmann::json ids_to_json(const std::vector<Id>& ids) {
   nlohmann::json list = nlohmann::json::array();
@@ -15,8 +15,8 @@
   return list;
 }
 
-// The ids in that field; none if the field is missing or is no array. Entries that are no strings are
-// ignored.
+// Returns the ids in the field `field` of `object`; an empty list if the field is missing or not an
+// array. Elements that are not strings are skipped.
 template <class Id>
 std::vector<Id> parse_ids(const nlohmann::json& object, const char* field) {
   std::vector<Id> ids;
--- a/src/protocol/job_record.cpp
+++ b/src/protocol/job_record.cpp
@@ -9,23 +9,23 @@
 
 namespace {
 
-// Fields of a job's record.
+// Fields of a job record.
 constexpr const char* kSubmission = "s";
 constexpr const char* kSubmittedAt = "at";
 constexpr const char* kDependencyLists = "n";
-constexpr const char* kIsCancelled = "w";  // withdrawn
-constexpr const char* kChunkSize = "c";    // left out if it is kMostChunk
-constexpr const char* kPieceSize = "p";    // left out if the chunks are not split
+constexpr const char* kIsCancelled = "w";  // "w" stands for withdrawn
+constexpr const char* kChunkSize = "c";    // omitted if it is kMaxChunkTasks
+constexpr const char* kPieceSize = "p";    // omitted if the chunks are not split
 
-// Fields of a tombstone, and its values.
+// Fields of a tombstone, and the values of kFinalStatus.
 constexpr const char* kFinalStatus = "f";
 constexpr const char* kFinalAt = "at";
 constexpr const char* kFinalDone = "d";
 constexpr const char* kFinalCancelled = "w";
 
-// Reads a count of tasks from 1 to `max` into `size`, unless the field is missing. False if it is
-// malformed.
-bool read_size(const Json& value, const char* field, TaskNo max, TaskNo& size) {
+// Reads a number of tasks from 1 to `max` into `size`; leaves `size` unchanged if the field is
+// missing. Returns false if the field is malformed.
+bool read_task_count(const Json& value, const char* field, TaskNo max, TaskNo& size) {
   const auto entry = value.find(field);
   if (entry == value.end()) return true;
   if (!entry->is_number_unsigned() || *entry < 1u || *entry > max) return false;
@@ -54,8 +54,8 @@
 
 TaskNo JobRecord::tasks_of(std::uint32_t number) const {
   const TaskNo first = first_task(number);
-  const TaskNo left = std::min(chunk - first % chunk, spec.tasks - first);
-  return piece == 0 ? left : std::min(piece, left);
+  const TaskNo remaining = std::min(chunk - first % chunk, spec.tasks - first);
+  return piece == 0 ? remaining : std::min(piece, remaining);
 }
 
 std::string JobRecord::record_key(std::uint32_t number) const {
@@ -69,7 +69,7 @@
     json[kDependencyLists] = to_json(*job.dependency_lists);
   }
   if (job.cancelled) json[kIsCancelled] = true;
-  if (job.chunk != kMostChunk) json[kChunkSize] = job.chunk;
+  if (job.chunk != kMaxChunkTasks) json[kChunkSize] = job.chunk;
   if (job.piece != 0) json[kPieceSize] = job.piece;
   return json;
 }
@@ -86,8 +86,8 @@
     job.dependency_lists = parse_dependency_lists(*lists);
     if (!job.dependency_lists) return {};
   }
-  if (!read_size(value, kChunkSize, kMostChunk, job.chunk)) return {};
-  if (!read_size(value, kPieceSize, job.chunk, job.piece)) return {};
+  if (!read_task_count(value, kChunkSize, kMaxChunkTasks, job.chunk)) return {};
+  if (!read_task_count(value, kPieceSize, job.chunk, job.piece)) return {};
   return job;
 }
 
--- a/src/protocol/job_record.h
+++ b/src/protocol/job_record.h
@@ -1,4 +1,5 @@
-// The record of a job, from its submission until it is final, and its tombstone after that.
+// The job record, which exists from the submission until the job reaches its final state, and the
+// tombstone that replaces it.
 #pragma once
 
 #include <cstdint>
@@ -13,47 +14,54 @@
 
 namespace saddleslip::protocol {
 
-// Format 1, or none told: whole chunks only; 2: also pieces of them.
+// Format of the stored records in which the chunks of a job may be split into pieces. Format 1,
+// which a missing format number stands for, has whole chunks only.
 inline constexpr std::uint64_t kFormatWithPieces = 2;
-// The latest format that this version reads.
+// The latest format of the stored records that this version of the program can read.
 inline constexpr std::uint64_t kFormat = kFormatWithPieces;
 
-// A job's tasks are divided into records of `chunk` tasks. Where these turn out too large for a value
-// of the store, each chunk is split into pieces of `piece` tasks. The records are numbered from 0:
-// chunks, or pieces if the chunks are split.
+// The record of a job. The states of the job's tasks are stored in task records, each of which
+// holds a chunk of `chunk` tasks. If such a record exceeds the size limit of a value in the state
+// service, every chunk is split into pieces of `piece` tasks, and each piece gets a task record.
+// Task records are numbered from 0: by chunk, or by piece if the chunks are split.
 struct JobRecord {
   JobSpec spec;
-  std::optional<DependencyLists> dependency_lists;  // where the dependencies are, if not in `spec`
-  double submitted = 0;  // seconds since 1970 by the clock of the controller that accepted the job
+  std::optional<DependencyLists> dependency_lists;  // if set, `spec` lacks the dependencies
+  // Time of the submission in seconds since 1970, by the clock of the controller that accepted the
+  // job.
+  double submitted = 0;
   bool cancelled = false;
-  TaskNo chunk = kMostChunk;
-  TaskNo piece = 0;  // 0: the chunks are not split
+  TaskNo chunk = kMaxChunkTasks;  // tasks per chunk
+  TaskNo piece = 0;               // tasks per piece; 0: the chunks are not split
 
+  // Returns the number of task records per chunk: 1 if the chunks are not split.
   std::uint32_t pieces_of_chunk() const;
-  // The number of the record that holds this task.
+  // Returns the number of the task record that holds the task.
   std::uint32_t chunk_of(TaskNo task) const;
-  // The number of records. Requires a job of at least one task.
+  // Returns the number of task records. Requires a job with at least one task.
   std::size_t chunks() const;
-  // The first task of a record, and the number of its tasks.
+  // Returns the number of the first task in the task record `number`.
   TaskNo first_task(std::uint32_t number) const;
+  // Returns how many tasks the task record `number` holds.
   TaskNo tasks_of(std::uint32_t number) const;
-  // The store's key of a record.
+  // Returns the key of the task record `number` in the state service.
   std::string record_key(std::uint32_t number) const;
 };
 
 Json to_json(const JobRecord& job);
-// None if the value is malformed.
+// Parses a job record; nullopt if the value is malformed.
 std::optional<JobRecord> parse_job(const Json& value);
 
-// The tombstone of a job: how it ended. It never changes.
+// The tombstone of a job: how and when it ended. It never changes once written.
 struct FinalState {
   JobStatus status = JobStatus::kDone;  // kDone or kCancelled
-  // When this was recorded, in seconds since 1970; 0: not told (versions before 0.2).
+  // When the tombstone was written, in seconds since 1970; 0: unknown, as versions before 0.2 did
+  // not record it.
   double at = 0;
 };
 
 Json to_json(const FinalState& state);
-// None if the value is malformed.
+// Parses a tombstone; nullopt if the value is malformed.
 std::optional<FinalState> parse_final(const Json& value);
 
 }  // namespace saddleslip::protocol
--- a/src/protocol/job_spec.cpp
+++ b/src/protocol/job_spec.cpp
@@ -15,59 +15,60 @@
 constexpr TaskNo kMaxTasks = 100'000;
 constexpr std::size_t kMaxTypes = 1000;
 
-// In the order of the enums. On the wire, a service is a daemon.
+// Names in submissions, in the order of the enums. A service is called a daemon there.
 constexpr std::array<const char*, 3> kKindNames = {"array", "gang", "daemon"};
 constexpr std::array<const char*, 4> kRankNames = {"critical", "urgent", "standard", "idle"};
 
 template <class Enum, std::size_t N>
-const char* name_of(Enum value, const std::array<const char*, N>& names) {
+const char* enum_name(Enum value, const std::array<const char*, N>& names) {
   return names[static_cast<std::size_t>(value)];
 }
 
-// Reads an enum by its name; records `error` and returns the first value if the name is unknown.
+// Reads the name of an enum value. If the name is unknown, records `error` and returns the first
+// value.
 template <class Enum, std::size_t N>
 Enum read_enum(FieldReader& reader, const char* field, const std::array<const char*, N>& names,
                const char* error) {
-  const std::string name = reader.text(field);
+  const std::string name = reader.read_string(field);
   const auto found = std::find(names.begin(), names.end(), name);
   if (found == names.end()) {
-    reader.fail(field, error);
+    reader.record_error(field, error);
     return Enum{};
   }
   return static_cast<Enum>(found - names.begin());
 }
 
 JobId read_job_id(FieldReader& reader) {
-  const std::string id = reader.text(wire::kId);
-  if (!valid_job_id(id)) reader.fail(wire::kId, "must have the form run-000412");
+  const std::string id = reader.read_string(wire::kId);
+  if (!valid_job_id(id)) reader.record_error(wire::kId, "must have the form run-000412");
   return JobId(id);
 }
 
 std::optional<std::vector<std::string>> read_types(FieldReader& reader) {
-  const Json* types = reader.find_value(wire::kMachineTypes);
+  const Json* types = reader.find_non_null(wire::kMachineTypes);
   if (!types) return {};
   const auto is_string = [](const Json& type) { return type.is_string(); };
   if (!types->is_array() || types->size() > kMaxTypes ||
       !std::all_of(types->begin(), types->end(), is_string)) {
-    reader.fail(wire::kMachineTypes, "must be null or an array of strings");
+    reader.record_error(wire::kMachineTypes, "must be null or an array of strings");
     return {};
   }
   return types->get<std::vector<std::string>>();
 }
 
-// Each dependency once, in the order in which they are named first.
+// Reads the dependencies without duplicates, in the order of their first mention.
 std::vector<JobId> read_dependencies(FieldReader& reader) {
-  const Json* list = reader.find_value(wire::kDependencies);
+  const Json* list = reader.find_non_null(wire::kDependencies);
   if (!list) return {};
   if (!list->is_array()) {
-    reader.fail(wire::kDependencies, "must be null or an array of job ids");
+    reader.record_error(wire::kDependencies, "must be null or an array of job ids");
     return {};
   }
   std::vector<JobId> dependencies;
   std::set<JobId> seen;
   for (const Json& entry : *list) {
     if (!entry.is_string() || !valid_job_id(entry.get_ref<const std::string&>())) {
-      reader.fail(wire::kDependencies, "must hold job ids of the form run-000412");
+      reader.record_error(wire::kDependencies, "must hold job ids of the form run-000412");
       return {};
     }
     JobId id(entry.get<std::string>());
@@ -78,19 +79,19 @@
 
 void read_placement(FieldReader& reader, JobSpec& spec) {
   spec.types = read_types(reader);
-  if (reader.find_value(wire::kZone)) spec.zone = reader.text(wire::kZone);
-  spec.one_zone = reader.boolean(wire::kOneZone);
-  spec.spread = reader.boolean(wire::kSpread);
-  spec.spot = reader.boolean(wire::kSpot);
+  if (reader.find_non_null(wire::kZone)) spec.zone = reader.read_string(wire::kZone);
+  spec.one_zone = reader.read_boolean(wire::kOneZone);
+  spec.spread = reader.read_boolean(wire::kSpread);
+  spec.spot = reader.read_boolean(wire::kSpot);
 }
 
 void read_image_and_times(FieldReader& reader, JobSpec& spec) {
-  spec.image = reader.text(wire::kImage);
-  spec.image_gb = reader.amount("image_gb", 0);
-  spec.estimate = Seconds(reader.amount(wire::kEstimate, 0));
-  spec.checkpoint = Seconds(reader.amount(wire::kCheckpoint, 0));
-  spec.save = Seconds(reader.amount(wire::kSave, 0));
-  if (const auto deadline = reader.optional_amount(wire::kDeadline, 0)) {
+  spec.image = reader.read_string(wire::kImage);
+  spec.image_gb = reader.read_amount("image_gb", 0);
+  spec.estimate = Seconds(reader.read_amount(wire::kEstimate, 0));
+  spec.checkpoint = Seconds(reader.read_amount(wire::kCheckpoint, 0));
+  spec.save = Seconds(reader.read_amount(wire::kSave, 0));
+  if (const auto deadline = reader.read_optional_amount(wire::kDeadline, 0)) {
     spec.deadline = Seconds(*deadline);
   }
 }
@@ -105,15 +106,15 @@
   }
   return id.starts_with(kPrefix) &&
          std::all_of(id.begin() + static_cast<std::ptrdiff_t>(kPrefix.size()), id.end(),
-                     [](char c) { return c >= '0' && c <= '9'; });
+                     [](char character) { return character >= '0' && character <= '9'; });
 }
 
 Json to_json(const JobSpec& spec) {
   Json json = {{wire::kId, spec.id.get()},
                {wire::kJobClass, spec.job_class},
                {wire::kTeam, spec.team},
-               {wire::kJobKind, name_of(spec.kind, kKindNames)},
-               {"rank", name_of(spec.rank, kRankNames)},
+               {wire::kJobKind, enum_name(spec.kind, kKindNames)},
+               {"rank", enum_name(spec.rank, kRankNames)},
                {wire::kTaskCount, spec.tasks},
                {"cores", spec.request.cores()},
                {"gpus", spec.request.gpus()},
@@ -141,18 +142,18 @@
 
 std::variant<JobSpec, ParseError> parse_job_spec(const Json& root) {
   if (!root.is_object()) return ParseError{"", "not an object"};
-  // The order of the reads decides which of several errors is reported.
+  // The order of these reads determines which of several errors is reported.
   FieldReader reader(root);
   JobSpec spec;
   spec.id = read_job_id(reader);
-  spec.job_class = reader.text(wire::kJobClass);
-  spec.team = reader.text(wire::kTeam);
+  spec.job_class = reader.read_string(wire::kJobClass);
+  spec.team = reader.read_string(wire::kTeam);
   spec.kind = read_enum<Kind>(reader, wire::kJobKind, kKindNames, "must be array, gang or daemon");
   spec.rank =
       read_enum<Rank>(reader, "rank", kRankNames, "must be critical, urgent, standard or idle");
-  spec.tasks = static_cast<TaskNo>(reader.integer(wire::kTaskCount, 1, kMaxTasks));
-  spec.request.v = {reader.amount("cores", 0), reader.amount("gpus", 0),
-                    reader.amount("memory_gb", 0)};
+  spec.tasks = static_cast<TaskNo>(reader.read_integer(wire::kTaskCount, 1, kMaxTasks));
+  spec.request.v = {reader.read_amount("cores", 0), reader.read_amount("gpus", 0),
+                    reader.read_amount("memory_gb", 0)};
   read_placement(reader, spec);
   read_image_and_times(reader, spec);
   spec.dependencies = read_dependencies(reader);
--- a/src/protocol/machine_catalog.cpp
+++ b/src/protocol/machine_catalog.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-double amount_or_zero(FieldReader& reader, const char* field) {
-  return reader.optional_amount(field, 0).value_or(0);
+double read_amount_or_zero(FieldReader& reader, const char* field) {
+  return reader.read_optional_amount(field, 0).value_or(0);
 }
 
-// Entries that are no strings are ignored.
+// Reads the names of the zones. Elements that are not strings are skipped.
 std::vector<std::string> read_zones(const FieldReader& reader) {
   std::vector<std::string> zones;
   const Json* list = reader.find(wire::kZones);
@@ -22,18 +22,18 @@
   return zones;
 }
 
-std::optional<MachineType> parse_type(const Json& entry) {
+std::optional<MachineType> parse_machine_type(const Json& entry) {
   if (!entry.is_object()) return {};
   FieldReader reader(entry);
   MachineType type;
-  type.name = reader.text(wire::kTypeName);
-  type.size.v = {reader.amount("cores", 0), amount_or_zero(reader, "gpus"),
-                 reader.amount("memory_gb", 0)};
-  type.cache_gb = amount_or_zero(reader, "cache_gb");
-  type.fetch_gb_per_s = amount_or_zero(reader, "fetch_gb_per_s");
-  type.price = reader.amount("price", 0);
-  type.spot_price = reader.optional_amount(wire::kSpotPrice, 0).value_or(type.price);
-  type.boot = Seconds(amount_or_zero(reader, wire::kBootTime));
+  type.name = reader.read_string(wire::kTypeName);
+  type.size.v = {reader.read_amount("cores", 0), read_amount_or_zero(reader, "gpus"),
+                 reader.read_amount("memory_gb", 0)};
+  type.cache_gb = read_amount_or_zero(reader, "cache_gb");
+  type.fetch_gb_per_s = read_amount_or_zero(reader, "fetch_gb_per_s");
+  type.price = reader.read_amount("price", 0);
+  type.spot_price = reader.read_optional_amount(wire::kSpotPrice, 0).value_or(type.price);
+  type.boot = Seconds(read_amount_or_zero(reader, wire::kBootTime));
   type.zones = read_zones(reader);
   if (reader.error()) return {};
   return type;
@@ -52,7 +52,7 @@
               {wire::kZones, type.zones}};
 }
 
-CloudState parse_state(const std::string& name) {
+CloudState parse_cloud_state(const std::string& name) {
   if (name == "running") return CloudState::kRunning;
   if (name == "failed") return CloudState::kFailed;
   return CloudState::kStarting;
@@ -66,7 +66,7 @@
   if (list == body.end() || !list->is_array()) return {};
   std::vector<MachineType> types;
   for (const Json& entry : *list) {
-    auto type = parse_type(entry);
+    auto type = parse_machine_type(entry);
     if (!type) return {};
     types.push_back(std::move(*type));
   }
@@ -87,7 +87,7 @@
     machine.type = entry.at(wire::kMachineType).get<std::string>();
     machine.zone = entry.at(wire::kZone).get<std::string>();
     machine.spot = entry.value(wire::kSpot, false);
-    machine.state = parse_state(entry.at("status").get<std::string>());
+    machine.state = parse_cloud_state(entry.at("status").get<std::string>());
     machine.age = Seconds(entry.value(wire::kRentalAge, 0.0));
     return machine;
   } catch (const Json::exception&) {
--- a/src/protocol/member_records.cpp
+++ b/src/protocol/member_records.cpp
@@ -4,19 +4,20 @@
 
 namespace {
 
-// Fields of a member's record and of the view.
+// Fields of member records and of the view.
 constexpr const char* kIncarnation = "life";
 constexpr const char* kReaches = "reaches";
 constexpr const char* kFormatField = "format";
 constexpr const char* kEpoch = "epoch";
 constexpr const char* kMembersField = "members";
-constexpr const char* kOverrides = "pins";  // member -> machines
+constexpr const char* kOverrides = "pins";  // object: member id -> array of machine ids
 
-bool is_list(const Json& object, const char* field) {
+// Returns whether the field `field` of the JSON object `object` is an array.
+bool has_array(const Json& object, const char* field) {
   return object.contains(field) && object.at(field).is_array();
 }
 
-// False if the overrides are malformed.
+// Adds the ownership overrides to the view. Returns false if they are malformed.
 bool read_overrides(const Json& overrides, View& view) {
   for (const auto& [member, machines] : overrides.items()) {
     if (!machines.is_array()) return false;
@@ -65,7 +66,8 @@
   Json members = Json::array();
   for (const ControllerIncarnation& member : view.members) members.push_back(to_json(member));
   Json json = {{kEpoch, view.epoch.get()}, {kMembersField, std::move(members)}};
-  // Grouped by member: one that loses its workers hands over hundreds of machines at once.
+  // Grouped by member to keep the record small: a member that loses contact with its workers hands
+  // over hundreds of machines at once.
   for (const auto& [machine, member] : view.overrides) {
     json[kOverrides][member.get()].push_back(machine.get());
   }
@@ -73,7 +75,7 @@
 }
 
 std::optional<View> parse_view(const Json& value) {
-  if (!value.is_object() || !value.contains(kEpoch) || !is_list(value, kMembersField)) return {};
+  if (!value.is_object() || !value.contains(kEpoch) || !has_array(value, kMembersField)) return {};
   if (!value.at(kEpoch).is_number_unsigned()) return {};
   View view;
   view.epoch = Epoch(value.at(kEpoch).get<std::uint64_t>());
--- a/src/protocol/member_records.h
+++ b/src/protocol/member_records.h
@@ -1,4 +1,5 @@
-// The records of the controllers that make up the service.
+// The records by which the controllers of a cluster coordinate: member records and the membership
+// view.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +11,7 @@
 
 namespace saddleslip::protocol {
 
-// One run of a controller's process. No two runs of one member have the same incarnation.
+// One run of a controller process. Every run of a member has a different incarnation.
 struct ControllerIncarnation {
   MemberId member;
   Incarnation incarnation;
@@ -18,31 +19,32 @@
 };
 
 Json to_json(const ControllerIncarnation& incarnation);
-// None if the value is malformed.
+// Parses the array [member, incarnation]; nullopt if the value is malformed.
 std::optional<ControllerIncarnation> parse_incarnation(const Json& value);
 
-// A member's own record, under its lease.
+// The record that each member keeps about itself. It is attached to the member's lease in the state
+// service and removed with it.
 struct Member {
   ControllerIncarnation incarnation;
-  bool reaches = false;      // it reaches at least one other member
-  std::uint64_t format = 1;  // the latest format of records that it reads
+  bool reaches = false;      // it can reach at least one other member
+  std::uint64_t format = 1;  // the latest format of stored records that it can read
 };
 
 Json to_json(const Member& member);
-// None if the value is malformed.
+// Parses a member record; nullopt if the value is malformed.
 std::optional<Member> parse_member(const Json& value);
 
-// The membership view: who shares out the machines.
+// The membership view: the members among which the ownership of the machines is divided.
 struct View {
   Epoch epoch;
   std::vector<ControllerIncarnation> members;
-  // Machines that cannot reach the member that the hash names, and who owns them instead.
+  // Owners of machines that cannot reach the member to which the hash assigns them.
   std::map<MachineId, MemberId> overrides;
   bool operator==(const View&) const = default;
 };
 
 Json to_json(const View& view);
-// None if the value is malformed.
+// Parses a membership view; nullopt if the value is malformed.
 std::optional<View> parse_view(const Json& value);
 
 }  // namespace saddleslip::protocol
--- a/src/protocol/messages.h
+++ b/src/protocol/messages.h
@@ -1,4 +1,5 @@
-// All messages of users, workers and the cloud. Include the single headers where one of them is enough.
+// Includes the headers for all messages of users, workers and the cloud. Prefer the single headers
+// where one of them is enough.
 #pragma once
 
 #include "protocol/heartbeat.h"
--- a/src/protocol/parse_error.h
+++ b/src/protocol/parse_error.h
@@ -1,16 +1,16 @@
-// Why a message was not accepted.
+// The reason why a message was rejected as malformed.
 #pragma once
 
 #include <string>
 
 namespace saddleslip::protocol {
 
-// The first fault that was found in a message.
+// The first error found in a message.
 struct ParseError {
-  std::string field;   // the wire name of the field; empty: the message as a whole
-  std::string reason;  // what is wrong with it, e.g. "must be a number in range"
+  std::string field;   // the field's name in the message; empty: the whole message
+  std::string reason;  // the requirement that is not met, e.g. "must be a number in range"
 
-  // One line, as users see it.
+  // Returns the error message that is sent to users, on one line.
   std::string message() const { return field.empty() ? reason : field + " " + reason; }
 };
 
--- a/src/protocol/paths.h
+++ b/src/protocol/paths.h
@@ -1,16 +1,17 @@
-// Paths that a controller serves besides the users' (messages.h), and the body of its probe's answer.
+// HTTP paths that a controller serves to workers, peers and the load balancer. The paths for users
+// are in user_responses.h.
 #pragma once
 
 namespace saddleslip::protocol {
 
-// Workers post their heartbeats here.
+// Path to which workers post their heartbeats.
 inline constexpr const char* kHeartbeatPath = "/hello";
-// The load balancer's readiness probe.
+// Path of the load balancer's readiness probe.
 inline constexpr const char* kReadinessPath = "/ready";
-// Peers post their status here (peer_messages.h), on the address for peers.
+// Path to which peers post their messages (peer_messages.h), served on the address for peers.
 inline constexpr const char* kPeerStatusPath = "/sibling";
 
-// The answer to the probe of a controller that is ready.
+// Body of the response to the readiness probe if the controller is ready.
 inline constexpr const char* kReadyBody = R"({"ready":true})";
 
 }  // namespace saddleslip::protocol
--- a/src/protocol/peer_messages.cpp
+++ b/src/protocol/peer_messages.cpp
@@ -6,6 +6,7 @@
 
 namespace {
 
+// Fields of messages and replies.
 constexpr const char* kStatus = "status";
 constexpr const char* kOffers = "offers";
 constexpr const char* kCancelled = "cancelled";
@@ -20,7 +21,7 @@
   Json body = {{kStatus, to_json(message.status, now)}};
   if (!message.offers.empty()) {
     Json& offers = body[kOffers] = Json::array();
-    for (const Offers& o : message.offers) offers.push_back(to_json(o));
+    for (const Offers& entry : message.offers) offers.push_back(to_json(entry));
   }
   if (!message.cancelled.empty()) body[kCancelled] = ids_to_json(message.cancelled);
   return body.dump();
@@ -34,8 +35,8 @@
   PeerMessage message;
   message.status = std::move(*status);
   if (json.contains(kOffers) && json.at(kOffers).is_array()) {
-    for (const Json& o : json.at(kOffers)) {
-      if (auto parsed = parse_offers(o)) message.offers.push_back(std::move(*parsed));
+    for (const Json& entry : json.at(kOffers)) {
+      if (auto parsed = parse_offers(entry)) message.offers.push_back(std::move(*parsed));
     }
   }
   message.cancelled = parse_ids<JobId>(json, kCancelled);
--- a/src/protocol/peer_messages.h
+++ b/src/protocol/peer_messages.h
@@ -1,4 +1,4 @@
-// The message that a controller posts to a peer, and the peer's reply.
+// The messages that controllers post to each other, and the replies to them.
 #pragma once
 
 #include <optional>
@@ -9,28 +9,36 @@
 
 namespace saddleslip::protocol {
 
-// The sender's status, with the offers and cancellations that are due.
+// A message to a peer: the status of the sender, with the offers and the committed cancellations
+// that are due to be sent.
 struct PeerMessage {
   MemberStatus status;
   std::vector<Offers> offers;
-  std::vector<JobId> cancelled;  // jobs whose cancellation is committed
+  std::vector<JobId> cancelled;  // jobs whose cancellation is committed to the state service
 };
 
-// What the receiver asks of the sender. The lists are empty unless the receiver is the leader.
+// The reply to a PeerMessage: instructions from the receiver to the sender. Only the leader lists
+// machines in it.
 struct PeerReply {
-  std::vector<MachineId> released;  // these machines and all on them no longer exist
-  std::vector<MachineId> cordon;    // take no new tasks; release when idle
-  std::vector<MachineId> drain;     // move services away, then release
-  bool needs_full_status = true;    // the status was a delta to one that the receiver does not have
+  std::vector<MachineId> released;  // released: these machines and their tasks no longer exist
+  std::vector<MachineId> cordon;    // start no new tasks on these; release them when idle
+  std::vector<MachineId> drain;     // move the services on these elsewhere, then release them
+  // The status was a delta to a revision that the receiver lacks: the sender must send a full
+  // status.
+  bool needs_full_status = true;
 };
 
-// Times within the message are written relative to `now`.
+// Encodes the message. Times are written as ages relative to `now`, as clocks are not comparable
+// between processes.
 std::string encode_peer_message(const PeerMessage& message, Time now);
-// Nothing if the body is no JSON object or holds no valid status. Invalid offers and ids are skipped.
+// Parses a message; nullopt if the body is not a JSON object with a valid status. Invalid offers
+// and ids are skipped. Ages in the message are converted to times relative to `now`.
 std::optional<PeerMessage> parse_peer_message(const std::string& body, Time now);
 
+// Encodes the reply as a JSON object.
 std::string encode_peer_reply(const PeerReply& reply);
-// A body that is no JSON object counts as an empty reply that asks for the full status.
+// Parses a reply. A body that is not a JSON object is read as a reply without machines that asks
+// for the full status.
 PeerReply parse_peer_reply(const std::string& body);
 
 }  // namespace saddleslip::protocol
--- a/src/protocol/peer_status.cpp
+++ b/src/protocol/peer_status.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Fields of a status, with the term of this code where the wire has another word.
+// Fields of a status.
 constexpr const char* kFrom = "from";
 constexpr const char* kHasState = "state";
 constexpr const char* kSince = "since";
@@ -25,7 +25,7 @@
 constexpr const char* kEpoch = "epoch";
 constexpr const char* kOffers = "offers";
 
-// Places in the list that encodes a machine.
+// Indices of the array that encodes a machine.
 enum MachineField : std::size_t {
   kId,
   kType,
@@ -65,7 +65,7 @@
   return WorkerContact::kUnknown;
 }
 
-// In the order of MachineField.
+// Encodes a machine as an array in the order of MachineField.
 Json to_json(const MachineStatus& machine, Time now) {
   const double idle_seconds =
       machine.tasks > 0 ? 0.0 : base::between(machine.idle_since, now).count();
@@ -74,7 +74,7 @@
                       machine.images, machine.silent, machine.unsure, machine.soon, machine.late});
 }
 
-// Throws Json::exception if the value is malformed.
+// Parses the array that encodes a machine. Throws Json::exception if it is malformed.
 MachineStatus parse_machine(const Json& value, Time now) {
   MachineStatus machine;
   machine.id = MachineId(value.at(kId).get<std::string>());
--- a/src/protocol/peer_status.h
+++ b/src/protocol/peer_status.h
@@ -1,4 +1,4 @@
-// What controllers tell each other: the status of their machines, and offers of tasks.
+// The status and the offers of tasks that controllers send to each other.
 #pragma once
 
 #include <algorithm>
@@ -14,69 +14,79 @@
 
 namespace saddleslip::protocol {
 
-// A machine as its owner sees it.
+// The state of a machine, as seen by the controller that owns it.
 struct MachineStatus {
   MachineId id;
   std::string type;
   std::string zone;
   bool spot = false;
-  bool open = true;       // it takes new tasks
-  Resources free;         // capacity that no task holds
-  Resources preemptible;  // held by tasks of standard and idle rank, which urgent work may displace
-  std::uint32_t tasks = 0;
-  Time idle_since{};  // when it last had a task; only if it has none now
-  std::vector<std::string> images;
-  bool silent = false;  // no heartbeat for a while, or none that shows that responses reach it
-  bool unsure = false;  // its heartbeats arrive, and the last did not show the latest response
-  bool late = false;    // its heartbeat is overdue
-  bool soon = false;    // new: opens once it has shown that responses reach it
+  bool open = true;  // accepts new tasks
+  Resources free;    // capacity that is not assigned to any task
+  // Capacity assigned to tasks of standard and idle rank, which more urgent tasks may preempt.
+  Resources preemptible;
+  std::uint32_t tasks = 0;          // the number of tasks assigned to the machine
+  Time idle_since{};                // when its last task ended; unset while it has tasks
+  std::vector<std::string> images;  // images known to be in its cache
+  // No recent heartbeat, or none that proves that responses reach the machine.
+  bool silent = false;
+  // Heartbeats arrive, but the last one did not acknowledge the latest response.
+  bool unsure = false;
+  bool late = false;  // the next heartbeat is overdue
+  // A new machine, which accepts tasks once a heartbeat has proved that responses reach it.
+  bool soon = false;
 
+  // Returns whether the image is known to be in the cache of the machine.
   bool has_image(const std::string& image) const {
     return std::find(images.begin(), images.end(), image) != images.end();
   }
   bool operator==(const MachineStatus&) const = default;
 };
 
-// Whether heartbeats of the machines that a member owns reach it. Unknown while it may not answer
-// them, or owns none.
+// Whether a member receives the heartbeats of the machines that it owns. Unknown while it lacks the
+// authority to answer them, or owns no machines.
 enum class WorkerContact { kUnknown, kGood, kLost };
 
-// What a member tells a peer of its machines: those that changed between two revisions of the member's
-// own count of changes. Sent as a delta, since the status of hundreds of machines sent in full each
-// time cost more than all else that a controller does.
+// The status that a member sends to a peer: the machines that changed between two revisions, which
+// count the changes of the sender's machines. It is sent as a delta, since sending the full status
+// of hundreds of machines each time cost more processor time than everything else that a controller
+// does.
 struct MemberStatus {
   ControllerIncarnation from;
-  bool has_state = false;   // its lease in the store was renewed lately
-  std::uint64_t since = 0;  // the revision that the peer has acknowledged; 0: all machines are told
-  std::uint64_t upto = 0;   // the revision that the peer has after this
+  bool has_state = false;   // its lease in the state service was renewed recently
+  std::uint64_t since = 0;  // base revision of the delta, acknowledged by the peer; 0: full status
+  std::uint64_t upto = 0;   // revision that the peer has after applying this status
   std::vector<MachineStatus> machines;
-  std::vector<MachineId> left;               // no longer among its machines
-  std::vector<MachineId> release_requested;  // machines that it asks the leader to release
-  std::vector<MachineId> misdirected;  // machines of other owners that lately sent heartbeats here
-  std::vector<MachineId> ownership_claims;  // those of them that cannot reach their owners
+  std::vector<MachineId> left;               // machines that it no longer owns
+  std::vector<MachineId> release_requested;  // machines that the leader should release
+  std::vector<MachineId> misdirected;  // machines of other owners that recently sent it heartbeats
+  std::vector<MachineId>
+      ownership_claims;  // of `misdirected`, those that cannot reach their owners
   WorkerContact contact = WorkerContact::kUnknown;
-  std::vector<JobId> crash_looping_jobs;  // jobs that failed on every machine it has seen them on
+  // Jobs that failed on every machine on which this member saw them run.
+  std::vector<JobId> crash_looping_jobs;
 };
 
-// Times leave the process as ages, so both calls take the present time.
+// Encodes a status. Times are written as ages relative to `now`, as clocks are not comparable
+// between processes.
 Json to_json(const MemberStatus& status, Time now);
-// None if the message is malformed.
+// Parses a status, converting ages to times relative to `now`; nullopt if it is malformed.
 std::optional<MemberStatus> parse_status(const Json& body, Time now);
 
-// Tasks of a job that the sender's own machines have no capacity for.
+// An offer to run tasks of a job for which the sender's own machines lack capacity.
 struct Offer {
   JobId job;
-  std::vector<std::pair<TaskNo, TaskNo>> ranges;  // first task, count
+  std::vector<std::pair<TaskNo, TaskNo>> ranges;  // first task and number of tasks
 };
 
+// Offers that a member makes under one membership view.
 struct Offers {
   ControllerIncarnation from;
-  Epoch epoch;  // of the view in which they were made
+  Epoch epoch;  // epoch of that membership view
   std::vector<Offer> offers;
 };
 
 Json to_json(const Offers& offers);
-// None if the message is malformed.
+// Parses the offers of a member; nullopt if they are malformed.
 std::optional<Offers> parse_offers(const Json& body);
 
 }  // namespace saddleslip::protocol
--- a/src/protocol/records.h
+++ b/src/protocol/records.h
@@ -1,5 +1,5 @@
-// All records of the state service and messages between controllers. Include the single headers where
-// one of them is enough.
+// Includes the headers for all records in the state service and all messages between controllers.
+// Prefer the single headers where one of them is enough.
 #pragma once
 
 #include "protocol/dependency_lists.h"
--- a/src/protocol/resources.h
+++ b/src/protocol/resources.h
@@ -1,4 +1,4 @@
-// Amounts of the resources that tasks request and machines have.
+// The amounts of resources that tasks request and machines offer.
 #pragma once
 
 #include <array>
@@ -6,15 +6,16 @@
 
 namespace saddleslip::protocol {
 
-// A vector of cores, GPUs and memory in GB.
+// An amount of each resource: CPU cores, GPUs and memory in GB.
 struct Resources {
-  std::array<double, 3> v{};
+  std::array<double, 3> v{};  // in the order cores, GPUs, memory
 
   double cores() const { return v[0]; }
   double gpus() const { return v[1]; }
   double memory() const { return v[2]; }
 
-  // True if `request` fits into these resources, up to rounding errors of repeated sums.
+  // Returns whether these resources cover `request`, tolerating rounding errors of repeated
+  // additions.
   bool fits(const Resources& request) const {
     constexpr double kRoundingError = 1e-6;
     for (std::size_t i = 0; i < v.size(); ++i) {
--- a/src/protocol/state_client.h
+++ b/src/protocol/state_client.h
@@ -1,4 +1,5 @@
-// Client of the state service: a transactional key-value store with leases and a history of changes.
+// HTTP client of the state service: a transactional key-value store with leases and a history of
+// changes.
 #pragma once
 
 #include <cstddef>
@@ -13,68 +14,82 @@
 
 namespace saddleslip::protocol {
 
-// All calls block until there is an answer or the timeout has passed, and may be made from any thread.
-// A malformed answer counts as none.
+// Client of the state service. All calls are thread-safe and block until a response arrives or the
+// timeout expires. A malformed response is treated as no response.
 class StateClient {
  public:
-  // A response of more than `max_changes_bytes` to watch() or changes() is not read: see kTooOld.
+  // A response to watch() or changes() that exceeds `max_changes_bytes` is discarded and reported
+  // as kTooOld.
   explicit StateClient(const base::Address& address, std::size_t max_changes_bytes = 8u << 20);
 
+  // The outcome of a commit.
   enum class Outcome {
-    kDone,
+    kDone,       // the transaction was committed
     kConflict,   // a precondition failed; nothing was written
-    kRefused,    // over a limit or out of service; certainly not carried out
-    kUnknown,    // no answer: it may have been carried out, or may be later
-    kMalformed,  // 400: an expired lease, or a mistake of ours
+    kRefused,    // rate limit exceeded or service unavailable; certainly not committed
+    kUnknown,    // no valid response: it may have been committed, or may still be
+    kMalformed,  // status 400: the lease has expired, or the request is invalid
   };
+  // The result of a commit.
   struct Committed {
     Outcome outcome = Outcome::kUnknown;
-    Revision revision;
-    std::vector<std::string> failed;  // the keys whose preconditions failed
+    Revision revision;                // set for kDone and kConflict
+    std::vector<std::string> failed;  // keys whose preconditions failed
   };
+  // Commits a transaction.
   Committed commit(const Transaction& transaction, Seconds timeout);
 
+  // The result of reading one key.
   struct Got {
     bool answered = false;
-    Item item;  // version 0: no such key
+    Item item;  // version 0: the key does not exist
   };
+  // Reads one key.
   Got get(const std::string& key, Seconds timeout);
 
+  // One page of a list of items.
   struct Listed {
     bool answered = false;
     std::vector<Item> items;
-    bool more = false;
-    Revision revision;
+    bool more = false;  // there are further pages
+    Revision revision;  // the revision at which the page was read
   };
-  // One page of the items whose keys start with `prefix` and sort after `after`.
+  // Reads one page of the items whose keys start with `prefix` and sort after the key `after`.
   Listed list(const std::string& prefix, const std::string& after, Seconds timeout);
 
-  // None: no answer, or refused.
+  // Creates a lease; nullopt if the state service refused it or did not respond.
   std::optional<LeaseId> create_lease(Seconds ttl, Seconds timeout);
+  // Whether a lease was renewed: kGone means that it has expired or was deleted, kUnknown that
+  // there was no clear response.
   enum class Renewed { kYes, kGone, kUnknown };
+  // Renews a lease for its time to live.
   Renewed renew_lease(LeaseId lease, Seconds timeout);
+  // Deletes a lease, and with it the keys under it. Whether it succeeded is not reported.
   void delete_lease(LeaseId lease, Seconds timeout);
 
+  // The changes to the keys under a prefix after a revision.
   struct Watched {
     enum class What {
-      kEvents,
-      kTooOld,  // the changes are no longer kept, or take too many bytes: list the items anew
-      kNothing
+      kEvents,  // `events` holds all changes up to `revision`
+      kTooOld,  // the changes are no longer stored or exceed the size limit: list the items instead
+      kNothing  // no valid response
     } what = What::kNothing;
     Revision revision;
     std::vector<Item> events;
-    Revision after;  // what was asked for: changes after this
+    Revision after;  // the revision from which the changes were requested, exclusive
   };
-  // Waits up to `wait` for changes after that revision.
+  // Returns the changes after the revision `after`. If there are none yet, waits up to `wait` for
+  // one.
   Watched watch(const std::string& prefix, Revision after, Seconds wait);
-  // The same without a wait, on the connections of other calls: all that has changed by now.
+  // Returns the changes after the revision `after` without waiting for new ones. Uses the
+  // connections of the general calls rather than that of watch().
   Watched changes(const std::string& prefix, Revision after, Seconds timeout);
 
  private:
   const std::size_t max_changes_bytes_;
   transport::HttpClient http_;
-  transport::HttpClient renewals_;  // of its own, so that no queue delays a renewal
-  transport::HttpClient watches_;
+  transport::HttpClient renewals_;  // separate, so that queued calls do not delay lease renewals
+  transport::HttpClient watches_;   // separate, as a watch occupies its connection while it waits
 };
 
 }  // namespace saddleslip::protocol
--- a/src/protocol/store_keys.cpp
+++ b/src/protocol/store_keys.cpp
@@ -6,15 +6,16 @@
 
 namespace {
 
-// Keys hold no spaces and 200 bytes at most; an escaped byte takes three.
+// The state service allows keys of at most 200 bytes without spaces; an escaped byte takes three.
 constexpr std::size_t kMaxTeamBytes = 80;
 constexpr std::size_t kMaxNumberDigits = 6;
 
-void append_escaped(std::string& out, char c) {
+// Appends the character, as % and two hex digits unless it is a letter, a digit, - or _.
+void append_escaped(std::string& out, char character) {
   static constexpr char kHexDigits[] = "0123456789abcdef";
-  const auto byte = static_cast<unsigned char>(c);
-  if (std::isalnum(byte) || c == '-' || c == '_') {
-    out += c;
+  const auto byte = static_cast<unsigned char>(character);
+  if (std::isalnum(byte) || character == '-' || character == '_') {
+    out += character;
     return;
   }
   out += '%';
@@ -50,7 +51,7 @@
 
 std::string team_key(const std::string& team) {
   std::string key = kTeams;
-  for (const char c : team.substr(0, kMaxTeamBytes)) append_escaped(key, c);
+  for (const char character : team.substr(0, kMaxTeamBytes)) append_escaped(key, character);
   return key;
 }
 
@@ -66,7 +67,7 @@
   return kMembers + member.get();
 }
 
-std::optional<ChunkName> parse_chunk_key(const std::string& key) {
+std::optional<TaskRecordKey> parse_chunk_key(const std::string& key) {
   const auto slash = key.rfind('/');
   if (slash == std::string::npos || slash <= kChunks.size()) return {};
   const bool is_piece = key.compare(slash, 2, "/p") == 0;
@@ -78,7 +79,7 @@
     number = number * 10 + static_cast<std::uint32_t>(key[i] - '0');
   }
   const std::string job = key.substr(kChunks.size(), slash - kChunks.size());
-  return ChunkName{JobId(job), number, is_piece};
+  return TaskRecordKey{JobId(job), number, is_piece};
 }
 
 std::optional<JobId> job_of_dependency_key(const std::string& key) {
--- a/src/protocol/store_keys.h
+++ b/src/protocol/store_keys.h
@@ -1,25 +1,32 @@
-// Keys of the records that controllers keep in the state service.
+// Keys of the records that controllers store in the state service.
 //
-//   s/j/<job>            a job that is not final: its submission, and whether it was cancelled
-//   s/t/<job>/<chunk>    the tasks of one chunk: done, and assigned to machines; the job's record says
-//                        how many tasks a chunk has
-//   s/t/<job>/p<piece>   the same for a piece of a chunk, once the job's record says that its chunks are
-//                        split; the chunk's own record holds for pieces that have no record
-//   s/n/<job>            which set of lists holds the job's dependencies, if they do not fit into its
-//                        record; written before the job's own record, which guards its version
-//   s/n/<job>/<set>/<i>  one of the lists of that set
-//   s/f/<job>            the tombstone of a final job
-//   s/q/<team>           written with each start for a team with a quota: makes concurrent starts
-//                        conflict
-//   s/q/job/<job>        the same for a job of several chunks whose tasks share or avoid zones
-//   s/m/<member>         a member's incarnation, under its lease
-//   s/lead               the leader, under its lease
-//   s/format             the format that all controllers read, once each of them has said so
-//   s/view               epoch and members; every commit on tasks guards its version
-//   s/p/<machine>        an ownership claim: by a member without contact to the leader, on a machine
-//                        that cannot reach its owner; a member with contact tells the leader instead
-//   s/catalogue          the machine types
-//   s/fleet              machines that are rented and have sent no heartbeat yet
+//   s/j/<job>            job record, until the job is final: its specification, and whether it was
+//                        cancelled
+//   s/t/<job>/<chunk>    task record of a chunk: which tasks are done, and which are assigned to
+//                        machines; the job record has the number of tasks per chunk
+//   s/t/<job>/p<piece>   task record of a piece, if the job record says that chunks are split; as
+//                        long as a piece has no record, the record of its chunk applies
+//   s/n/<job>            the set of dependency lists of a job whose dependencies do not fit into
+//                        its job record; written before the job record, the commit of which has
+//                        a precondition on it
+//   s/n/<job>/<set>/<i>  dependency list number <i> of that set
+//   s/f/<job>            tombstone of a job that is done or cancelled
+//   s/q/<team>           written with each task start for a team with a quota, so that concurrent
+//                        starts conflict and cannot exceed the quota together
+//   s/q/job/<job>        written with each task start for a job that has several chunks and must
+//                        keep its tasks in one zone or spread them over zones, so that concurrent
+//                        starts conflict and cannot violate this together
+//   s/m/<member>         member record with the member's incarnation, attached to its lease
+//   s/lead               incarnation of the leader, attached to its lease
+//   s/format             latest record format that all controllers can read, written once every
+//                        member record states that format
+//   s/view               membership view: epoch and members; each commit that changes tasks has a
+//                        precondition on its version
+//   s/p/<machine>        ownership claim of a member on a machine that cannot reach its owner;
+//                        written only by members that cannot reach the leader, as the others
+//                        include their claims in their status messages
+//   s/catalogue          machine types of the cloud
+//   s/fleet              machines that are rented but have not sent their first heartbeat
 #pragma once
 
 #include <cstdint>
@@ -30,46 +37,56 @@
 
 namespace saddleslip::protocol {
 
-// Single keys
+// Keys of single records.
 inline const std::string kViewKey = "s/view";
 inline const std::string kLeadKey = "s/lead";
 inline const std::string kFormatKey = "s/format";
 inline const std::string kCatalogueKey = "s/catalogue";
 inline const std::string kFleetKey = "s/fleet";
 
-// Prefixes
-inline const std::string kAll = "s/";
+// Prefixes of the keys of each kind of record.
+inline const std::string kAll = "s/";  // all records
 inline const std::string kJobs = "s/j/";
-inline const std::string kChunks = "s/t/";
+inline const std::string kChunks = "s/t/";  // task records
 inline const std::string kDependencies = "s/n/";
-inline const std::string kFinals = "s/f/";
+inline const std::string kFinals = "s/f/";  // tombstones
 inline const std::string kMembers = "s/m/";
-inline const std::string kTeams = "s/q/";
-inline const std::string kClaims = "s/p/";
+inline const std::string kTeams = "s/q/";   // keys that make concurrent starts conflict
+inline const std::string kClaims = "s/p/";  // ownership claims
 
+// Returns the key of the job record.
 std::string job_key(const JobId& id);
+// Returns the key of the tombstone.
 std::string final_key(const JobId& id);
+// Returns the key of the task record of a chunk.
 std::string chunk_key(const JobId& id, std::uint32_t chunk);
+// Returns the key of the task record of a piece.
 std::string piece_key(const JobId& id, std::uint32_t piece);
+// Returns the key of the record that names the set of dependency lists.
 std::string dependency_lists_key(const JobId& id);
+// Returns the key of one dependency list of a set.
 std::string dependency_list_key(const JobId& id, const std::string& set, std::size_t number);
-// Escapes what a key may not hold; names that agree in their first 80 bytes share a key.
+// Returns the key that makes concurrent starts for a team conflict. Characters that a key may not
+// contain are escaped. Teams whose names have the same first 80 bytes share a key.
 std::string team_key(const std::string& team);
-// The key that makes concurrent starts of one job's tasks conflict.
+// Returns the key that makes concurrent starts of one job's tasks conflict.
 std::string row_key(const JobId& id);
+// Returns the key of the ownership claim on a machine.
 std::string claim_key(const MachineId& machine);
+// Returns the key of the member record.
 std::string member_key(const MemberId& member);
 
-// What the key of a task record names.
-struct ChunkName {
+// The parts of the key of a task record.
+struct TaskRecordKey {
   JobId job;
-  std::uint32_t chunk = 0;  // the number of the chunk, or of the piece
+  std::uint32_t chunk = 0;  // number of the chunk, or of the piece if is_piece
   bool is_piece = false;
 };
-// `key` starts with kChunks. None if the rest is malformed.
-std::optional<ChunkName> parse_chunk_key(const std::string& key);
+// Parses the key of a task record; nullopt if it is malformed. Requires that `key` starts with
+// kChunks.
+std::optional<TaskRecordKey> parse_chunk_key(const std::string& key);
 
-// The job that a key of dependency lists belongs to; none for keys of other records.
+// Returns the job to which a key under kDependencies belongs; nullopt for all other keys.
 std::optional<JobId> job_of_dependency_key(const std::string& key);
 
 }  // namespace saddleslip::protocol
--- a/src/protocol/store_transaction.cpp
+++ b/src/protocol/store_transaction.cpp
@@ -6,12 +6,15 @@
 
 namespace {
 
+// Fields of items, writes and changes.
 constexpr const char* kKey = "key";
 constexpr const char* kValue = "v";
 constexpr const char* kWrites = "writes";
 constexpr const char* kWrite = "write";
 constexpr const char* kRemove = "remove";
 
+// Returns the unsigned number in the field `field`; 0 if the field is missing or holds something
+// else.
 std::uint64_t number_or_zero(const Json& object, const char* field) {
   const auto value = object.find(field);
   return value != object.end() && value->is_number_unsigned() ? value->get<std::uint64_t>() : 0;
@@ -21,7 +24,7 @@
   return Version(number_or_zero(object, wire::kVersion));
 }
 
-// The string in that field; null if it is missing or no string.
+// Returns the string in the field `field`; a null pointer if the field is missing or not a string.
 const std::string* find_string(const Json& object, const char* field) {
   const auto value = object.find(field);
   return value == object.end() ? nullptr : value->get_ptr<const std::string*>();
@@ -64,8 +67,8 @@
   return {};
 }
 
-Revision parse_revision(const Json& answer) {
-  return Revision(number_or_zero(answer, wire::kRevision));
+Revision parse_revision(const Json& response) {
+  return Revision(number_or_zero(response, wire::kRevision));
 }
 
 }  // namespace saddleslip::protocol
--- a/src/protocol/store_transaction.h
+++ b/src/protocol/store_transaction.h
@@ -1,4 +1,4 @@
-// Items of the state service, and transactions on them.
+// Items of the state service, and transactions that write them.
 #pragma once
 
 #include <cstddef>
@@ -11,37 +11,40 @@
 
 namespace saddleslip::protocol {
 
-// A key's value at one version.
+// A key with its value at one version.
 struct Item {
   std::string key;
-  Json value;  // null: removed
+  Json value;  // JSON null: the key was removed
   Version version;
 };
 
-// One write of a transaction.
+// A write of a transaction: sets or removes one key.
 struct Put {
   std::string key;
-  std::optional<Json> value;     // none: remove the key
-  std::optional<LeaseId> lease;  // the key is removed with this lease
+  std::optional<Json> value;     // nullopt: remove the key
+  std::optional<LeaseId> lease;  // if set, the key is removed when this lease ends
 };
 
-// A transaction may hold this many preconditions for each of the writes that the store allows.
+// The state service limits the writes per transaction; this many times that limit is the maximum
+// number of preconditions.
 inline constexpr std::size_t kPreconditionsPerWrite = 4;
 
-// Writes that take effect together, if each key of the preconditions still has that version.
+// An atomic transaction: all writes take effect if every key in `preconditions` still has the given
+// version, otherwise none does.
 struct Transaction {
   std::map<std::string, Version> preconditions;
   std::vector<Put> writes;
 };
 
-// The body of a commit.
+// Encodes the transaction as the body of a commit request.
 Json to_json(const Transaction& transaction);
 
-// An item of the store's answers; none if it is malformed.
+// Parses an item in a response of the state service; nullopt if it is malformed.
 std::optional<Item> parse_item(const Json& value);
-// A change of the store's history: an item that was written or removed. None if it is malformed.
+// Parses an entry of the history of changes: an item that was written or removed. Returns nullopt
+// if it is malformed.
 std::optional<Item> parse_change(const Json& value);
-// The revision that an answer of the store was made at; 0 if it tells none.
-Revision parse_revision(const Json& answer);
+// Returns the revision at which the state service made a response; 0 if the response has none.
+Revision parse_revision(const Json& response);
 
 }  // namespace saddleslip::protocol
--- a/src/protocol/task_records.cpp
+++ b/src/protocol/task_records.cpp
@@ -8,52 +8,56 @@
 
 namespace {
 
-// Fields of the record.
+// Fields of a task record. Adjacent tasks in the same state are encoded as one run.
 constexpr const char* kNextAttempt = "n";
-constexpr const char* kDoneRuns = "d";  // [place, count]
-// Adjacent tasks of one assignment: [place, count, machine, attempt, agent incarnation].
+constexpr const char* kDoneRuns = "d";  // [offset, count]
+// Adjacent tasks with the same assignment: [offset, count, machine, attempt, agent incarnation].
 constexpr const char* kAssignedRuns = "h";
 
-// Sizes in the record's encoding.
-constexpr std::size_t kFrameBytes = 64;             // the object and the next attempt's number
+// Sizes of the parts of an encoded record.
+constexpr std::size_t kFrameBytes = 64;             // the JSON object and the next attempt number
 constexpr std::size_t kAssignedPunctuation = 9;     // brackets, commas and quotes of an assignment
-constexpr std::size_t kDonePunctuation = 4;         // the same of a run of tasks that are done
-constexpr std::size_t kPlaceDigits = 3;             // at most, of a place or a count of tasks
-constexpr std::size_t kExpectedAssignedBytes = 36;  // for planning; what is written is counted
+constexpr std::size_t kDonePunctuation = 4;         // brackets and commas of a run of done tasks
+constexpr std::size_t kOffsetDigits = 3;            // maximum for an offset or a number of tasks
+constexpr std::size_t kExpectedAssignedBytes = 36;  // used only to choose the chunk size
 
-std::size_t digits(std::uint64_t number) {
+// Returns the number of decimal digits of `number`.
+std::size_t digit_count(std::uint64_t number) {
   return std::to_string(number).size();
 }
 
-// Places within a record.
+// A run of adjacent tasks in a record. The offset counts from the first task of the record.
 struct Run {
-  TaskNo place = 0;
+  TaskNo offset = 0;
   TaskNo count = 0;
 };
 
-// Throws Json::exception if the value is no run; none if the run does not fit into the record.
+// Parses a run in a record of `tasks` tasks; nullopt if it reaches beyond the end of the record.
+// Throws Json::exception if the value is not a run.
 std::optional<Run> parse_run(const Json& value, TaskNo tasks) {
   const Run run{value.at(0).get<TaskNo>(), value.at(1).get<TaskNo>()};
-  if (run.place > tasks || run.count > tasks - run.place) return {};
+  if (run.offset > tasks || run.count > tasks - run.offset) return {};
   return run;
 }
 
-Json done_runs(const std::vector<bool>& done) {
+// Encodes the tasks that are done as runs.
+Json encode_done_runs(const std::vector<bool>& done) {
   Json runs = Json::array();
-  for (std::size_t place = 0; place < done.size();) {
-    if (!done[place]) {
-      ++place;
+  for (std::size_t offset = 0; offset < done.size();) {
+    if (!done[offset]) {
+      ++offset;
       continue;
     }
     std::size_t count = 1;
-    while (place + count < done.size() && done[place + count]) ++count;
-    runs.push_back({place, count});
-    place += count;
+    while (offset + count < done.size() && done[offset + count]) ++count;
+    runs.push_back({offset, count});
+    offset += count;
   }
   return runs;
 }
 
-Json assigned_runs(const std::map<TaskNo, Assignment>& assigned, TaskNo first) {
+// Encodes the assignments as runs of adjacent tasks with the same assignment.
+Json encode_assigned_runs(const std::map<TaskNo, Assignment>& assigned, TaskNo first) {
   Json runs = Json::array();
   for (auto task = assigned.begin(); task != assigned.end();) {
     const auto& [number, assignment] = *task;
@@ -70,6 +74,7 @@
   return runs;
 }
 
+// Parses the assignment of a run. Throws Json::exception if it is malformed.
 Assignment parse_assignment(const Json& run) {
   return {MachineId(run.at(2).get<std::string>()), Attempt(run.at(3).get<std::uint64_t>()),
           AgentIncarnation(run.at(4).get<std::uint64_t>())};
@@ -83,18 +88,19 @@
 
 TaskNo chunk_size(TaskNo tasks, std::size_t partitions, std::size_t max_bytes) {
   constexpr TaskNo kMinChunk = 16;
-  const std::size_t available = max_bytes > kFrameBytes ? max_bytes - kFrameBytes : 0;
-  const std::size_t fitting = available / kExpectedAssignedBytes;
-  const auto max_chunk = static_cast<TaskNo>(std::clamp<std::size_t>(fitting, 1, kMostChunk));
+  const std::size_t available_bytes = max_bytes > kFrameBytes ? max_bytes - kFrameBytes : 0;
+  const std::size_t fitting_tasks = available_bytes / kExpectedAssignedBytes;
+  const auto max_chunk =
+      static_cast<TaskNo>(std::clamp<std::size_t>(fitting_tasks, 1, kMaxChunkTasks));
   const auto records = static_cast<TaskNo>(std::max<std::size_t>(1, partitions));
-  const TaskNo wanted = (tasks + records - 1) / records;
-  return std::clamp(wanted, std::min(kMinChunk, max_chunk), max_chunk);
+  const TaskNo preferred = (tasks + records - 1) / records;
+  return std::clamp(preferred, std::min(kMinChunk, max_chunk), max_chunk);
 }
 
 std::size_t encoded_size_bound(const Assignment& assignment) {
-  constexpr std::size_t kCountDigits = 1;  // counted as a run of its own
-  return kAssignedPunctuation + kPlaceDigits + kCountDigits + assignment.machine.get().size() +
-         digits(assignment.attempt.get()) + digits(assignment.agent_incarnation.get());
+  constexpr std::size_t kCountDigits = 1;  // each assignment is counted as a run of one task
+  return kAssignedPunctuation + kOffsetDigits + kCountDigits + assignment.machine.get().size() +
+         digit_count(assignment.attempt.get()) + digit_count(assignment.agent_incarnation.get());
 }
 
 std::size_t encoded_size_bound(const ChunkRecord& chunk) {
@@ -102,7 +108,7 @@
   for (const auto& [number, assignment] : chunk.assigned) bytes += encoded_size_bound(assignment);
   bool in_run = false;
   for (const bool done : chunk.done) {
-    if (done && !in_run) bytes += kDonePunctuation + 2 * kPlaceDigits;
+    if (done && !in_run) bytes += kDonePunctuation + 2 * kOffsetDigits;
     in_run = done;
   }
   return bytes;
@@ -110,8 +116,8 @@
 
 Json to_json(const ChunkRecord& chunk, TaskNo first) {
   return Json{{kNextAttempt, chunk.next.get()},
-              {kDoneRuns, done_runs(chunk.done)},
-              {kAssignedRuns, assigned_runs(chunk.assigned, first)}};
+              {kDoneRuns, encode_done_runs(chunk.done)},
+              {kAssignedRuns, encode_assigned_runs(chunk.assigned, first)}};
 }
 
 std::optional<ChunkRecord> parse_chunk(const Json& value, TaskNo first, TaskNo count) {
@@ -123,14 +129,14 @@
     for (const Json& entry : value.at(kDoneRuns)) {
       const auto run = parse_run(entry, count);
       if (!run) return {};
-      std::fill_n(chunk.done.begin() + run->place, run->count, true);
+      std::fill_n(chunk.done.begin() + run->offset, run->count, true);
     }
     for (const Json& entry : value.at(kAssignedRuns)) {
       const auto run = parse_run(entry, count);
       if (!run) return {};
       const Assignment assignment = parse_assignment(entry);
       for (TaskNo i = 0; i < run->count; ++i) {
-        chunk.assigned[first + run->place + i] = assignment;
+        chunk.assigned[first + run->offset + i] = assignment;
       }
     }
     return chunk;
--- a/src/protocol/task_records.h
+++ b/src/protocol/task_records.h
@@ -1,5 +1,5 @@
-// The records of a job's tasks: which are done, and which are assigned to machines. One record holds
-// the tasks of a chunk, or of a piece of one.
+// Task records: which tasks of a job are done, and which are assigned to machines. Each record
+// holds the tasks of one chunk of the job, or of one piece of a chunk.
 #pragma once
 
 #include <cstddef>
@@ -11,37 +11,44 @@
 
 namespace saddleslip::protocol {
 
-inline constexpr TaskNo kMostChunk = 256;  // its record must fit one value of the store
+// The maximum number of tasks per chunk, as a task record must fit into one value of the state
+// service.
+inline constexpr TaskNo kMaxChunkTasks = 256;
 
-// The attempt of a task that runs, or may run, on a machine.
+// The assignment of a task to a machine: the attempt that runs, or may run, there.
 struct Assignment {
   MachineId machine;
   Attempt attempt;
-  AgentIncarnation agent_incarnation;  // of the machine's agent when the attempt was assigned
+  AgentIncarnation agent_incarnation;  // the agent's incarnation when the attempt was assigned
   bool operator==(const Assignment&) const = default;
 };
 
+// The task record of a chunk or a piece.
 struct ChunkRecord {
-  Attempt next{1};         // no attempt of this record's tasks has had this number or a higher one
-  std::vector<bool> done;  // by place: the task's number less the record's first
-  std::map<TaskNo, Assignment> assigned;  // by the task's number in the job
+  // The next attempt number, which is higher than those of all attempts of this record's tasks.
+  Attempt next{1};
+  // Indexed by the number of the task minus the number of the first task in the record.
+  std::vector<bool> done;
+  std::map<TaskNo, Assignment> assigned;  // by task number
+  // Returns the number of tasks that are done.
   TaskNo done_count() const;
 };
 
-// The number of tasks to a record. There are enough records that each of the partitions can have some
-// of its own, since controllers that write the same record conflict; and no more tasks than fit into a
-// value of `max_bytes` with each assigned to a machine of its own.
+// Returns the number of tasks per task record for a job of `tasks` tasks. It is small enough that
+// there is a record for each of the partitions, since controllers that write the same record
+// conflict, and that a record fits into `max_bytes` even if every task is assigned to a different
+// machine.
 TaskNo chunk_size(TaskNo tasks, std::size_t partitions, std::size_t max_bytes);
 
-// An upper bound of the bytes that the record takes in the store,
+// Returns an upper bound for the size of the encoded record in bytes.
 std::size_t encoded_size_bound(const ChunkRecord& chunk);
-// and of what one more assignment adds to it.
+// Returns an upper bound for the bytes that one more assignment adds to an encoded record.
 std::size_t encoded_size_bound(const Assignment& assignment);
 
-// `first`: the number of the record's first task.
+// Encodes a task record. `first` is the number of the first task in the record.
 Json to_json(const ChunkRecord& chunk, TaskNo first);
-// `count`: the number of the record's tasks. A null value is a record that was never written. None if
-// the value is malformed.
+// Parses a task record of `count` tasks, the first of which has the number `first`. JSON null
+// stands for a record that was never written. Returns nullopt if the value is malformed.
 std::optional<ChunkRecord> parse_chunk(const Json& value, TaskNo first, TaskNo count);
 
 }  // namespace saddleslip::protocol
--- a/src/protocol/user_responses.cpp
+++ b/src/protocol/user_responses.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// In the order of the enum. On the wire, a cancelled job is withdrawn.
+// Names in response bodies, in the order of JobStatus. A cancelled job is called withdrawn there.
 constexpr std::array<const char*, 4> kStatusNames = {"queued", "running", "done", "withdrawn"};
 
 }  // namespace
--- a/src/protocol/user_responses.h
+++ b/src/protocol/user_responses.h
@@ -1,4 +1,4 @@
-// The paths that users call and the bodies that they are answered with.
+// The HTTP paths, status codes and response bodies of the interface for users.
 #pragma once
 
 #include <optional>
@@ -8,26 +8,29 @@
 
 namespace saddleslip::protocol {
 
-// Where users submit jobs; a job's own path is this, a slash and its id.
+// The path to which users submit jobs. The path of a job is this path, a slash and the job id.
 inline const std::string kSubmissionsPath = "/submissions";
-// Appended to a job's path: its cancellation.
+// The suffix that turns the path of a job into the path for its cancellation.
 inline const std::string kCancelSuffix = "/withdraw";
 
-// Status codes of the answers.
-inline constexpr int kHttpOk = 200;             // an accepted job: its status
-inline constexpr int kHttpCreated = 201;        // this submission was accepted
-inline constexpr int kHttpBadRequest = 400;     // the submission is malformed
-inline constexpr int kHttpNotFound = 404;       // no such job
-inline constexpr int kHttpUnprocessable = 422;  // well-formed, and can never run
-inline constexpr int kHttpUnavailable = 503;    // try again later
+// HTTP status codes of the responses.
+inline constexpr int kHttpOk = 200;          // the job was accepted before; the body has its status
+inline constexpr int kHttpCreated = 201;     // the submission was accepted
+inline constexpr int kHttpBadRequest = 400;  // the submission is malformed
+inline constexpr int kHttpNotFound = 404;    // no such job
+inline constexpr int kHttpUnprocessable = 422;  // well-formed, but the job can never run
+inline constexpr int kHttpUnavailable = 503;    // the request may be retried later
 
+// The status of a job, as users see it.
 enum class JobStatus { kQueued, kRunning, kDone, kCancelled };
 
-// The body that tells a job's status, with the numbers of its tasks that are done and running.
+// Encodes the response body with the status of a job and, if given, the numbers of its tasks that
+// are done and running.
 std::string user_status(const JobId& id, JobStatus status, std::optional<TaskNo> done = {},
                         std::optional<TaskNo> running = {});
 
-// The body of an answer that refuses a request. Bytes of `reason` that are not UTF-8 are replaced.
+// Encodes the response body that rejects a request. Bytes of `reason` that are not valid UTF-8 are
+// replaced.
 std::string error_body(const std::string& reason);
 
 }  // namespace saddleslip::protocol
--- a/src/protocol/worker_client.cpp
+++ b/src/protocol/worker_client.cpp
@@ -16,19 +16,20 @@
   if (found == connections_.end()) {
     if (connections_.size() >= max_connections_) {
       connections_.erase(std::min_element(
-          connections_.begin(), connections_.end(),
-          [](const auto& x, const auto& y) { return x.second.last_use < y.second.last_use; }));
+          connections_.begin(), connections_.end(), [](const auto& left, const auto& right) {
+            return left.second.last_use_number < right.second.last_use_number;
+          }));
     }
     try {
       auto http = std::make_shared<transport::HttpClient>(
-          base::parse_address(address, "a worker's endpoint"), 1);
+          base::parse_address(address, "address of the agent"), 1);
       found = connections_.emplace(address, Connection{std::move(http), 0}).first;
-    } catch (const base::BadSettings& e) {
-      spdlog::warn("{}", e.what());
+    } catch (const base::BadSettings& error) {
+      spdlog::warn("cannot connect to an agent: error={}", error.what());
       return nullptr;
     }
   }
-  found->second.last_use = ++uses_;
+  found->second.last_use_number = ++use_count_;
   return found->second.http;
 }
 
@@ -37,16 +38,16 @@
                                            const std::vector<Command>& commands, Seconds timeout) {
   const auto http = connection(address);
   if (!http) return {};
-  const Answer answer =
+  const Answer response =
       http->post("/orders", orders(fencing_token, agent_incarnation, commands), timeout);
-  Answered answered;
-  answered.sent = answer.sent;
-  if (answer.sent != Sent::kYes) return answered;
-  answered.executed = answer.status == 200;
-  if (answer.status == 200 || answer.status == 409) {
-    answered.heartbeat = parse_heartbeat(answer.body);
+  Answered result;
+  result.sent = response.sent;
+  if (response.sent != Sent::kYes) return result;
+  result.executed = response.status == 200;
+  if (response.status == 200 || response.status == 409) {
+    result.heartbeat = parse_heartbeat(response.body);
   }
-  return answered;
+  return result;
 }
 
 }  // namespace saddleslip::protocol
--- a/src/protocol/worker_client.h
+++ b/src/protocol/worker_client.h
@@ -1,4 +1,4 @@
-// Client of the agents on machines.
+// HTTP client of the agents that run on the machines.
 #pragma once
 
 #include <cstdint>
@@ -16,34 +16,39 @@
 
 namespace saddleslip::protocol {
 
-// Keeps connections to the agents that were called last. Calls block, and may be made from any thread.
+// Client of all agents. Keeps connections to the agents that were called most recently. Calls are
+// thread-safe and block until a response arrives or the timeout expires.
 class WorkerClient {
  public:
   explicit WorkerClient(std::size_t max_connections) : max_connections_(max_connections) {}
 
+  // The response of an agent to commands.
   struct Answered {
     transport::Sent sent = transport::Sent::kNo;
-    bool executed = false;
-    std::optional<Heartbeat> heartbeat;  // the agent's state after, or instead of, the commands
+    bool executed = false;  // the agent accepted the commands
+    // The state of the machine after the commands, or the state for which the agent rejected them.
+    std::optional<Heartbeat> heartbeat;
   };
-  // Sends commands to the agent at `address`. An agent of another incarnation, or one that has seen a
-  // higher fencing token, carries out none of them.
+  // Sends commands to the agent at `address`. The agent rejects all of them if its incarnation is
+  // not `agent_incarnation` or if it has received a higher fencing token.
   Answered order(const std::string& address, FencingToken fencing_token,
                  AgentIncarnation agent_incarnation, const std::vector<Command>& commands,
                  Seconds timeout);
 
  private:
+  // The connection to one agent.
   struct Connection {
     std::shared_ptr<transport::HttpClient> http;
-    std::uint64_t last_use = 0;  // the count of uses then
+    std::uint64_t last_use_number = 0;  // value of use_count_ at the last use
   };
-  // There are thousands of agents, and sockets for some of them: the least recently used connection
-  // gives way. Null if the address is malformed.
+  // Returns the connection to the agent, or a null pointer if the address is malformed. As there
+  // are more agents than sockets, a new connection replaces the least recently used one at the
+  // limit.
   std::shared_ptr<transport::HttpClient> connection(const std::string& address);
 
   const std::size_t max_connections_;
-  std::mutex mutex_;  // guards what follows
-  std::uint64_t uses_ = 0;
+  std::mutex mutex_;             // guards use_count_ and connections_
+  std::uint64_t use_count_ = 0;  // the number of connection() calls that succeeded
   std::map<std::string, Connection> connections_;  // by address
 };
 
--- a/src/protocol/worker_commands.cpp
+++ b/src/protocol/worker_commands.cpp
@@ -6,12 +6,14 @@
 
 namespace {
 
-std::string task_text(const TaskId& task) {
+// Returns the id of a task in messages: job id, slash and task number.
+std::string format_task_id(const TaskId& task) {
   return task.job.get() + "/" + std::to_string(task.no);
 }
 
 Json to_json(const Command& command) {
-  Json json = {{wire::kTask, task_text(command.task)}, {wire::kAttempt, command.attempt.get()}};
+  Json json = {{wire::kTask, format_task_id(command.task)},
+               {wire::kAttempt, command.attempt.get()}};
   switch (command.op) {
     case Command::Op::kRun:
       json[wire::kCommand] = "run";
--- a/src/protocol/worker_commands.h
+++ b/src/protocol/worker_commands.h
@@ -1,4 +1,4 @@
-// What controllers tell the agents on machines: commands, and answers to heartbeats.
+// The messages from controllers to the agents on machines: commands, and responses to heartbeats.
 #pragma once
 
 #include <optional>
@@ -9,28 +9,29 @@
 
 namespace saddleslip::protocol {
 
-// A command about one attempt of a task.
+// A command to an agent, about one attempt of a task.
 struct Command {
   enum class Op {
-    kRun,
-    kKill,    // stop it; it has the grace period to save its state
-    kForget,  // it has ended, and its completion is recorded: it need not be reported again
+    kRun,     // start the attempt
+    kKill,    // stop the attempt, which has the grace period to save its state
+    kForget,  // stop reporting the attempt: it has ended and its result is committed
   } op = Op::kRun;
   TaskId task;
   Attempt attempt;
-  Seconds grace{0};  // of kKill
+  Seconds grace{0};  // for kKill only
 };
 
-// The answer to a heartbeat: renews the worker's lease, and may carry commands.
+// Encodes the owner's response to a heartbeat, which renews the worker's lease and may carry
+// commands.
 std::string heartbeat_response(FencingToken fencing_token, const std::vector<Command>& commands);
 
-// A batch of commands that is sent without waiting for a heartbeat. Only the named incarnation of the
-// agent carries it out.
+// Encodes a batch of commands that is sent without waiting for a heartbeat. The agent executes it
+// only if its incarnation is `agent_incarnation`.
 std::string orders(FencingToken fencing_token, AgentIncarnation agent_incarnation,
                    const std::vector<Command>& commands);
 
-// The answer to a heartbeat that reached a controller which does not own the machine. `owner`: the
-// member that does, if it is known.
+// Encodes the response to a heartbeat of a machine that this controller does not own. `owner` is
+// the member that owns the machine, if known.
 std::string redirect(const std::optional<MemberId>& owner);
 
 }  // namespace saddleslip::protocol
