--- a/bench/versions/check.sh
+++ b/bench/versions/check.sh
@@ -1,7 +1,12 @@
 #!/usr/bin/env bash
-# Builds the version that deploy/service.toml names as production from history, and this one, and checks that
-# each reads what the other writes, fact by fact. With --update, writes production's records and what it reads
-# in them to tests/golden/, where a test without history reads them.
+# check.sh [--update]: checks that this version and the production version can read each other's records.
+#
+# Builds records_tool for both: this version from the checkout, the production version (named in
+# deploy/service.toml) from the git history. For each pair of reader and writer, it compares the facts that the
+# reader parses from the writer's records with those that the production version parses from its own records.
+#
+# With --update, it also writes the records of the production version, and the facts that the
+# production version parses from them, to tests/golden/ for golden_records_test.sh, which does not need the git history.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 production=$(sed -n 's/^production = "\(.*\)"/\1/p' deploy/service.toml)
@@ -9,11 +14,13 @@
 trap 'git worktree remove --force "$work/production" 2>/dev/null || true; rm -rf "$work"' EXIT
 git worktree add --quiet --detach "$work/production" "$production"
 
-# The last commit whose identifiers are those of production: its tool is the one that compiles against it.
+# The last commit with the same identifiers as the production version: its records_tool.cpp still compiles
+# against the production version.
 production_tool_commit=a7cc6ab
 git show "$production_tool_commit:bench/versions/records_tool.cpp" >"$work/production_tool.cpp"
 
-# build SOURCES NAME TOOL FLAGS...: the library of that version, and the tool with it.
+# build SOURCES NAME TOOL FLAGS...: builds the library in the folder SOURCES, and links TOOL (a .cpp file) to it
+# as the program $work/NAME.
 build() {
   local sources=$1 name=$2 tool=$3
   shift 3
@@ -34,9 +41,9 @@
   read -r reader writer <<<"$pair"
   "$work/$reader" read <"$work/$writer.records" >"$work/facts"
   if diff "$work/old.facts" "$work/facts"; then
-    echo "ok: $reader reads what $writer writes"
+    echo "ok: the $reader version reads the records of the $writer version"
   else
-    echo "failed: $reader reads otherwise what $writer writes"
+    echo "failed: the $reader version reads other facts from the records of the $writer version"
     status=1
   fi
 done
--- a/bench/versions/records_tool.cpp
+++ b/bench/versions/records_tool.cpp
@@ -1,11 +1,16 @@
-// Writes a set of records as this version does, or says what this version reads from such a set. Compiled
-// against two versions of the library, it shows that each reads what the other writes: see check.sh.
-// tests/golden_records_test.sh compares what it writes with files that earlier versions wrote.
+// Checks the compatibility of stored records and messages between two versions of the program.
 //
-//   records_tool write             lines of key, tab, JSON: one record of each type
-//   records_tool write-all         the same and variants of records, and messages to workers and users
-//   records_tool read < LINES      what was understood, one line a fact (of the lines of `write`)
-//   records_tool rewrite < LINES   parses each record and message between controllers, and encodes it again
+// The tool writes a fixed set of records with the library that it is linked to, or prints the facts
+// that this library parses from such a set. check.sh runs it, and for the production version an
+// older copy of it, and compares the facts that each version parses from the records of the other.
+// tests/golden_records_test.sh compares its output with that of earlier versions.
+//
+// A record is a line of key, tab and JSON. Modes:
+//
+//   records_tool write             writes one record or message of each type
+//   records_tool write-all         writes these, variants of them, and messages to agents and users
+//   records_tool read < LINES      prints the facts parsed from the output of `write`, one per line
+//   records_tool rewrite < LINES   parses the output of `write-all` and encodes it again
 #include <cstdio>
 #include <iostream>
 #include <map>
@@ -22,7 +27,8 @@
 
 constexpr double kTimeOfDay = 1'700'000'000.5;
 
-protocol::JobSpec job_spec(const std::string& id, protocol::TaskNo tasks) {
+// Returns a specification in which most fields are set.
+protocol::JobSpec make_job_spec(const std::string& id, protocol::TaskNo tasks) {
   protocol::JobSpec spec;
   spec.id = base::JobId(id);
   spec.job_class = "train";
@@ -42,20 +48,22 @@
   return spec;
 }
 
-Json accepted(const protocol::JobSpec& spec) {
+// Returns the job record that is stored when a controller accepts the job.
+Json encode_accepted_job(const protocol::JobSpec& spec) {
 #ifdef SADDLESLIP_BEFORE_PIPELINES
-  const auto txn = coordination::acceptance(spec, kTimeOfDay, 3);
+  const auto transaction = coordination::acceptance(spec, kTimeOfDay, 3);
 #else
   coordination::AcceptanceContext context;
   context.time_of_day = kTimeOfDay;
   context.partitions = 3;
   context.value_bytes = 2048;
-  const auto txn = coordination::acceptance(coordination::accepted_record(spec, context));
+  const auto transaction = coordination::acceptance(coordination::accepted_record(spec, context));
 #endif
-  return *txn.writes.at(0).value;
+  return *transaction.writes.at(0).value;
 }
 
-Json final_state(protocol::JobStatus status) {
+// Returns the tombstone of a job with this status.
+Json encode_final_state(protocol::JobStatus status) {
 #ifdef SADDLESLIP_BEFORE_PIPELINES
   return protocol::final_record(status);
 #else
@@ -63,19 +71,21 @@
 #endif
 }
 
+// Prints one record as key, tab and JSON.
 void print(const std::string& key, const Json& value) {
   std::cout << key << '\t' << value.dump() << '\n';
 }
 
+// Writes job records, a task record and tombstones.
 void write_jobs() {
-  const auto few = job_spec("run-000001", 3);
-  auto many = job_spec("run-000002", 600);
-  many.one_zone = true;
-  print(protocol::job_key(few.id), accepted(few));
-  const Json record = accepted(many);
-  print(protocol::job_key(many.id), record);
+  const auto small_job = make_job_spec("run-000001", 3);
+  auto large_job = make_job_spec("run-000002", 600);
+  large_job.one_zone = true;
+  print(protocol::job_key(small_job.id), encode_accepted_job(small_job));
+  const Json record = encode_accepted_job(large_job);
+  print(protocol::job_key(large_job.id), record);
   protocol::JobRecord cancelled;
-  cancelled.spec = job_spec("run-000003", 1);
+  cancelled.spec = make_job_spec("run-000003", 1);
   cancelled.cancelled = true;
   print(protocol::job_key(cancelled.spec.id), to_json(cancelled));
   const protocol::TaskNo size = protocol::parse_job(record)->chunk;
@@ -89,16 +99,18 @@
                               base::AgentIncarnation(1)};
   chunk.assigned[size + 4] = {base::MachineId("i-000232"), base::Attempt(6),
                               base::AgentIncarnation(1)};
-  print(protocol::chunk_key(many.id, 1), to_json(chunk, size));
-  print(protocol::final_key(base::JobId("run-000004")), final_state(protocol::JobStatus::kDone));
+  print(protocol::chunk_key(large_job.id, 1), to_json(chunk, size));
+  print(protocol::final_key(base::JobId("run-000004")),
+        encode_final_state(protocol::JobStatus::kDone));
   print(protocol::final_key(base::JobId("run-000005")),
-        final_state(protocol::JobStatus::kCancelled));
+        encode_final_state(protocol::JobStatus::kCancelled));
 }
 
 protocol::ControllerIncarnation first_incarnation() {
   return {base::MemberId("stall-1"), base::Incarnation(42)};
 }
 
+// Writes the records of the members, the view, an ownership claim, the fleet and the catalog.
 void write_cluster() {
   const protocol::ControllerIncarnation incarnation = first_incarnation();
   print(protocol::member_key(incarnation.member), to_json(protocol::Member{incarnation, true}));
@@ -120,19 +132,20 @@
   print(protocol::kCatalogueKey, to_json(std::vector{type}));
 }
 
+// Writes a status and offers, as controllers send them to each other.
 void write_peer_messages() {
   protocol::MemberStatus status;
   status.from = first_incarnation();
   status.has_state = true;
   status.upto = 3;
-  protocol::MachineStatus room;
-  room.id = base::MachineId("i-000231");
-  room.type = "g8";
-  room.zone = "a";
-  room.free.v = {4, 0, 32};
-  room.tasks = 2;
-  room.images = {"img-07"};
-  status.machines = {room};
+  protocol::MachineStatus machine;
+  machine.id = base::MachineId("i-000231");
+  machine.type = "g8";
+  machine.zone = "a";
+  machine.free.v = {4, 0, 32};
+  machine.tasks = 2;
+  machine.images = {"img-07"};
+  status.machines = {machine};
   status.ownership_claims = {base::MachineId("i-000233")};
   status.contact = protocol::WorkerContact::kLost;
   print("message/status", to_json(status, base::Time{}));
@@ -143,24 +156,27 @@
   print("message/offers", to_json(offers));
 }
 
+// Mode `write`.
 void write() {
   write_jobs();
   write_cluster();
   write_peer_messages();
 }
 
+// Writes the records of a gang with dependencies, and of a service with split chunks and dependency
+// lists.
 void write_job_variants() {
-  auto dependent = job_spec("run-000010", 4);
+  auto dependent = make_job_spec("run-000010", 4);
   dependent.kind = protocol::Kind::kGang;
   dependent.rank = protocol::Rank::kCritical;
   dependent.types.reset();
   dependent.zone.reset();
   dependent.deadline.reset();
   dependent.dependencies = {base::JobId("run-000001"), base::JobId("run-000002")};
-  print(protocol::job_key(dependent.id), accepted(dependent));
+  print(protocol::job_key(dependent.id), encode_accepted_job(dependent));
 
   protocol::JobRecord split;
-  split.spec = job_spec("run-000011", 300);
+  split.spec = make_job_spec("run-000011", 300);
   split.spec.kind = protocol::Kind::kService;
   split.spec.rank = protocol::Rank::kStandard;
   split.spec.spread = true;
@@ -184,6 +200,7 @@
   print(split.record_key(number), to_json(piece, first));
 }
 
+// Writes cluster records and peer messages with the fields and values that `write` does not use.
 void write_cluster_variants() {
   print(protocol::team_key("vision & \"speech\""), Json(1));
   print(protocol::row_key(base::JobId("run-000011")), Json(1));
@@ -230,9 +247,9 @@
   print("message/offers", to_json(offers));
 }
 
-// Messages that controllers only write: `rewrite` leaves them as they are.
-void write_answers() {
-  const auto answer = [](const char* name, const std::string& body) {
+// Writes the messages that controllers send but never parse; `rewrite` copies them unchanged.
+void write_responses() {
+  const auto print_response = [](const char* name, const std::string& body) {
     std::cout << "answer/" << name << '\t' << body << '\n';
   };
   using Op = protocol::Command::Op;
@@ -241,22 +258,24 @@
       {Op::kRun, task, base::Attempt(4), base::Seconds(0)},
       {Op::kKill, task, base::Attempt(3), base::Seconds(2.5)},
       {Op::kForget, task, base::Attempt(2), base::Seconds(0)}};
-  answer("heartbeat", protocol::heartbeat_response(base::FencingToken(8), commands));
-  answer("orders", protocol::orders(base::FencingToken(8), base::AgentIncarnation(5), commands));
-  answer("redirect", protocol::redirect(base::MemberId("stall-1")));
-  answer("redirect", protocol::redirect({}));
+  print_response("heartbeat", protocol::heartbeat_response(base::FencingToken(8), commands));
+  print_response("orders",
+                 protocol::orders(base::FencingToken(8), base::AgentIncarnation(5), commands));
+  print_response("redirect", protocol::redirect(base::MemberId("stall-1")));
+  print_response("redirect", protocol::redirect({}));
   using protocol::JobStatus;
   const base::JobId job("run-000010");
-  answer("status", protocol::user_status(job, JobStatus::kQueued));
-  answer("status", protocol::user_status(job, JobStatus::kRunning, 2, 1));
-  answer("status", protocol::user_status(job, JobStatus::kDone));
-  answer("status", protocol::user_status(job, JobStatus::kCancelled));
-  answer("error", protocol::error_body("no \"such\" job\xff"));
+  print_response("status", protocol::user_status(job, JobStatus::kQueued));
+  print_response("status", protocol::user_status(job, JobStatus::kRunning, 2, 1));
+  print_response("status", protocol::user_status(job, JobStatus::kDone));
+  print_response("status", protocol::user_status(job, JobStatus::kCancelled));
+  print_response("error", protocol::error_body("no \"such\" job\xff"));
 }
 
-// What parsing and encoding again makes of a value; null: it was not understood.
-Json rewritten(const std::string& key, const Json& value, protocol::TaskNo first,
-               protocol::TaskNo count) {
+// Parses a value and encodes it again. Returns JSON null if it cannot be parsed. For a task record,
+// `first` is the number of its first task and `count` the number of its tasks.
+Json reencode(const std::string& key, const Json& value, protocol::TaskNo first,
+              protocol::TaskNo count) {
   const auto encoded = [](const auto& parsed) { return parsed ? to_json(*parsed) : Json(); };
   if (key.starts_with(protocol::kJobs)) return encoded(protocol::parse_job(value));
   if (key.starts_with(protocol::kFinals)) return encoded(protocol::parse_final(value));
@@ -276,10 +295,11 @@
     const auto record = protocol::parse_chunk(value, first, count);
     return record ? to_json(*record, first) : Json();
   }
-  return value;  // written, and never parsed here: dependency lists, guards of teams, answers
+  return value;  // not parsed here: dependency lists and the keys that make starts conflict
 }
 
-// Tasks of the records of chunks need the job's record, which stands before them.
+// Mode `rewrite`. Task records are parsed with the layout in their job record, which precedes them
+// in the input.
 void rewrite() {
   std::map<base::JobId, protocol::JobRecord> jobs;
   for (std::string line; std::getline(std::cin, line);) {
@@ -298,23 +318,25 @@
       first = jobs.at(name->job).first_task(name->chunk);
       count = jobs.at(name->job).tasks_of(name->chunk);
     }
-    print(key, rewritten(key, value, first, count));
+    print(key, reencode(key, value, first, count));
   }
 }
 
-void read_message(const std::string& key, const Json& value) {
+// Prints the facts in a message between controllers.
+void print_message(const std::string& key, const Json& value) {
   if (key == "message/status") {
-    const auto s = protocol::parse_status(value, base::Time{});
-    std::cout << key << ' ' << s->from.member.get() << ' ' << s->machines.size() << ' '
-              << s->machines[0].free.cores() << ' ' << s->ownership_claims.size() << ' '
-              << (s->contact == protocol::WorkerContact::kLost) << '\n';
+    const auto status = protocol::parse_status(value, base::Time{});
+    std::cout << key << ' ' << status->from.member.get() << ' ' << status->machines.size() << ' '
+              << status->machines[0].free.cores() << ' ' << status->ownership_claims.size() << ' '
+              << (status->contact == protocol::WorkerContact::kLost) << '\n';
   } else {
-    const auto o = protocol::parse_offers(value);
-    std::cout << key << ' ' << o->epoch.get() << ' ' << o->offers[0].job.get() << ' '
-              << o->offers[0].ranges[0].second << '\n';
+    const auto offers = protocol::parse_offers(value);
+    std::cout << key << ' ' << offers->epoch.get() << ' ' << offers->offers[0].job.get() << ' '
+              << offers->offers[0].ranges[0].second << '\n';
   }
 }
 
+// Prints the facts about the jobs in the cache and their assignments.
 void print_jobs(const storage::StateCache& cache) {
   for (const auto& [id, job] : cache.jobs()) {
     const auto& spec = job.record.spec;
@@ -323,16 +345,17 @@
               << " submitted " << job.record.submitted << " cancelled " << job.cancelled()
               << " done " << job.done << " held " << job.assigned << '\n';
     for (const auto& chunk : job.chunks) {
-      for (const auto& [no, assignment] : chunk.record.assigned) {
-        std::cout << "held " << id.get() << ' ' << (no - job.chunk_first(1)) << " of record 1 by "
-                  << assignment.machine.get() << " attempt " << assignment.attempt.get()
-                  << " session " << assignment.agent_incarnation.get() << " next "
-                  << chunk.record.next.get() << '\n';
+      for (const auto& [number, assignment] : chunk.record.assigned) {
+        std::cout << "held " << id.get() << ' ' << (number - job.chunk_first(1))
+                  << " of record 1 by " << assignment.machine.get() << " attempt "
+                  << assignment.attempt.get() << " session " << assignment.agent_incarnation.get()
+                  << " next " << chunk.record.next.get() << '\n';
       }
     }
   }
 }
 
+// Mode `read`.
 void read() {
   std::cout.precision(12);
   base::Settings settings;
@@ -343,7 +366,7 @@
     const std::string key = line.substr(0, tab);
     const Json value = Json::parse(line.substr(tab + 1));
     if (key.starts_with("message/")) {
-      read_message(key, value);
+      print_message(key, value);
     } else {
       cache.apply({key, value, base::Version(++version)}, base::Time{});
     }
@@ -370,7 +393,7 @@
     write();
     write_job_variants();
     write_cluster_variants();
-    write_answers();
+    write_responses();
   } else if (mode == "rewrite") {
     rewrite();
   } else if (mode == "read") {
--- a/src/protocol/peer_status.h
+++ b/src/protocol/peer_status.h
@@ -59,8 +59,9 @@
   std::vector<MachineId> left;               // machines that it no longer owns
   std::vector<MachineId> release_requested;  // machines that the leader should release
   std::vector<MachineId> misdirected;  // machines of other owners that recently sent it heartbeats
-  std::vector<MachineId>
-      ownership_claims;  // of `misdirected`, those that cannot reach their owners
+  // Machines in `misdirected` that cannot reach their owners, so this member claims their
+  // ownership.
+  std::vector<MachineId> ownership_claims;
   WorkerContact contact = WorkerContact::kUnknown;
   // Jobs that failed on every machine on which this member saw them run.
   std::vector<JobId> crash_looping_jobs;
--- a/tests/makers.h
+++ b/tests/makers.h
@@ -1,4 +1,4 @@
-// Small makers of what the unit tests are about.
+// Factory functions for the objects that unit tests need.
 #pragma once
 
 #include <chrono>
@@ -14,12 +14,12 @@
 
 namespace saddleslip::testing {
 
-// So many seconds after an arbitrary start.
+// Returns the time that lies `seconds` after an arbitrary start.
 inline base::Time at_seconds(double seconds) {
   return base::after(base::Time(std::chrono::seconds(1000)), base::Seconds(seconds));
 }
 
-// The settings of the controller n0, with the peers that are named.
+// Returns the settings of the controller n0 with the given peers.
 inline base::Settings make_settings(const std::vector<std::string>& peers = {}) {
   protocol::Json siblings = protocol::Json::array();
   for (const std::string& peer : peers)
@@ -32,13 +32,14 @@
   return base::parse_settings(json.dump());
 }
 
+// Returns resources without GPUs.
 inline protocol::Resources make_resources(double cores, double memory_gb) {
   protocol::Resources resources;
   resources.v = {cores, 0, memory_gb};
   return resources;
 }
 
-// A job of two tasks of the team "t", submitted at 1000 s.
+// Returns the record of a job of team "t" with two tasks, submitted 1000 s after 1970.
 inline protocol::JobRecord make_job(const base::JobId& id, protocol::Rank rank,
                                     std::vector<base::JobId> dependencies = {}) {
   protocol::JobRecord record;
@@ -55,7 +56,7 @@
   return record;
 }
 
-// A machine type that is rented in zone "a" and boots within 5 s.
+// Returns a machine type that is offered in zone "a" and boots in 5 s.
 inline protocol::MachineType make_machine_type(const std::string& name,
                                                const protocol::Resources& size, double price,
                                                double spot_price) {
--- a/tests/peer_messages_test.cpp
+++ b/tests/peer_messages_test.cpp
@@ -1,4 +1,4 @@
-// Messages between controllers, as they stand on the wire.
+// Tests for encoding and parsing the messages between controllers.
 #include "protocol/peer_messages.h"
 
 #include <gtest/gtest.h>
@@ -7,20 +7,21 @@
 
 namespace {
 
-PeerMessage message() {
-  PeerMessage m;
-  m.status.from = {MemberId("m-1"), base::Incarnation(7)};
-  return m;
+// Returns a message that has a status and nothing else.
+PeerMessage make_message() {
+  PeerMessage message;
+  message.status.from = {MemberId("m-1"), base::Incarnation(7)};
+  return message;
 }
 
-TEST(PeerMessage, NothingDueHoldsOnlyStatus) {
-  const Json json = Json::parse(encode_peer_message(message(), Time{}));
+TEST(PeerMessage, WithoutOffersAndCancellationsHoldsOnlyStatus) {
+  const Json json = Json::parse(encode_peer_message(make_message(), Time{}));
   EXPECT_EQ(json.size(), 1u);
   EXPECT_TRUE(json.contains("status"));
 }
 
-TEST(PeerMessage, EncodedParsesToTheSame) {
-  PeerMessage sent = message();
+TEST(PeerMessage, RoundTrips) {
+  PeerMessage sent = make_message();
   sent.offers.push_back({sent.status.from, base::Epoch(3), {{JobId("run-000001"), {{0, 2}}}}});
   sent.cancelled = {JobId("run-000002")};
   const auto received = parse_peer_message(encode_peer_message(sent, Time{}), Time{});
@@ -31,19 +32,19 @@
   EXPECT_EQ(received->cancelled, sent.cancelled);
 }
 
-TEST(PeerMessage, WithoutValidStatusIsRefused) {
+TEST(PeerMessage, WithoutValidStatusIsRejected) {
   EXPECT_FALSE(parse_peer_message("not JSON", Time{}));
   EXPECT_FALSE(parse_peer_message("{}", Time{}));
   EXPECT_FALSE(parse_peer_message(R"({"status":1})", Time{}));
 }
 
-TEST(PeerReply, EncodedStandsAsOnTheWire) {
+TEST(PeerReply, EncodesFieldNamesOfTheProtocol) {
   const PeerReply reply{{MachineId("a")}, {MachineId("b")}, {MachineId("c")}, false};
   EXPECT_EQ(encode_peer_reply(reply),
             R"({"again":false,"close":["b"],"drain":["c"],"gone":["a"]})");
 }
 
-TEST(PeerReply, MalformedAsksForFullStatus) {
+TEST(PeerReply, MalformedReplyAsksForFullStatus) {
   const PeerReply reply = parse_peer_reply("not JSON");
   EXPECT_TRUE(reply.needs_full_status);
   EXPECT_TRUE(reply.released.empty());
