--- a/tests/rule_checks_test.cpp
+++ b/tests/rule_checks_test.cpp
@@ -1,5 +1,5 @@
-// The rules of the protocol, each seen to fail where it is broken: a check that never fails would
-// show nothing.
+// Tests for the rule checks of the simulated cluster: each check must report a violation of its
+// rule. A check that never fails would not verify anything.
 #include "simulation/rule_checks.h"
 
 #include <gtest/gtest.h>
@@ -8,6 +8,7 @@
 
 namespace saddleslip::testing {
 
+// A simulated cluster with two controllers and one machine in each of the zones a and b.
 class RuleChecksTest : public ::testing::Test {
  protected:
   RuleChecksTest() {
@@ -16,117 +17,125 @@
     cluster_.workers.add("m2", "big", "b", false, 0);
   }
 
+  // Adds a job that users have submitted, without starting its tasks.
   SimulatedJob& add_job(TaskNo tasks = 2) {
     SimulatedJob job;
-    job.spec.id = id_;
+    job.spec.id = job_id_;
     job.spec.team = "t";
     job.spec.tasks = tasks;
     job.spec.request.v = {1, 0, 1};
     return cluster_.jobs.add(job);
   }
-  TaskId task(TaskNo no) const { return {id_, no}; }
-  void set_running(const std::string& machine, TaskNo no) {
-    cluster_.workers.at(machine).tasks[task(no)] = {{1, "running", "", 0, 100}};
+  TaskId task(TaskNo number) const { return {job_id_, number}; }
+  // Makes the machine run the task, without any check.
+  void set_running(const std::string& machine, TaskNo number) {
+    cluster_.workers.at(machine).tasks[task(number)] = {{1, "running", "", 0, 100}};
   }
-  void start(const std::string& machine, TaskNo no) {
-    cluster_.rules.on_task_started(cluster_.workers.at(machine), task(no));
+  // Runs the rule checks for the start of the task on the machine.
+  void check_start(const std::string& machine, TaskNo number) {
+    cluster_.rules.on_task_started(cluster_.workers.at(machine), task(number));
   }
-  void pass(double seconds) {
+  // Advances the simulated clock.
+  void advance_clock(double seconds) {
     const double until = cluster_.clock.seconds() + seconds;
     while (cluster_.clock.seconds() < until) cluster_.clock.advance();
   }
-  // All failures, in one text.
+  // Returns all reported violations, one per line.
   std::string failures() const {
     std::string text;
     for (const std::string& line : cluster_.failures.lines()) text += line + "\n";
     return text;
   }
-  bool failed(const std::string& what) const { return failures().find(what) != std::string::npos; }
+  // Returns whether a violation with this text is reported.
+  bool is_reported(const std::string& violation) const {
+    return failures().find(violation) != std::string::npos;
+  }
 
   SimulatedCluster cluster_;
-  const JobId id_{"run-000001"};
+  const JobId job_id_{"run-000001"};
 };
 
-TEST_F(RuleChecksTest, AllRulesKeptReportsNothing) {
+TEST_F(RuleChecksTest, NoViolationIsReportedIfAllRulesAreKept) {
   add_job();
   set_running("m1", 0);
-  start("m2", 1);
+  check_start("m2", 1);
   cluster_.rules.on_start_commanded(0, task(1));
   cluster_.rules.check_running_tasks();
   EXPECT_EQ(failures(), "");
   EXPECT_EQ(cluster_.rules.starts(), 1u);
 }
 
-TEST_F(RuleChecksTest, TaskOfUnknownJobStartsIsReported) {
-  start("m1", 0);
-  EXPECT_TRUE(failed("invented: a task of an unknown job starts"));
+TEST_F(RuleChecksTest, StartOfTaskOfUnknownJobIsReported) {
+  check_start("m1", 0);
+  EXPECT_TRUE(is_reported("invented: a task of an unknown job starts"));
 }
 
-TEST_F(RuleChecksTest, TaskRunsElsewhereIsReported) {
+TEST_F(RuleChecksTest, StartOfTaskThatRunsOnAnotherMachineIsReported) {
   add_job();
   set_running("m2", 0);
-  start("m1", 0);
-  EXPECT_TRUE(failed("ran_twice: run-000001/0 starts on m1, is on m2"));
+  check_start("m1", 0);
+  EXPECT_TRUE(is_reported("ran_twice: run-000001/0 starts on m1, is on m2"));
 }
 
-TEST_F(RuleChecksTest, DependencyIsNotDoneIsReported) {
+TEST_F(RuleChecksTest, StartBeforeDependencyIsDoneIsReported) {
   add_job().spec.dependencies = {JobId("run-000002")};
-  start("m1", 0);
-  EXPECT_TRUE(failed("too_early: run-000001/0"));
+  check_start("m1", 0);
+  EXPECT_TRUE(is_reported("too_early: run-000001/0"));
 }
 
-TEST_F(RuleChecksTest, MachineInAnotherZoneThanRequestedIsReported) {
+TEST_F(RuleChecksTest, StartOutsideTheRequestedZoneIsReported) {
   add_job().spec.zone = "b";
-  start("m1", 0);
-  EXPECT_TRUE(failed("wrong_place: run-000001/0"));
+  check_start("m1", 0);
+  EXPECT_TRUE(is_reported("wrong_place: run-000001/0"));
 }
 
-TEST_F(RuleChecksTest, JobOfOneZoneStartsInASecondOneIsReported) {
+TEST_F(RuleChecksTest, OneZoneJobStartingInSecondZoneIsReported) {
   add_job().spec.one_zone = true;
   set_running("m2", 0);
-  start("m1", 1);
-  EXPECT_TRUE(failed("wrong_place: run-000001/1 in another zone"));
+  check_start("m1", 1);
+  EXPECT_TRUE(is_reported("wrong_place: run-000001/1 in another zone"));
 }
 
-TEST_F(RuleChecksTest, SpreadJobHasMoreThanHalfInAZoneIsReported) {
+TEST_F(RuleChecksTest, SpreadJobWithMoreThanHalfOfItsTasksInOneZoneIsReported) {
   add_job().spec.spread = true;
   set_running("m1", 0);
-  start("m1", 1);
-  EXPECT_TRUE(failed("wrong_place: too many of run-000001 in a"));
+  check_start("m1", 1);
+  EXPECT_TRUE(is_reported("wrong_place: too many of run-000001 in a"));
 }
 
-TEST_F(RuleChecksTest, StartOfCancelledJobIsCommandedIsReported) {
+TEST_F(RuleChecksTest, CommandToStartTaskOfCancelledJobIsReported) {
   add_job().cancelled_at = 0;
-  pass(0.1);
+  advance_clock(0.1);
   cluster_.rules.on_start_commanded(0, task(0));
-  EXPECT_TRUE(failed("ran_cancelled: n0 commands a start of run-000001"));
+  EXPECT_TRUE(is_reported("ran_cancelled: n0 commands a start of run-000001"));
 }
 
-// Nobody can tell it: it has until its authority ends.
-TEST_F(RuleChecksTest, IsolatedControllerCommandsStartOfCancelledJobIsReportedAfterItsTtl) {
+// A controller that is cut off cannot learn of the cancellation, so it may command starts until its
+// authority ends.
+TEST_F(RuleChecksTest, CommandOfIsolatedControllerToStartCancelledJobIsReportedAfterItsTtl) {
   add_job().cancelled_at = 0;
   cluster_.network.cut("n0", "state");
   cluster_.network.cut("n0", "n1");
-  pass(cluster_.controllers.member_ttl(0) / 2);
+  advance_clock(cluster_.controllers.member_ttl(0) / 2);
   cluster_.rules.on_start_commanded(0, task(0));
   EXPECT_EQ(failures(), "");
-  pass(cluster_.controllers.member_ttl(0));
+  advance_clock(cluster_.controllers.member_ttl(0));
   cluster_.rules.on_start_commanded(0, task(0));
-  EXPECT_TRUE(failed("ran_cancelled: n0 commands a start of run-000001"));
+  EXPECT_TRUE(is_reported("ran_cancelled: n0 commands a start of run-000001"));
 }
 
-TEST_F(RuleChecksTest, CancelledTaskStillRunsIsReportedAfterTheAllowedTime) {
+TEST_F(RuleChecksTest, RunningTaskOfCancelledJobIsReportedAfterTheTimeLimit) {
   add_job().cancelled_at = 0;
   set_running("m1", 0);
-  pass(cluster_.config.cancel_s - 1);
+  advance_clock(cluster_.config.cancel_s - 1);
   cluster_.rules.check_running_tasks();
   EXPECT_EQ(failures(), "");
-  pass(2);
+  advance_clock(2);
   cluster_.rules.check_running_tasks();
-  EXPECT_TRUE(failed("ran_cancelled: run-000001/0"));
+  EXPECT_TRUE(is_reported("ran_cancelled: run-000001/0"));
 }
 
-TEST_F(RuleChecksTest, TeamUsesMoreThanItsQuotaIsReported) {
+TEST_F(RuleChecksTest, TeamAboveItsQuotaIsReported) {
   add_job();
   cluster_.config.teams = {{"t", 0, 1}};
   set_running("m1", 0);
@@ -134,26 +143,26 @@
   EXPECT_EQ(failures(), "");
   set_running("m2", 1);
   cluster_.rules.check_running_tasks();
-  EXPECT_TRUE(failed("quota: team t uses 2"));
+  EXPECT_TRUE(is_reported("quota: team t uses 2"));
 }
 
-TEST_F(RuleChecksTest, DoneIsToldBeforeAllTasksAreIsReported) {
+TEST_F(RuleChecksTest, DoneStatusBeforeAllTasksAreDoneIsReported) {
   cluster_.rules.check_answer(add_job(), "done");
-  EXPECT_TRUE(failed("not_done: run-000001"));
+  EXPECT_TRUE(is_reported("not_done: run-000001"));
 }
 
-TEST_F(RuleChecksTest, CancelledIsToldThoughNobodyAskedIsReported) {
+TEST_F(RuleChecksTest, CancelledStatusWithoutCancellationIsReported) {
   cluster_.rules.check_answer(add_job(), "withdrawn");
-  EXPECT_TRUE(failed("went_back: run-000001 cancelled by nobody"));
+  EXPECT_TRUE(is_reported("went_back: run-000001 cancelled by nobody"));
 }
 
-TEST_F(RuleChecksTest, FinalAnswerChangesIsReported) {
+TEST_F(RuleChecksTest, ChangeOfFinalStatusIsReported) {
   SimulatedJob& job = add_job(1);
   job.done = {0};
   cluster_.rules.check_answer(job, "done");
   EXPECT_EQ(failures(), "");
   cluster_.rules.check_answer(job, "running");
-  EXPECT_TRUE(failed("went_back: run-000001 from done to running"));
+  EXPECT_TRUE(is_reported("went_back: run-000001 from done to running"));
 }
 
 }  // namespace saddleslip::testing
