--- a/src/protocol/fleet_record.cpp
+++ b/src/protocol/fleet_record.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t kRentedIndex = 3;
 constexpr std::size_t kIdsIndex = 4;
 
-// Upper bounds for the bytes of parts of the encoding.
+// Upper bounds for the sizes of the parts of an encoded fleet record, in bytes.
 constexpr std::size_t kBracketBytes = 2;
 constexpr std::size_t kIdPunctuationBytes = 3;
 constexpr std::size_t kGroupFrameBytes = 48;
--- a/src/protocol/job_record.cpp
+++ b/src/protocol/job_record.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Fields of a job record.
+// JSON field names of job records.
 constexpr const char* kSubmission = "s";
 constexpr const char* kSubmittedAt = "at";
 constexpr const char* kDependencyLists = "n";
@@ -17,7 +17,7 @@
 constexpr const char* kChunkSize = "c";    // omitted if it is kMaxChunkTasks
 constexpr const char* kPieceSize = "p";    // omitted if the chunks are not split
 
-// Fields of a tombstone, and the values of kFinalStatus.
+// JSON field names of tombstones, and the values of the field kFinalStatus.
 constexpr const char* kFinalStatus = "f";
 constexpr const char* kFinalAt = "at";
 constexpr const char* kFinalDone = "d";
--- a/src/protocol/member_records.cpp
+++ b/src/protocol/member_records.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// Fields of member records and of the view.
+// JSON field names of member records and of the membership view.
 constexpr const char* kIncarnation = "life";
 constexpr const char* kReaches = "reaches";
 constexpr const char* kFormatField = "format";
--- a/src/protocol/peer_messages.cpp
+++ b/src/protocol/peer_messages.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Fields of messages and replies.
+// JSON field names of messages between controllers and of the replies to them.
 constexpr const char* kStatus = "status";
 constexpr const char* kOffers = "offers";
 constexpr const char* kCancelled = "cancelled";
--- a/src/protocol/peer_status.cpp
+++ b/src/protocol/peer_status.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Fields of a status.
+// JSON field names of a member status.
 constexpr const char* kFrom = "from";
 constexpr const char* kHasState = "state";
 constexpr const char* kSince = "since";
@@ -21,7 +21,7 @@
 constexpr const char* kCrashLoopingJobs = "suspects";
 constexpr const char* kContact = "contact";
 
-// Fields of offers.
+// JSON field names of offers.
 constexpr const char* kEpoch = "epoch";
 constexpr const char* kOffers = "offers";
 
@@ -43,6 +43,7 @@
   kLate,
 };
 
+// Values of the field kContact.
 constexpr const char* kContactGood = "good";
 constexpr const char* kContactLost = "lost";
 constexpr const char* kContactUnknown = "unknown";
--- a/src/protocol/state_client.cpp
+++ b/src/protocol/state_client.cpp
@@ -15,7 +15,8 @@
 constexpr std::size_t kMaxConcurrentCalls = 16;
 constexpr std::size_t kMaxRenewals = 2;
 constexpr std::size_t kMaxWatches = 1;
-constexpr Seconds kWatchMargin{3.0};  // time for the response after the requested wait has passed
+// The HTTP timeout of a watch is its wait plus this margin, in which the response may arrive.
+constexpr Seconds kWatchTimeoutMargin{3.0};
 constexpr std::size_t kMaxLoggedBytes = 200;
 
 constexpr const char* kItems = "items";
@@ -161,7 +162,8 @@
 
 StateClient::Watched StateClient::watch(const std::string& prefix, Revision after, Seconds wait) {
   const std::string path = changes_path(prefix, after, wait);
-  return parse_changes_response(watches_.get(path, wait + kWatchMargin, max_changes_bytes_), after);
+  return parse_changes_response(watches_.get(path, wait + kWatchTimeoutMargin, max_changes_bytes_),
+                                after);
 }
 
 StateClient::Watched StateClient::changes(const std::string& prefix, Revision after,
--- a/src/protocol/store_transaction.cpp
+++ b/src/protocol/store_transaction.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Fields of items, writes and changes.
+// JSON field names of items, writes and changes of the state service.
 constexpr const char* kKey = "key";
 constexpr const char* kValue = "v";
 constexpr const char* kWrites = "writes";
--- a/src/protocol/task_records.cpp
+++ b/src/protocol/task_records.cpp
@@ -8,18 +8,19 @@
 
 namespace {
 
-// Fields of a task record. Adjacent tasks in the same state are encoded as one run.
+// JSON field names of task records. Adjacent tasks in the same state are encoded as one run.
 constexpr const char* kNextAttempt = "n";
 constexpr const char* kDoneRuns = "d";  // [offset, count]
 // Adjacent tasks with the same assignment: [offset, count, machine, attempt, agent incarnation].
 constexpr const char* kAssignedRuns = "h";
 
-// Sizes of the parts of an encoded record.
-constexpr std::size_t kFrameBytes = 64;             // the JSON object and the next attempt number
-constexpr std::size_t kAssignedPunctuation = 9;     // brackets, commas and quotes of an assignment
-constexpr std::size_t kDonePunctuation = 4;         // brackets and commas of a run of done tasks
-constexpr std::size_t kOffsetDigits = 3;            // maximum for an offset or a number of tasks
-constexpr std::size_t kExpectedAssignedBytes = 36;  // used only to choose the chunk size
+// Sizes of the parts of an encoded task record, in bytes.
+constexpr std::size_t kFrameBytes = 64;  // the JSON object and the next attempt number
+constexpr std::size_t kAssignmentPunctuationBytes = 9;  // brackets, commas and quotes
+constexpr std::size_t kDoneRunPunctuationBytes = 4;     // brackets and commas
+constexpr std::size_t kOffsetDigits = 3;  // maximum for an offset or a number of tasks
+// An estimate that is used only to choose the chunk size.
+constexpr std::size_t kExpectedAssignmentBytes = 36;
 
 // Returns the number of decimal digits of `number`.
 std::size_t digit_count(std::uint64_t number) {
@@ -87,20 +88,21 @@
 }
 
 TaskNo chunk_size(TaskNo tasks, std::size_t partitions, std::size_t max_bytes) {
-  constexpr TaskNo kMinChunk = 16;
+  constexpr TaskNo kMinChunkTasks = 16;
   const std::size_t available_bytes = max_bytes > kFrameBytes ? max_bytes - kFrameBytes : 0;
-  const std::size_t fitting_tasks = available_bytes / kExpectedAssignedBytes;
-  const auto max_chunk =
+  const std::size_t fitting_tasks = available_bytes / kExpectedAssignmentBytes;
+  const auto max_chunk_tasks =
       static_cast<TaskNo>(std::clamp<std::size_t>(fitting_tasks, 1, kMaxChunkTasks));
-  const auto records = static_cast<TaskNo>(std::max<std::size_t>(1, partitions));
-  const TaskNo preferred = (tasks + records - 1) / records;
-  return std::clamp(preferred, std::min(kMinChunk, max_chunk), max_chunk);
+  const auto record_count = static_cast<TaskNo>(std::max<std::size_t>(1, partitions));
+  const TaskNo preferred_tasks = (tasks + record_count - 1) / record_count;
+  return std::clamp(preferred_tasks, std::min(kMinChunkTasks, max_chunk_tasks), max_chunk_tasks);
 }
 
 std::size_t encoded_size_bound(const Assignment& assignment) {
   constexpr std::size_t kCountDigits = 1;  // each assignment is counted as a run of one task
-  return kAssignedPunctuation + kOffsetDigits + kCountDigits + assignment.machine.get().size() +
-         digit_count(assignment.attempt.get()) + digit_count(assignment.agent_incarnation.get());
+  return kAssignmentPunctuationBytes + kOffsetDigits + kCountDigits +
+         assignment.machine.get().size() + digit_count(assignment.attempt.get()) +
+         digit_count(assignment.agent_incarnation.get());
 }
 
 std::size_t encoded_size_bound(const ChunkRecord& chunk) {
@@ -108,7 +110,7 @@
   for (const auto& [number, assignment] : chunk.assigned) bytes += encoded_size_bound(assignment);
   bool in_run = false;
   for (const bool done : chunk.done) {
-    if (done && !in_run) bytes += kDonePunctuation + 2 * kOffsetDigits;
+    if (done && !in_run) bytes += kDoneRunPunctuationBytes + 2 * kOffsetDigits;
     in_run = done;
   }
   return bytes;
