--- a/tests/simulation/cluster_commands.cpp
+++ b/tests/simulation/cluster_commands.cpp
@@ -1,4 +1,4 @@
-// Commands that say what the cluster consists of and how it is configured.
+// Scenario commands that set up and configure the cluster.
 #include "simulation/scenario_commands.h"
 
 namespace saddleslip::testing {
@@ -64,23 +64,23 @@
 }
 
 constexpr ScenarioCommand kCommands[] = {
-    {"workers", "HEARTBEAT_S LEASE_S", "the agents' periods; before controllers", play_workers},
-    {"team", "NAME GUARANTEED_CORES MAX_CORES", "a team and its quota; before controllers",
+    {"workers", "HEARTBEAT_S LEASE_S", "sets the agents' heartbeat period and lease; must precede controllers", play_workers},
+    {"team", "NAME GUARANTEED_CORES MAX_CORES", "adds a team with its quota; must precede controllers",
      play_team},
-    {"operators", "SETTING: VALUE", "a line of the operators' settings; before controllers",
+    {"operators", "SETTING: VALUE", "adds a line to the operators' settings; must precede controllers",
      play_operators},
     {"state_limits", "VALUE_BYTES WRITES",
-     "the state service's limits of a value and of a transaction; before controllers",
+     "sets the state service's limits per value and per transaction; must precede controllers",
      play_state_limits},
     {"next_limits", "VALUE_BYTES WRITES",
-     "limits that hold later; before controllers, which then begin with the version before",
+     "sets limits that apply later; must precede controllers, which start as the previous version",
      play_next_limits},
-    {"controllers", "COUNT", "starts so many controllers: n0, n1, ...", play_controllers},
-    {"capacity", "TYPE COUNT", "how many machines of a type can be rented", play_capacity},
+    {"controllers", "COUNT", "starts COUNT controllers: n0, n1, ...", play_controllers},
+    {"capacity", "TYPE COUNT", "sets how many machines of a type can be rented", play_capacity},
     {"machine", "ID TYPE ZONE [spot]", "adds a machine; types: small, big", play_machine},
-    {"machines", "COUNT TYPE ZONE", "adds machines of a large fleet: f1001, f1002, ...",
+    {"machines", "COUNT TYPE ZONE", "adds COUNT machines to the fleet: f1001, f1002, ...",
      play_machines},
-    {"put", "KEY JSON", "a record that no controller wrote: damaged, or of another version",
+    {"put", "KEY JSON", "writes a record to the state service: a damaged one or one of another version",
      play_put},
 };
 
--- a/tests/simulation/cluster_config.cpp
+++ b/tests/simulation/cluster_config.cpp
@@ -25,10 +25,11 @@
 
 }  // namespace
 
-base::Settings ClusterConfig::settings_of(std::size_t controller, std::size_t controllers,
-                                          bool upgraded) const {
+base::Settings ClusterConfig::controller_settings(std::size_t controller,
+                                                  std::size_t controller_count,
+                                                  bool is_upgraded) const {
   Json peers = Json::array();
-  for (std::size_t i = 0; i < controllers; ++i) {
+  for (std::size_t i = 0; i < controller_count; ++i) {
     if (i != controller)
       peers.push_back({{"member", controller_name(i)}, {"address", "10.0.0.1:1"}});
   }
@@ -39,12 +40,12 @@
       {"siblings", peers},
       {"endpoints", {{"cloud", "10.0.0.1:3"}, {"state", "10.0.0.1:4"}}},
       {"settings",
-       {{"size", controllers},
+       {{"size", controller_count},
         {"teams", teams_section(teams)},
         {"workers", {{"report_s", heartbeat_s}, {"lease_s", lease_s}, {"cancel_s", cancel_s}}},
         {"cloud", {{"list_lag_s", 5}}}}}};
-  if (limits) json["settings"]["state"] = state_section(*limits);
-  if (next_limits && upgraded) json["settings"]["state"]["next"] = state_section(*next_limits);
+  if (state_limits) json["settings"]["state"] = state_section(*state_limits);
+  if (next_limits && is_upgraded) json["settings"]["state"]["next"] = state_section(*next_limits);
   base::Settings settings = base::parse_settings(json.dump());
   base::apply_tuning(settings, tuning);
   return settings;
--- a/tests/simulation/cluster_config.h
+++ b/tests/simulation/cluster_config.h
@@ -1,4 +1,5 @@
-// What the operators of a simulated cluster configure, and the settings that a controller reads of it.
+// The operators' configuration of a simulated cluster, and the settings that each controller derives
+// from it.
 #pragma once
 
 #include <cstddef>
@@ -14,26 +15,27 @@
   struct TeamQuota {
     std::string team;
     double guaranteed_cores = 0;
-    double max_cores = 0;  // 0: no limit
+    double max_cores = 0;  // 0 means unlimited
   };
-  // The state service's limits of a value and of a transaction.
+  // The state service's limits: the size of a value, and the number of writes in a transaction.
   struct StateLimits {
     std::size_t value_bytes = 0;
     std::size_t writes = 0;
   };
 
   double heartbeat_s = 1;
-  double lease_s = 10;   // the agents' leases
-  double cancel_s = 30;  // a cancelled task must have ended so long after its confirmation
+  double lease_s = 10;   // the lease under which an agent may run tasks without being answered
+  double cancel_s = 30;  // deadline for tasks to end after their job's cancellation is confirmed
   std::vector<TeamQuota> teams = {{"t", 0, 0}};
-  std::string tuning;  // the operators' YAML
-  std::optional<StateLimits> limits;
-  // Limits that hold from some moment on. If there are any, controllers begin with the version
-  // before, which does not know of them.
+  std::string tuning;  // the operators' settings file, in YAML
+  std::optional<StateLimits> state_limits;
+  // Limits that the state service will get later. If they are set, the controllers start as the
+  // previous version, which has no setting for them; the `upgrade` command replaces that version.
   std::optional<StateLimits> next_limits;
 
-  // The settings of one of so many controllers.
-  base::Settings settings_of(std::size_t controller, std::size_t controllers, bool upgraded) const;
+  // Returns the settings of one controller in a cluster of `controller_count` controllers.
+  base::Settings controller_settings(std::size_t controller, std::size_t controller_count,
+                                     bool is_upgraded) const;
 };
 
 }  // namespace saddleslip::testing
--- a/tests/simulation/command_channel.cpp
+++ b/tests/simulation/command_channel.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr double kRepeatAfter = 20;  // seconds
+constexpr double kRepeatAfter = 20;
 
 }  // namespace
 
--- a/tests/simulation/command_channel.h
+++ b/tests/simulation/command_channel.h
@@ -1,5 +1,5 @@
-// The way of commands from controllers to machines. It can hold, lose and repeat them, and keeps
-// what is sent to a hung machine until that goes on.
+// Delivers commands from controllers to machines. Simulated faults delay, lose or duplicate them.
+// Commands to a hung machine wait until it resumes.
 #pragma once
 
 #include <cstddef>
@@ -20,13 +20,14 @@
                  SimulatedWorkers& workers)
       : clock_(clock), network_(network), workers_(workers) {}
 
-  // What is sent from now on arrives after so many seconds.
+  // Holds back the commands that are sent within the given time and delivers them at its end.
   void hold(double seconds) { hold_until_ = clock_.seconds() + seconds; }
   void set_lost(bool lost) { lost_ = lost; }
-  // Does what is sent arrive a second time, much later?
+  // Sets whether every delivered batch is delivered a second time, 20 seconds later.
   void set_repeated(bool repeated) { repeated_ = repeated; }
 
-  // Delivers a batch now, unless it is held, lost or cut off. The reply goes to the sender.
+  // Delivers a batch now, unless commands are held back or lost, a link is cut or the machine hangs.
+  // The machine's reply goes to the sending controller.
   void send(std::size_t from, const coordination::CommandBatch& batch,
             ControllerEndpoints& controllers);
   // Delivers the batches that are due.
@@ -34,7 +35,7 @@
 
  private:
   struct Pending {
-    std::optional<double> due_at;  // none: as soon as the machine no longer hangs
+    std::optional<double> due_at;  // without a value: as soon as the machine no longer hangs
     std::size_t from;
     coordination::CommandBatch batch;
   };
--- a/tests/simulation/controller_endpoints.h
+++ b/tests/simulation/controller_endpoints.h
@@ -1,4 +1,4 @@
-// The controllers of a simulated cluster as its workers reach them.
+// The interface through which the simulated workers and the command channel reach the controllers.
 #pragma once
 
 #include <cstddef>
@@ -14,13 +14,13 @@
  public:
   virtual ~ControllerEndpoints() = default;
   virtual std::size_t count() const = 0;
-  // Is its process up, with the records loaded?
+  // Returns whether the controller's process is up and has loaded the records.
   virtual bool is_serving(std::size_t controller) const = 0;
-  // Does its process stand still, connections waiting?
+  // Returns whether the controller's process is paused, so that connections to it are not answered.
   virtual bool is_frozen(std::size_t controller) const = 0;
   virtual coordination::WorkerReply handle_heartbeat(std::size_t controller,
                                                      const protocol::Heartbeat& heartbeat) = 0;
-  // The reply of a machine to a batch of commands. Lost if the controller is down.
+  // Processes a machine's reply to a batch of commands. A controller that is down loses the reply.
   virtual void handle_command_reply(std::size_t controller, const base::MachineId& machine,
                                     const protocol::Heartbeat& heartbeat) = 0;
 };
--- a/tests/simulation/controller_loops.cpp
+++ b/tests/simulation/controller_loops.cpp
@@ -1,4 +1,4 @@
-// The loops of the controllers' processes, played in steps of simulated time.
+// The loops of the controllers' processes, run in steps of simulated time.
 #include "protocol/id_lists.h"
 #include "simulation/simulated_controllers.h"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr double kPeerSyncPeriod = 0.7;  // seconds
+constexpr double kPeerSyncPeriod = 0.7;
 constexpr double kFleetPeriod = 1;
 constexpr int kPlansPerRound = 6;
 
--- a/tests/simulation/controller_store_access.cpp
+++ b/tests/simulation/controller_store_access.cpp
@@ -1,5 +1,5 @@
-// The controllers' use of the state service: commits with the checks of what is written, the load
-// at the start, and the watch.
+// The controllers' access to the state service: commits, with checks of the written records, the load
+// of all records at the start of a process, and the watch.
 #include <algorithm>
 #include <sstream>
 
@@ -12,9 +12,11 @@
 
 namespace {
 
-constexpr double kCommitTimeout = 1.5;  // seconds until a lost answer is given up
+// How long a process waits for a commit's answer that is lost.
+constexpr double kCommitTimeout = 1.5;
 
-// The version before says nothing of formats, and never that all read a later one.
+// Returns whether the transaction writes the record of the common format. The previous version never
+// writes that record, and its member records have no `format` field.
 bool writes_format_record(const protocol::Transaction& txn) {
   return std::any_of(txn.writes.begin(), txn.writes.end(),
                      [](const protocol::Put& put) { return put.key == protocol::kFormatKey; });
@@ -33,22 +35,25 @@
   return config_.next_limits && !processes_[n].is_upgraded;
 }
 
-// Limits hold whatever the preconditions: a record that no value holds would be refused for good.
-// Limits that the store gets later hold for what is written now, too.
+// Checks a transaction against the state service's limits. It is checked also if its preconditions
+// would fail, because the store rejects an oversized transaction on every retry. An upgraded process
+// must observe the limits that the store gets later (`next_limits`), too.
 void SimulatedControllers::check_limits(std::size_t n, const protocol::Transaction& txn) const {
   const base::Settings& limits = processes_[n].settings;
   if (txn.writes.size() > limits.txn_ops ||
       txn.preconditions.size() > limits.txn_ops * protocol::kPreconditionsPerWrite) {
-    failures_.add("a transaction of " + std::to_string(txn.writes.size()) + " changes and " +
-                  std::to_string(txn.preconditions.size()) + " conditions");
+    failures_.add("transaction exceeds the state service's limits: " +
+                  std::to_string(txn.writes.size()) + " writes, " +
+                  std::to_string(txn.preconditions.size()) + " preconditions");
   }
   for (const protocol::Put& put : txn.writes) {
     if (put.value && put.value->dump().size() > limits.value_bytes)
-      failures_.add("a value too large for the store: " + put.key);
+      failures_.add("value exceeds the state service's size limit: key=" + put.key);
   }
 }
 
-// Records that the version before can't read must not be written while it may come back.
+// Checks that no job record is split into chunks while a controller still runs the previous version,
+// which cannot read split records.
 void SimulatedControllers::check_format(const protocol::Transaction& txn) const {
   bool all_upgraded = true;
   for (std::size_t n = 0; n < processes_.size(); ++n)
@@ -57,7 +62,7 @@
     const bool splits =
         put.key.starts_with(protocol::kJobs) && put.value && put.value->contains("p");
     if (splits && !all_upgraded)
-      failures_.add("a split record before all controllers read it: " + put.key);
+      failures_.add("job record is split before all controllers are upgraded: key=" + put.key);
   }
 }
 
@@ -102,7 +107,8 @@
   trace_.write(clock_.seconds(), out.str());
 }
 
-// Reads the jobs first and their tasks' records after that, as late as the scenario says.
+// Loads the records in two steps. All records except chunks and final states come first; the chunk
+// records of the jobs' tasks follow after the delay that the scenario sets with `slow_load`.
 void SimulatedControllers::load(std::size_t n) {
   if (!state_.is_reachable_from(n)) return;
   ControllerProcess& process = processes_[n];
@@ -118,10 +124,10 @@
   process.is_loaded = true;
 }
 
-void SimulatedControllers::apply_records(std::size_t n, bool chunks) {
+void SimulatedControllers::apply_records(std::size_t n, bool only_chunks) {
   auto& cache = processes_[n].controller->cache();
   for (const auto& [key, record] : state_.records()) {
-    if (key.starts_with(protocol::kFinals) || key.starts_with(protocol::kChunks) != chunks)
+    if (key.starts_with(protocol::kFinals) || key.starts_with(protocol::kChunks) != only_chunks)
       continue;
     cache.apply({key, record.value, base::Version(record.version)}, clock_.now());
   }
--- a/tests/simulation/expectations.cpp
+++ b/tests/simulation/expectations.cpp
@@ -1,4 +1,4 @@
-// What a scenario may expect.
+// The expectations that a scenario can state with the command `expect`.
 #include "simulation/scenario_commands.h"
 
 namespace saddleslip::testing {
@@ -8,8 +8,8 @@
 void expect_told(SimulatedCluster& cluster, CommandLine& line, const std::string& status) {
   const SimulatedJob& job = cluster.jobs.at(JobId(line.text()));
   if (job.told_final == status) return;
-  cluster.failures.add("expected " + status + ": " + job.spec.id.get() + " is '" + job.told_final +
-                       "'");
+  cluster.failures.add("expected final status " + status + " of " + job.spec.id.get() + ", got '" +
+                       job.told_final + "'");
 }
 
 void expect_done(SimulatedCluster& cluster, CommandLine& line) {
@@ -25,15 +25,15 @@
   const std::size_t expected = line.count();
   const std::size_t running = cluster.workers.running_tasks(id);
   if (running == expected) return;
-  cluster.failures.add("expected " + std::to_string(expected) + " running of " + id.get() +
-                       ", not " + std::to_string(running));
+  cluster.failures.add("expected " + std::to_string(expected) + " running tasks of " + id.get() +
+                       ", got " + std::to_string(running));
 }
 
 void expect_began(SimulatedCluster& cluster, CommandLine& line) {
   const SimulatedJob& job = cluster.jobs.at(JobId(line.text()));
   const double within = line.number();
   if (job.began_at && *job.began_at - job.submitted_at <= within) return;
-  cluster.failures.add("expected " + job.spec.id.get() + " to have begun within " +
+  cluster.failures.add("expected " + job.spec.id.get() + " to start its first task within this many seconds: " +
                        std::to_string(within));
 }
 
@@ -46,19 +46,19 @@
   const int status = static_cast<int>(line.count());
   const auto reply = cluster.controllers.user_api(0).submit(line.rest(), cluster.clock.now());
   if (reply.status != status) {
-    cluster.failures.add("expected " + std::to_string(status) + ", not " +
+    cluster.failures.add("expected HTTP status " + std::to_string(status) + ", got " +
                          std::to_string(reply.status) + " " + reply.body);
   }
   if (reply.status == kUnavailable && reply.retry_after_s == 0)
-    cluster.failures.add("a refusal without Retry-After");
+    cluster.failures.add("reply with HTTP status 503 has no Retry-After");
 }
 
-void expect_at_most(SimulatedCluster& cluster, CommandLine& line, const std::string& what,
-                    std::size_t n) {
-  const std::size_t most = line.count();
-  if (n <= most) return;
-  cluster.failures.add("expected at most " + std::to_string(most) + " " + what + ", not " +
-                       std::to_string(n));
+void expect_at_most(SimulatedCluster& cluster, CommandLine& line, const std::string& counted,
+                    std::size_t actual) {
+  const std::size_t maximum = line.count();
+  if (actual <= maximum) return;
+  cluster.failures.add("expected at most " + std::to_string(maximum) + " " + counted + ", got " +
+                       std::to_string(actual));
 }
 
 void expect_most_views(SimulatedCluster& cluster, CommandLine& line) {
@@ -81,37 +81,37 @@
 
 void expect_released(SimulatedCluster& cluster, CommandLine& line) {
   const std::string id = line.text();
-  if (cluster.workers.find(id)) cluster.failures.add("expected machine " + id + " to be returned");
+  if (cluster.workers.find(id)) cluster.failures.add("expected machine " + id + " to be released");
 }
 
 void expect_kept(SimulatedCluster& cluster, CommandLine& line) {
   const std::string id = line.text();
-  if (!cluster.workers.find(id)) cluster.failures.add("expected machine " + id + " to be kept");
+  if (!cluster.workers.find(id)) cluster.failures.add("expected machine " + id + " not to be released");
 }
 
 void expect_machines(SimulatedCluster& cluster, CommandLine& line) {
   const std::size_t expected = line.count();
   const std::size_t machines = cluster.workers.all().size();
   if (machines == expected) return;
-  cluster.failures.add("expected " + std::to_string(expected) + " machines, not " +
+  cluster.failures.add("expected " + std::to_string(expected) + " machines, got " +
                        std::to_string(machines));
 }
 
 constexpr ScenarioCommand kExpectations[] = {
-    {"done", "ID", "its user was told that the job is done", expect_done},
-    {"cancelled", "ID", "its user was told that the job is cancelled", expect_cancelled},
-    {"running", "ID COUNT", "so many of its tasks run now", expect_running},
-    {"began", "ID SECONDS", "its first task began so soon after its submission", expect_began},
-    {"served", "", "half of each class, team, and class's largest jobs began", expect_served},
-    {"submit", "STATUS BODY", "n0 answers this submission so", expect_submit},
-    {"released", "MACHINE", "it was returned to the cloud", expect_released},
-    {"kept", "MACHINE", "it was not returned", expect_kept},
-    {"machines", "COUNT", "there are so many machines", expect_machines},
-    {"most_starts", "COUNT", "so many starts of tasks at most", expect_most_starts},
-    {"most_starts_of", "ID COUNT", "so many starts of the job's tasks at most",
+    {"done", "ID", "a user received the final status `done` for the job", expect_done},
+    {"cancelled", "ID", "a user received the final status `cancelled` for the job", expect_cancelled},
+    {"running", "ID COUNT", "COUNT of the job's tasks are running now", expect_running},
+    {"began", "ID SECONDS", "the job's first task started within SECONDS of the submission", expect_began},
+    {"served", "", "at least half of the jobs of each class, of each team and of each class's largest started", expect_served},
+    {"submit", "STATUS BODY", "n0 answers the submission BODY with this HTTP status", expect_submit},
+    {"released", "MACHINE", "the machine was released to the cloud", expect_released},
+    {"kept", "MACHINE", "the machine was not released to the cloud", expect_kept},
+    {"machines", "COUNT", "the cluster has COUNT machines", expect_machines},
+    {"most_starts", "COUNT", "at most COUNT task starts in total", expect_most_starts},
+    {"most_starts_of", "ID COUNT", "at most COUNT starts of the job's tasks",
      expect_most_starts_of},
-    {"most_views", "COUNT", "so many membership views at most", expect_most_views},
-    {"most_releases", "COUNT", "so many machines returned at most", expect_most_releases},
+    {"most_views", "COUNT", "at most COUNT membership views", expect_most_views},
+    {"most_releases", "COUNT", "at most COUNT machines were released", expect_most_releases},
 };
 
 }  // namespace
--- a/tests/simulation/failure_log.cpp
+++ b/tests/simulation/failure_log.cpp
@@ -4,10 +4,10 @@
 
 namespace saddleslip::testing {
 
-void FailureLog::add(const std::string& what) {
+void FailureLog::add(const std::string& failure) {
   std::ostringstream out;
   out.precision(4);
-  out << "at " << clock_.seconds() << ": " << what;
+  out << "at " << clock_.seconds() << ": " << failure;
   lines_.push_back(out.str());
 }
 
--- a/tests/simulation/failure_log.h
+++ b/tests/simulation/failure_log.h
@@ -1,4 +1,4 @@
-// What went wrong in a scenario: broken rules and expectations that were not met.
+// The log of a scenario's failures: violated protocol rules and unmet expectations.
 #pragma once
 
 #include <string>
@@ -12,10 +12,10 @@
  public:
   explicit FailureLog(const SimulatedClock& clock) : clock_(clock) {}
 
-  // Records a failure with the simulated time.
-  void add(const std::string& what);
-  // Says which line of the scenario was played when the failures were found.
-  void add_position(int line_number, const std::string& line);
+  // Records a failure together with the current simulated time.
+  void add(const std::string& failure);
+  // Records the scenario line that was being played when the failures were found.
+  void add_scenario_line(int line_number, const std::string& line);
   bool empty() const { return lines_.empty(); }
   const std::vector<std::string>& lines() const { return lines_; }
 
--- a/tests/simulation/fault_commands.cpp
+++ b/tests/simulation/fault_commands.cpp
@@ -1,4 +1,4 @@
-// Commands that bring faults about, and mend them.
+// Scenario commands that cause faults and end them.
 #include "simulation/scenario_commands.h"
 
 namespace saddleslip::testing {
@@ -10,7 +10,7 @@
   cluster.controllers.crash(controller, line.optional_number());
 }
 
-// Commands with a controller and a number of seconds.
+// Plays a command whose arguments are a controller and a number of seconds.
 template <void (SimulatedControllers::*kFault)(std::size_t, double)>
 void play_controller_fault(SimulatedCluster& cluster, CommandLine& line) {
   const std::size_t controller = line.controller();
@@ -39,9 +39,9 @@
 }
 
 void play_boots(SimulatedCluster& cluster, CommandLine& line) {
-  const std::string after = line.text();
-  if (after == "never") return cluster.cloud.set_boots_never();
-  cluster.cloud.set_boot_time(std::stod(after));
+  const std::string boot_time = line.text();
+  if (boot_time == "never") return cluster.cloud.set_boots_never();
+  cluster.cloud.set_boot_time(std::stod(boot_time));
 }
 
 void play_cut(SimulatedCluster& cluster, CommandLine& line) {
@@ -51,7 +51,7 @@
 
 void play_mend(SimulatedCluster& cluster, CommandLine& line) {
   const std::string from = line.text(), to = line.text();
-  cluster.network.mend(from, to);
+  cluster.network.restore(from, to);
 }
 
 void play_silent_cuts(SimulatedCluster& cluster, CommandLine& line) {
@@ -66,13 +66,13 @@
   machine(cluster, line).die();
 }
 
-// Commands that set or clear a condition of a machine.
+// Plays a command that sets or clears a condition of a machine.
 template <bool SimulatedMachine::*kCondition, bool kValue>
 void play_condition(SimulatedCluster& cluster, CommandLine& line) {
   machine(cluster, line).*kCondition = kValue;
 }
 
-// Every so-manieth machine of the large fleet.
+// Applies a fault, or its end, to every n-th machine of the fleet.
 void play_some(SimulatedCluster& cluster, CommandLine& line) {
   const std::size_t every = line.count();
   const std::string fault = line.text();
@@ -114,53 +114,53 @@
 
 constexpr ScenarioCommand kServiceFaults[] = {
     {"crash", "CONTROLLER [BACK_AFTER_S]", "ends a controller's process", play_crash},
-    {"upgrade", "CONTROLLER BACK_AFTER_S", "it ends, and comes back with this version",
+    {"upgrade", "CONTROLLER BACK_AFTER_S", "ends a controller's process and restarts it with the current version",
      play_controller_fault<&SimulatedControllers::upgrade>},
-    {"freeze", "CONTROLLER SECONDS", "it stands still while its clocks run on",
+    {"freeze", "CONTROLLER SECONDS", "pauses a controller's process while its clocks keep running",
      play_controller_fault<&SimulatedControllers::freeze>},
     {"slow_load", "CONTROLLER SECONDS",
-     "the time between reading the jobs and their tasks' records",
+     "sets the time between loading the jobs and loading their tasks' records",
      play_controller_fault<&SimulatedControllers::set_load_time>},
-    {"watch_lag", "CONTROLLER SECONDS", "it learns of changes so much later",
+    {"watch_lag", "CONTROLLER SECONDS", "delays the changes that its watch delivers",
      play_controller_fault<&SimulatedControllers::set_watch_lag>},
-    {"lose_commit", "CONTROLLER", "its next commit is carried out, unanswered", play_lose_commit},
+    {"lose_commit", "CONTROLLER", "its next commit is applied, but the answer is lost", play_lose_commit},
     {"late_commit", "CONTROLLER SECONDS",
-     "its next commit is carried out so much later, unanswered", play_late_commit},
-    {"state", "up|down", "the state service", play_state},
-    {"cloud", "up|down", "the cloud's interface", play_cloud},
-    {"spot", "on|off", "does the cloud have spot machines?", play_spot},
-    {"boots", "SECONDS|never", "how long machines boot that are rented from now on", play_boots},
-    {"cut", "A B", "cuts a link between controllers, state, workers, a machine or a zone",
+     "its next commit is applied after the delay, and not answered", play_late_commit},
+    {"state", "up|down", "starts or ends an outage of the state service", play_state},
+    {"cloud", "up|down", "starts or ends an outage of the cloud's API", play_cloud},
+    {"spot", "on|off", "sets whether the cloud offers spot machines", play_spot},
+    {"boots", "SECONDS|never", "sets the boot time of machines that are rented from now on", play_boots},
+    {"cut", "A B", "cuts a link between two endpoints: a controller, state, workers, a machine or a zone",
      play_cut},
-    {"mend", "A B", "takes back a cut", play_mend},
-    {"silent_cuts", "on|off", "what is cut gives no error: the sender waits for its timeout",
+    {"mend", "A B", "restores a link that was cut with the same arguments", play_mend},
+    {"silent_cuts", "on|off", "sets whether a sender over a cut link gets no error and waits for its timeout",
      play_silent_cuts},
 };
 
 constexpr ScenarioCommand kMachineFaults[] = {
-    {"die", "MACHINE", "it is gone with its tasks", play_die},
-    {"hang", "MACHINE", "it stands still", play_condition<&SimulatedMachine::is_hung, true>},
-    {"wake", "MACHINE", "it no longer hangs", play_condition<&SimulatedMachine::is_hung, false>},
-    {"some", "EVERY die|hang|wake", "every so-manieth machine of the large fleet", play_some},
-    {"reboot", "MACHINE SECONDS", "it comes back empty before it is missed", play_reboot},
-    {"faulty", "MACHINE", "it fails all that it starts",
+    {"die", "MACHINE", "the machine fails, and its tasks are lost", play_die},
+    {"hang", "MACHINE", "the machine stops responding, but may resume", play_condition<&SimulatedMachine::is_hung, true>},
+    {"wake", "MACHINE", "a hung machine resumes", play_condition<&SimulatedMachine::is_hung, false>},
+    {"some", "EVERY die|hang|wake", "applies this to every EVERY-th machine of the fleet", play_some},
+    {"reboot", "MACHINE SECONDS", "the machine restarts without its tasks, within the given time", play_reboot},
+    {"faulty", "MACHINE", "every task that the machine starts fails",
      play_condition<&SimulatedMachine::is_faulty, true>},
-    {"half_open", "MACHINE", "its heartbeats arrive, but nothing reaches it",
+    {"half_open", "MACHINE", "the machine's heartbeats arrive, but replies and commands do not reach it",
      play_condition<&SimulatedMachine::is_half_open, true>},
-    {"mend_half_open", "MACHINE", "it is reached again",
+    {"mend_half_open", "MACHINE", "replies and commands reach the half-open machine again",
      play_condition<&SimulatedMachine::is_half_open, false>},
-    {"silent", "MACHINE", "its heartbeats do not arrive, but commands reach it",
+    {"silent", "MACHINE", "the machine's heartbeats do not arrive, but commands reach it",
      play_condition<&SimulatedMachine::is_silent, true>},
-    {"audible", "MACHINE", "its heartbeats arrive again",
+    {"audible", "MACHINE", "the silent machine's heartbeats arrive again",
      play_condition<&SimulatedMachine::is_silent, false>},
-    {"spot_notice", "MACHINE SECONDS", "the cloud takes a spot machine back after that",
+    {"spot_notice", "MACHINE SECONDS", "the cloud reclaims a spot machine after the given time",
      play_spot_notice},
-    {"copies", "MACHINE SECONDS", "a copy of each heartbeat arrives so much later, everywhere",
+    {"copies", "MACHINE SECONDS", "a copy of each heartbeat arrives at all controllers after the given delay",
      play_copies},
-    {"hold_commands", "SECONDS", "commands that are sent from now on arrive after that",
+    {"hold_commands", "SECONDS", "commands sent within the given time arrive at its end",
      play_hold_commands},
-    {"lose_commands", "on|off", "commands are lost", play_lose_commands},
-    {"repeat_commands", "on|off", "commands arrive a second time, much later",
+    {"lose_commands", "on|off", "sets whether commands are lost", play_lose_commands},
+    {"repeat_commands", "on|off", "sets whether commands arrive a second time, 20 seconds later",
      play_repeat_commands},
 };
 
--- a/tests/simulation/protocol_observer.h
+++ b/tests/simulation/protocol_observer.h
@@ -1,4 +1,5 @@
-// What the rules of the protocol are about, reported as it happens in a simulated cluster.
+// The interface through which a simulated cluster reports the events that the protocol's rules are
+// checked against.
 #pragma once
 
 #include <cstddef>
@@ -12,9 +13,9 @@
 class ProtocolObserver {
  public:
   virtual ~ProtocolObserver() = default;
-  // A controller commands the start of a task.
+  // Called when a controller commands a machine to start a task.
   virtual void on_start_commanded(std::size_t controller, const base::TaskId& task) = 0;
-  // A task begins to run on a machine.
+  // Called when a task starts to run on a machine.
   virtual void on_task_started(const SimulatedMachine& machine, const base::TaskId& task) = 0;
 };
 
--- a/tests/simulation/rule_checks.cpp
+++ b/tests/simulation/rule_checks.cpp
@@ -79,9 +79,10 @@
   job.waited_s = now - std::max(job.ready_since.value_or(now), troubles_.last_troubled_at());
 }
 
-void RuleChecks::check_answer(SimulatedJob& job, const std::string& word) {
+void RuleChecks::check_answer(SimulatedJob& job, const std::string& wire_status) {
   const std::string& id = job.spec.id.get();
-  const std::string status = word == "withdrawn" ? "cancelled" : word;  // the wire's word for it
+  // The protocol writes `withdrawn` for a cancelled job.
+  const std::string status = wire_status == "withdrawn" ? "cancelled" : wire_status;
   if (!job.told_final.empty() && status != job.told_final)
     failures_.add("went_back: " + id + " from " + job.told_final + " to " + status);
   if (status == "done" && job.done.size() < job.spec.tasks) failures_.add("not_done: " + id);
--- a/tests/simulation/rule_checks.h
+++ b/tests/simulation/rule_checks.h
@@ -1,5 +1,5 @@
-// The rules of the protocol that hold at every moment, checked as tasks start, commands are sent and
-// users are answered, and once a step.
+// Checks the rules of the protocol that must hold at every moment: when a start is commanded, when a
+// task starts, when a user gets an answer, and in every step.
 #pragma once
 
 #include <cstddef>
@@ -19,7 +19,7 @@
 
 class RuleChecks : public ProtocolObserver {
  public:
-  // What the rules are about.
+  // The parts of the simulated cluster that the checks read.
   struct Subjects {
     const SimulatedClock& clock;
     const ClusterConfig& config;
@@ -38,23 +38,26 @@
         trace_(trace),
         failures_(failures) {}
 
-  // No controller may command a start of what was confirmed as cancelled. One that hears neither the
-  // state service nor any other controller has until its authority ends.
+  // Checks that no controller commands the start of a task after its job's cancellation was confirmed.
+  // A controller that reaches neither the state service nor another controller may still do so until
+  // its authority ends.
   void on_start_commanded(std::size_t controller, const TaskId& task) override;
-  // A task runs once at a time, in an allowed place, after all that its job needs.
+  // Checks that a task runs on one machine at a time, that the machine satisfies the job's placement
+  // constraints, and that the job's dependencies are done.
   void on_task_started(const SimulatedMachine& machine, const TaskId& task) override;
-  // What users are told of a job is true and final. `status` is the wire's word.
-  void check_answer(SimulatedJob& job, const std::string& status);
-  // Cancelled tasks end in time, and no team exceeds its quota.
+  // Checks that the status in an answer to a user is true, and that it is final once it is `done` or
+  // `cancelled`. `wire_status` is the status as the protocol writes it.
+  void check_answer(SimulatedJob& job, const std::string& wire_status);
+  // Checks that the tasks of cancelled jobs end in time, and that no team exceeds its quota.
   void check_running_tasks();
-  // Of all tasks, repeated ones included.
+  // Returns the number of task starts, including restarts.
   std::size_t starts() const { return starts_; }
 
  private:
   void check_runs_once(const SimulatedMachine& machine, const TaskId& task);
   void check_place(const SimulatedMachine& machine, const TaskId& task,
                    const protocol::JobSpec& spec);
-  // The other active tasks of the task's job, by zone.
+  // Counts the active tasks of the same job, except the given task, by zone.
   std::map<std::string, int> others_by_zone(const TaskId& task) const;
   void record_start(SimulatedJob& job);
   void check_quotas(const std::map<std::string, double>& cores_by_team);
--- a/tests/simulation/scenario_commands.h
+++ b/tests/simulation/scenario_commands.h
@@ -1,4 +1,5 @@
-// The commands of the scenario language, each with its help text and what it does.
+// The commands and expectations of the scenario language, each with its help text and the function
+// that plays it.
 #pragma once
 
 #include <span>
@@ -17,21 +18,22 @@
   void (*play)(SimulatedCluster& cluster, CommandLine& line);
 };
 
-// What the cluster consists of and how it is configured.
+// Commands that set up and configure the cluster.
 std::span<const ScenarioCommand> cluster_commands();
-// Faults of controllers, of the state service, of the cloud and of the network.
+// Commands that cause or end faults of controllers, the state service, the cloud and the network.
 std::span<const ScenarioCommand> service_fault_commands();
-// Faults of machines, and of the commands to them.
+// Commands that cause or end faults of machines and of the delivery of commands to machines.
 std::span<const ScenarioCommand> machine_fault_commands();
-// What users do, and the passing of time.
+// Commands for user actions, for advancing the time and for expectations.
 std::span<const ScenarioCommand> user_commands();
-// What may stand after `expect`.
+// The expectations that may follow the command `expect`.
 std::span<const ScenarioCommand> expectations();
 
-// Null: there is no such command.
+// Returns the command with this name, or null if there is none.
 const ScenarioCommand* find_command(std::string_view name);
+// Returns the expectation with this name, or null if there is none.
 const ScenarioCommand* find_expectation(std::string_view name);
-// All commands and expectations, one a line.
+// Returns the help texts of all commands and expectations, one per line.
 std::string scenario_help();
 
 }  // namespace saddleslip::testing
--- a/tests/simulation/scenario_player.cpp
+++ b/tests/simulation/scenario_player.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr int kFirstRepetition = 100001;  // so that the ids of jobs have the same length
+constexpr int kFirstRepetition = 100001;  // six digits, so that all job ids have the same length
 
 }  // namespace
 
--- a/tests/simulation/scenario_player.h
+++ b/tests/simulation/scenario_player.h
@@ -1,7 +1,8 @@
-// Plays a scenario: a text with one command a line, in which # begins a comment. The commands are
-// listed, with their help texts, in the tables of cluster_commands.cpp, fault_commands.cpp,
-// user_commands.cpp and expectations.cpp; there is also:
-//   repeat TIMES EVERY_S COMMAND: plays a command again and again; # in it is a number of its own
+// Plays a scenario: a text with one command per line. Empty lines and lines that begin with # are
+// skipped. The commands are listed, with their help texts, in the tables of cluster_commands.cpp,
+// fault_commands.cpp, user_commands.cpp and expectations.cpp. One more command is implemented here:
+//   repeat TIMES EVERY_S COMMAND: plays COMMAND TIMES times, with EVERY_S seconds after each; the
+//     first # in COMMAND is replaced by a number that is used only once in the scenario
 #pragma once
 
 #include <string>
@@ -14,10 +15,10 @@
 
 class ScenarioPlayer {
  public:
-  // Logs what is played under this name, if the environment asks for it.
+  // Writes a trace of the scenario under this name if SADDLESLIP_TRACE_DIR is set.
   void trace_as(const std::string& scenario) { cluster_.trace.open(scenario); }
-  // Returns what went wrong, line by line (empty: all as expected). Stops at the first line that
-  // goes wrong. To be called once.
+  // Plays the scenario up to the first line that fails and returns the failures; the result is empty
+  // if the scenario passed. Must be called only once.
   std::vector<std::string> play(const std::string& text);
 
  private:
--- a/tests/simulation/scenario_trace.cpp
+++ b/tests/simulation/scenario_trace.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// FNV-1a: the same on every platform and in every run.
+// Returns the FNV-1a hash of the text, which is the same on every platform and in every run.
 std::uint64_t hash_of(const std::string& text) {
   std::uint64_t hash = 1469598103934665603ull;
   for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * 1099511628211ull;
--- a/tests/simulation/scenario_trace.h
+++ b/tests/simulation/scenario_trace.h
@@ -1,4 +1,4 @@
-// A log of what a scenario played, to compare two versions of the decisions line by line.
+// A trace of a scenario's events, which allows comparing the decisions of two versions line by line.
 #pragma once
 
 #include <fstream>
@@ -6,13 +6,13 @@
 
 namespace saddleslip::testing {
 
-// Writes one event a line with its simulated time. Does nothing until it is opened.
+// Writes one event per line with its simulated time. Writes nothing until the trace is opened.
 class ScenarioTrace {
  public:
-  // Writes to `<$SADDLESLIP_TRACE_DIR>/<scenario>.txt`; does nothing if the variable is not set.
+  // Opens `<$SADDLESLIP_TRACE_DIR>/<scenario>.txt`. Does nothing if the variable is not set.
   void open(const std::string& scenario);
   bool is_open() const { return out_.is_open(); }
-  // The parts are separated by spaces.
+  // Writes an event's time and fields, separated by spaces.
   template <class... Partitions>
   void write(double at, const Partitions&... partitions) {
     if (!out_.is_open()) return;
@@ -20,7 +20,7 @@
     ((out_ << ' ' << partitions), ...);
     out_ << '\n';
   }
-  // For long texts: their length and a hash of them.
+  // Writes an event with the length and the hash of a text that is too long for the trace.
   void write_digest(double at, const std::string& event, const std::string& text);
 
  private:
--- a/tests/simulation/simulated_clock.h
+++ b/tests/simulation/simulated_clock.h
@@ -1,4 +1,5 @@
-// The time of a simulated cluster. It moves in steps only, so that every run of a scenario is the same.
+// The clock of a simulated cluster. Time advances only in fixed steps, so that every run of a scenario
+// is identical.
 #pragma once
 
 #include <chrono>
@@ -9,16 +10,16 @@
 
 class SimulatedClock {
  public:
-  static constexpr double kStep = 0.05;  // seconds
+  static constexpr double kStep = 0.05;
 
-  // Seconds since the start of the scenario.
+  // Returns the seconds since the start of the scenario.
   double seconds() const { return seconds_; }
-  // The same moment as a controller reads it from its monotonic clock.
+  // Returns the current simulated time as a reading of a controller's monotonic clock.
   base::Time now() const {
     return base::Time(std::chrono::duration_cast<base::SteadyClock::duration>(
         base::Seconds(kSecondsAtStart + seconds_)));
   }
-  // The same moment as a controller reads it from its wall clock, in seconds.
+  // Returns the current simulated time as a reading of a controller's wall clock, in seconds.
   double wall_seconds() const { return kSecondsAtStart + seconds_; }
   void advance() { seconds_ += kStep; }
 
--- a/tests/simulation/simulated_cloud.cpp
+++ b/tests/simulation/simulated_cloud.cpp
@@ -2,11 +2,11 @@
 
 namespace saddleslip::testing {
 
-std::vector<base::MachineId> SimulatedCloud::rent(const std::string& rental,
+std::vector<base::MachineId> SimulatedCloud::rent(const std::string& rental_name,
                                                   const coordination::MachineKind& kind,
                                                   int count) {
-  if (rentals_.contains(rental)) failures_.add("a rental's name is used twice: " + rental);
-  auto& rented = rentals_[rental];
+  if (rentals_.contains(rental_name)) failures_.add("rental name is used twice: " + rental_name);
+  auto& rented = rentals_[rental_name];
   const bool is_offered = !kind.spot || spot_offered_;
   for (int i = 0; is_offered && i < count && capacity_[kind.type] > 0; ++i) {
     --capacity_[kind.type];
--- a/tests/simulation/simulated_cloud.h
+++ b/tests/simulation/simulated_cloud.h
@@ -1,4 +1,5 @@
-// The cloud of a simulated cluster: which machines can be rented, and how long they take to boot.
+// The cloud provider of a simulated cluster: its free capacity by machine type, the machines' boot
+// time, and the rental and release of machines.
 #pragma once
 
 #include <map>
@@ -22,14 +23,18 @@
   bool is_down() const { return down_; }
   void set_spot_offered(bool offered) { spot_offered_ = offered; }
   void set_capacity(const std::string& type, int machines) { capacity_[type] = machines; }
-  // Of machines that are rented from now on.
+  // Sets the boot time of machines that are rented from now on.
   void set_boot_time(double seconds) { boot_time_s_ = seconds; }
+  // Machines that are rented from now on never finish booting.
   void set_boots_never() { boot_time_s_ = kNever; }
 
-  // Rents as many machines as there are, up to `count`. The name of a rental must be new.
-  std::vector<base::MachineId> rent(const std::string& rental,
+  // Rents up to `count` machines, as far as the capacity allows. Reports a failure if the rental's
+  // name was used before.
+  std::vector<base::MachineId> rent(const std::string& rental_name,
                                     const coordination::MachineKind& kind, int count);
   void release(const base::MachineId& machine);
+  // Returns how many machines were released so far.
+  // Returns how many machines were released so far.
   int releases() const { return releases_; }
 
  private:
--- a/tests/simulation/simulated_cluster.cpp
+++ b/tests/simulation/simulated_cluster.cpp
@@ -19,7 +19,7 @@
 }
 
 void SimulatedCluster::run(double seconds) {
-  constexpr double kTolerance = 1e-9;  // of a sum of steps
+  constexpr double kTolerance = 1e-9;  // rounding error when many steps are added up
   const double until = clock.seconds() + seconds;
   while (clock.seconds() < until - kTolerance && failures.empty()) step();
 }
--- a/tests/simulation/simulated_cluster.h
+++ b/tests/simulation/simulated_cluster.h
@@ -1,6 +1,6 @@
-// A simulated cluster: stand-ins for the state service, the cloud, the network, the workers and the
-// users around real controllers. There is no clock and no random choice: the same scenario plays the
-// same way every time. The rules of the protocol are checked after every step.
+// A simulated cluster: real controllers surrounded by simulated versions of the state service, the
+// cloud, the network, the workers and the users. It uses neither a real clock nor random numbers, so
+// that a scenario plays the same way every time. The protocol's rules are checked in every step.
 #pragma once
 
 #include "simulation/cluster_config.h"
@@ -21,16 +21,17 @@
 
 namespace saddleslip::testing {
 
-// Connects the parts, each of which owns its state. A part refers to parts that stand before it.
+// Constructs and connects the parts of the cluster. Each part owns its state and refers only to parts
+// that are declared before it.
 struct SimulatedCluster {
   SimulatedCluster() = default;
   ~SimulatedCluster() = default;
   SimulatedCluster(const SimulatedCluster&) = delete;
   SimulatedCluster& operator=(const SimulatedCluster&) = delete;
 
-  // Plays one step of simulated time.
+  // Advances the cluster by one step of simulated time.
   void step();
-  // Plays so many seconds, or until something goes wrong.
+  // Advances the cluster by the given simulated seconds; stops early at the first failure.
   void run(double seconds);
 
   SimulatedClock clock;
--- a/tests/simulation/simulated_controllers.cpp
+++ b/tests/simulation/simulated_controllers.cpp
@@ -1,4 +1,4 @@
-// The controllers' processes: their lives, and what reaches them.
+// The controllers' processes: start, crash, upgrade and freeze, and the messages they receive.
 #include "simulation/simulated_controllers.h"
 
 namespace saddleslip::testing {
--- a/tests/simulation/simulated_controllers.h
+++ b/tests/simulation/simulated_controllers.h
@@ -1,5 +1,6 @@
-// The controllers of a simulated cluster: their processes, and the loops of each played in steps of
-// simulated time. The decisions are the real ones.
+// The controllers of a simulated cluster. Each simulated process runs the daemon's loops in steps of
+// simulated time around a real coordination::Controller, which makes all decisions. Controllers are
+// identified by their index, which starts at 0.
 #pragma once
 
 #include <optional>
@@ -22,7 +23,7 @@
 
 class SimulatedControllers : public ControllerEndpoints {
  public:
-  // What the controllers reach, and what they are played with.
+  // The parts of the simulated cluster that the controllers use.
   struct Surroundings {
     const SimulatedClock& clock;
     const ClusterConfig& config;
@@ -35,13 +36,17 @@
   };
   explicit SimulatedControllers(const Surroundings& surroundings);
 
+  // Starts the processes of `controllers` controllers.
   void start_all(std::size_t controllers);
+  // Ends a controller's process. Without `back_after`, in seconds, it is never restarted.
   void crash(std::size_t controller, std::optional<double> back_after);
-  // Ends the process; it comes back with this version.
+  // Ends a controller's process and restarts it with the current version `back_after` seconds later.
   void upgrade(std::size_t controller, double back_after);
-  // The process stands still while its clocks run on; then it goes on where it was.
+  // Pauses a controller's process while its clocks keep running; it then resumes with its state.
   void freeze(std::size_t controller, double seconds);
+  // Delays every change that the controller's watch delivers.
   void set_watch_lag(std::size_t controller, double seconds);
+  // Sets the time between loading the job records and loading the chunk records of their tasks.
   void set_load_time(std::size_t controller, double seconds);
   void step(ProtocolObserver& observer);
 
@@ -53,20 +58,24 @@
   void handle_command_reply(std::size_t controller, const base::MachineId& machine,
                             const protocol::Heartbeat& heartbeat) override;
 
-  // Does it reach the state service or any controller that is up?
+  // Returns whether the controller reaches the state service or another controller whose process is
+  // up.
   bool hears_anyone(std::size_t controller) const;
   double member_ttl(std::size_t controller) const;
+  // Returns whether the scenario has set a watch lag for any controller.
+  // Returns whether the scenario has set a watch lag for any controller.
   bool any_watch_lags() const { return any_watch_lags_; }
   UserApi& user_api(std::size_t controller) { return *processes_[controller].user_api; }
 
  private:
   void start(std::size_t n);
   void step_process(std::size_t n, ProtocolObserver& observer);
-  // Does a controller take in what another tells it now?
+  // Returns whether a message between two different controllers is delivered and processed now.
   bool takes_message(std::size_t from, std::size_t to) const;
   void broadcast_cancellation(std::size_t from, const base::JobId& id);
 
-  // The store, as a controller uses it.
+  // --- access to the state service
+  // Returns whether the process runs the version before the current one.
   bool is_version_before(std::size_t n) const;
   void check_limits(std::size_t n, const protocol::Transaction& txn) const;
   void check_format(const protocol::Transaction& txn) const;
@@ -75,22 +84,27 @@
   void trace_commit(std::size_t n, const protocol::Transaction& txn,
                     const protocol::StateClient::Committed& done);
   void load(std::size_t n);
-  void apply_records(std::size_t n, bool chunks);
+  // Applies the chunk records to the cache, or all other records except the jobs' final states.
+  void apply_records(std::size_t n, bool only_chunks);
+  // Applies the changes that are at least `lag` seconds old to the cache.
   void apply_changes(std::size_t n, double lag);
+  // Applies all changes to the cache. Returns false if the records are not loaded yet or the state
+  // service is unreachable.
   bool catch_up(std::size_t n);
+  // Reads the job and chunk records among these keys again and applies them to the cache.
   void refresh(std::size_t n, const std::vector<std::string>& keys);
   void read_unresolved_dependencies(std::size_t n);
 
-  // The loops.
+  // --- the process's loops
   void renew_lease(std::size_t n);
-  // Registers a new incarnation with a new lease. False: that failed.
+  // Registers a new incarnation with a new lease. Returns false if the commit failed.
   bool join(std::size_t n);
   void propose_changes(std::size_t n);
   void sync_peers(std::size_t n);
   void sync_peer(std::size_t from, std::size_t to);
   void run_round(std::size_t n, ProtocolObserver& observer);
   void send_offers(std::size_t n);
-  // Plans and commits once. False: nothing is left to do in this round.
+  // Plans and commits once. Returns whether the round must plan again.
   bool plan_once(std::size_t n, ProtocolObserver& observer);
   void send_commands(std::size_t n, const std::vector<coordination::CommandBatch>& batches,
                      ProtocolObserver& observer);
--- a/tests/simulation/simulated_jobs.h
+++ b/tests/simulation/simulated_jobs.h
@@ -1,4 +1,5 @@
-// The jobs that users submitted, what they were told of them, and what their tasks did.
+// The jobs that users of a simulated cluster submitted, with the answers that users received and the
+// progress of the jobs' tasks.
 #pragma once
 
 #include <map>
@@ -16,24 +17,25 @@
 using base::TaskId;
 using base::TaskNo;
 
-// Times are seconds of the scenario.
+// Points in time are seconds since the start of the scenario.
 struct SimulatedJob {
   protocol::JobSpec spec;
   double run_s = 10;                  // how long each task runs
-  std::optional<double> fails_after;  // submitted with a mistake: each task fails after so long
+  std::optional<double> fails_after;  // if set, each task fails after running for this long
   double submitted_at = 0;
   bool is_accepted = false;
   bool is_cancel_asked = false;
-  std::optional<double> cancelled_at;  // when its user was told so
-  std::string told_final;              // "done" or "cancelled", once a user was told so
-  double last_answered_at = 0;         // when a question about it was last answered
-  // Since when all jobs that it needs are done on record (from its submission, if it needs none).
+  std::optional<double> cancelled_at;  // when the cancellation was confirmed to the user
+  std::string told_final;              // "done" or "cancelled" once a user received that status
+  double last_answered_at = 0;         // when a status request for the job was last answered
+  // When the final records of all dependencies said that they are done. A job without dependencies is
+  // ready from its submission on.
   std::optional<double> ready_since;
-  std::optional<double> began_at;
-  // How long it waited for its first task, since it was ready or since the end of all troubles.
+  std::optional<double> began_at;  // when its first task started
+  // How long the job waited for its first task, from when it was ready or the last fault ended.
   double waited_s = 0;
-  std::set<TaskNo> done;
-  std::size_t starts = 0;  // of its tasks, repeated ones included
+  std::set<TaskNo> done;   // tasks that ended successfully
+  std::size_t starts = 0;  // starts of its tasks, including restarts
 };
 
 class SimulatedJobs {
@@ -41,21 +43,23 @@
   explicit SimulatedJobs(const SimulatedStateService& state) : state_(state) {}
 
   SimulatedJob& add(const SimulatedJob& job) { return jobs_[job.spec.id] = job; }
-  // Null: no user submitted it.
+  // Returns the job, or null if no user submitted it.
   const SimulatedJob* find(const JobId& id) const;
   SimulatedJob* find(const JobId& id);
-  // Throws std::out_of_range if no user submitted it.
+  // Returns the job. Throws std::out_of_range if no user submitted it.
   const SimulatedJob& at(const JobId& id) const { return jobs_.at(id); }
   SimulatedJob& at(const JobId& id) { return jobs_.at(id); }
   std::map<JobId, SimulatedJob>& all() { return jobs_; }
   const std::map<JobId, SimulatedJob>& all() const { return jobs_; }
 
-  // Is every job that it needs done, by what its tasks did and by its final record?
+  // Returns whether all dependencies of the job are done: all their tasks ended successfully and their
+  // final records say so.
   bool dependencies_are_done(const SimulatedJob& job) const;
-  // When the user of a job that it depends on, through any number of steps, was first told of its
-  // cancellation.
+  // Returns when the cancellation of a direct or indirect dependency of the job was first confirmed to
+  // a user, or std::nullopt if none was.
   std::optional<double> dependency_cancelled_at(const SimulatedJob& job) const;
-  // Was the cancellation of the job asked for, or that of one that it depends on confirmed?
+  // Returns whether the job's cancellation was requested or the cancellation of one of its direct or
+  // indirect dependencies was confirmed.
   bool is_cancellation_asked(const SimulatedJob& job) const;
 
  private:
--- a/tests/simulation/simulated_machine.h
+++ b/tests/simulation/simulated_machine.h
@@ -1,4 +1,4 @@
-// One machine of a simulated cluster, with the state of its agent and its tasks.
+// A machine of a simulated cluster, with the state of its agent and of its task attempts.
 #pragma once
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 
 struct SimulatedAttempt {
   std::uint64_t attempt = 0;
-  std::string state, cause;  // in the words of the wire
+  std::string state, cause;  // as the protocol writes them
   double image_ready_at = 0, ends_at = 0;
 
   bool is_active() const { return state != "ended"; }
@@ -26,27 +26,28 @@
   }
 };
 
-// Times are seconds of the scenario.
+// Points in time are seconds since the start of the scenario.
 struct SimulatedMachine {
   std::string id, type, zone;
   bool is_spot = false;
   bool is_alive = true;
-  bool is_hung = false;                // it stands still; commands wait for it
-  bool is_faulty = false;              // it fails all that it starts
-  bool is_silent = false;              // it reaches no controller, but commands reach it
-  bool is_half_open = false;           // its heartbeats arrive, but nothing reaches it
-  std::optional<double> copies_delay;  // a copy of each heartbeat arrives so much later, everywhere
-  double up_at = 0;
-  std::optional<double> spot_ends_at;  // the cloud takes it back then
+  bool is_hung = false;       // does not respond until it resumes; commands to it wait
+  bool is_faulty = false;     // every task that it starts fails
+  bool is_silent = false;     // its heartbeats reach no controller, but commands reach it
+  bool is_half_open = false;  // its heartbeats arrive, but replies and commands do not reach it
+  // If set, a copy of each heartbeat arrives at all controllers after this many seconds.
+  std::optional<double> copies_delay;
+  double up_at = 0;                    // when it has booted
+  std::optional<double> spot_ends_at;  // when the cloud reclaims the spot machine
   std::uint64_t agent_incarnation = 1, sequence = 0, fencing_token = 0;
   double last_answered_at = 0;  // when its last answered heartbeat was sent
   double next_heartbeat_at = 0;
-  std::size_t controller = 0;  // to which its heartbeats go
+  std::size_t controller = 0;  // the index of the controller that its heartbeats go to
   std::map<TaskId, std::vector<SimulatedAttempt>> tasks;
 
   double cores() const { return type == "big" ? 8 : 4; }
   bool is_up(double now) const { return is_alive && now >= up_at; }
-  // Can work that is placed on it be expected to run?
+  // Returns whether a task that is placed on the machine can be expected to run.
   bool is_usable(double now) const {
     return is_up(now) && !is_hung && !is_faulty && !is_half_open && !is_silent && !spot_ends_at;
   }
--- a/tests/simulation/simulated_network.cpp
+++ b/tests/simulation/simulated_network.cpp
@@ -8,8 +8,8 @@
   return name;
 }
 
-bool SimulatedNetwork::is_cut(const std::string& a, const std::string& b) const {
-  return cuts_.contains({a, b}) || cuts_.contains({b, a});
+bool SimulatedNetwork::is_cut(const std::string& first, const std::string& second) const {
+  return cuts_.contains({first, second}) || cuts_.contains({second, first});
 }
 
 }  // namespace saddleslip::testing
--- a/tests/simulation/simulated_network.h
+++ b/tests/simulation/simulated_network.h
@@ -1,4 +1,5 @@
-// The links of a simulated cluster: which of them are cut, and how a cut shows to the sender.
+// The network of a simulated cluster: which links are cut, and whether a sender over a cut link gets
+// an error or a timeout.
 #pragma once
 
 #include <compare>
@@ -8,20 +9,21 @@
 
 namespace saddleslip::testing {
 
-// The name of a controller as an endpoint and as a member: n0, n1, ...
+// Returns a controller's name as a network endpoint and as a member: n0, n1, ...
 std::string controller_name(std::size_t controller);
 
-// Endpoints are named: a controller, a machine, a zone, "workers" (all machines) or "state".
+// Endpoints are identified by name: a controller, a machine, a zone, "workers" (all machines) or
+// "state" (the state service).
 class SimulatedNetwork {
  public:
   void cut(const std::string& from, const std::string& to) { cuts_.insert({from, to}); }
-  // Takes back a cut that was made with the endpoints in the same order.
-  void mend(const std::string& from, const std::string& to) { cuts_.erase({from, to}); }
-  // Is the link cut, in whichever order its endpoints are named?
-  bool is_cut(const std::string& a, const std::string& b) const;
+  // Restores a link. The endpoints must be given in the same order as when the link was cut.
+  void restore(const std::string& from, const std::string& to) { cuts_.erase({from, to}); }
+  // Returns whether the link between two endpoints is cut. The order of the endpoints is irrelevant.
+  bool is_cut(const std::string& first, const std::string& second) const;
   bool has_cuts() const { return !cuts_.empty(); }
 
-  // A silent cut gives the sender no error: it waits until its request times out.
+  // Over a silent cut, the sender gets no error and waits until its request times out.
   void set_silent_cuts(bool silent) { silent_cuts_ = silent; }
   bool cuts_are_silent() const { return silent_cuts_; }
 
--- a/tests/simulation/simulated_state_service.h
+++ b/tests/simulation/simulated_state_service.h
@@ -1,6 +1,6 @@
 // The state service of a simulated cluster: a versioned store with leases, conditional transactions
-// and an ordered history of changes. It can be down, lose the answer to a commit, or carry a commit
-// out late.
+// and an ordered history of changes. Its simulated faults are an outage, the lost answer to a commit,
+// and a commit that is applied late.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +22,7 @@
   struct Record {
     protocol::Json value;
     std::uint64_t version = 0;
-    std::uint64_t lease = 0;  // 0: it belongs to no lease
+    std::uint64_t lease = 0;  // 0 if the record belongs to no lease
   };
   struct Change {
     std::uint64_t revision;
@@ -33,39 +33,41 @@
   SimulatedStateService(const SimulatedClock& clock, const SimulatedNetwork& network)
       : clock_(clock), network_(network) {}
 
-  // Expires leases and carries out the late commits that are due.
+  // Expires leases and applies the late commits that are due.
   void step();
 
-  // While it is down nobody reaches it and no lease expires. As it comes up all leases begin anew.
+  // While the service is down, it is unreachable and no lease expires. When it comes up again, every
+  // lease gets its full TTL.
   void set_down(bool down);
   bool is_down() const { return down_; }
   bool is_reachable_from(std::size_t controller) const;
 
-  // Reads one record. Unanswered if the controller does not reach the service.
+  // Reads one record. The result is marked as unanswered if the controller cannot reach the service.
   protocol::StateClient::Got get(std::size_t controller, const std::string& key) const;
-  // The record under this key; null: there is none.
+  // Returns the record under this key, or null if there is none.
   const Record* find(const std::string& key) const;
   const std::map<std::string, Record>& records() const { return records_; }
   const std::vector<Change>& changes() const { return changes_; }
   std::uint64_t revision() const { return revision_; }
 
-  // Carries out a transaction if its preconditions hold and its leases live.
+  // Applies a transaction if its preconditions hold and its leases have not expired.
   protocol::StateClient::Committed apply(const protocol::Transaction& txn);
-  // Writes a record that no controller wrote.
+  // Writes a record directly, as a scenario does for a record that no controller would write.
   void put(const std::string& key, const protocol::Json& value);
 
   base::LeaseId grant_lease(double ttl);
-  // False: the lease has expired.
+  // Returns false if the lease has expired.
   bool renew_lease(base::LeaseId lease);
 
-  // The answer to this controller's next commit is lost.
+  // Loses the answer to this controller's next commit.
   void lose_next_answer(std::size_t controller) { lost_answers_.insert(controller); }
-  // Is the answer to the commit that was just carried out lost? Holds for one commit.
+  // Returns whether the answer to the commit that was just applied is lost, and clears that fault.
   bool loses_answer(std::size_t controller) { return lost_answers_.erase(controller) > 0; }
-  // This controller's next commit is carried out so much later, and is not answered.
+  // Applies this controller's next commit after the given delay, without an answer.
   void delay_next_commit(std::size_t controller, double seconds) { delays_[controller] = seconds; }
+  // Returns whether a delay is set whose commit has not come yet.
   bool has_announced_delays() const { return !delays_.empty(); }
-  // Takes over a commit that is to be delayed. False: this one is not.
+  // Queues the controller's commit if a delay is set for it. Returns false if there is no delay.
   bool delays_commit(std::size_t controller, const protocol::Transaction& txn);
 
  private:
--- a/tests/simulation/simulated_users.cpp
+++ b/tests/simulation/simulated_users.cpp
@@ -55,7 +55,7 @@
   const JobId& id = job.spec.id;
   if (job.is_cancel_asked && !job.cancelled_at && job.told_final.empty()) {
     const auto reply = api.cancel(id, clock_.now());
-    // What is over already is answered "done", and stays so.
+    // A job that has already ended is answered `done` and is not cancelled.
     if (reply.status == kOk && Json::parse(reply.body)["status"] == "withdrawn")
       job.cancelled_at = clock_.seconds();
   }
--- a/tests/simulation/simulated_users.h
+++ b/tests/simulation/simulated_users.h
@@ -1,4 +1,4 @@
-// The users of a simulated cluster: they submit jobs, ask for cancellations, and poll for answers.
+// The users of a simulated cluster, who submit jobs, request cancellations and poll the jobs' status.
 #pragma once
 
 #include <cstddef>
@@ -18,17 +18,18 @@
                  SimulatedControllers& controllers, RuleChecks& rules, FailureLog& failures)
       : clock_(clock), jobs_(jobs), controllers_(controllers), rules_(rules), failures_(failures) {}
 
-  // Submits a job. One that is not accepted is submitted to n0 again with each poll.
+  // Submits a job. A job that is not accepted is submitted again, to n0, with each poll.
   void submit(std::size_t controller, const SimulatedJob& job);
-  // Asks for a cancellation from the next step on, until it is confirmed.
+  // Requests the job's cancellation with every poll, the next of which follows in the next step, until
+  // a controller confirms it.
   void cancel(const JobId& id);
-  // No user reaches this controller any more, so that no question refreshes its cache.
+  // Sends no more polls to this controller, so that no status request refreshes its cache.
   void avoid(std::size_t controller) { avoided_.insert(controller); }
 
   bool is_poll_due() const { return clock_.seconds() >= next_poll_at_; }
-  // Asks every controller about every job.
+  // Requests every job's status from every controller.
   void poll();
-  // No controller may know of a job that nobody submitted.
+  // Checks that no controller returns the status of a job that nobody submitted.
   void ask_for_unknown_job();
 
  private:
--- a/tests/simulation/simulated_workers.cpp
+++ b/tests/simulation/simulated_workers.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr double kImagePull = 0.5;            // seconds
-constexpr double kRequestTimeout = 4;         // where nothing refuses the connection
-constexpr double kRetryNextController = 1.0;  // after a controller that does not answer
+constexpr double kImagePull = 0.5;
+constexpr double kRequestTimeout = 4;         // for a request that gets neither answer nor error
+constexpr double kRetryNextController = 1.0;  // after a controller did not answer
 constexpr double kRetryRedirected = 0.1;
 constexpr double kHeartbeatAfterChange = 0.2;
 constexpr double kHeartbeatAfterCommands = 0.5;
@@ -129,7 +129,7 @@
                                     ProtocolObserver& observer) {
   const double now = clock_.seconds();
   if (machine.spot_ends_at && now >= *machine.spot_ends_at) return machine.die();
-  // A hung machine may go on at any time within its lease, not after it.
+  // A hung machine keeps its tasks only until its lease expires, as an agent's lease does not wait.
   if (now - machine.last_answered_at > config_.lease_s) begin_agent_incarnation(machine);
   if (machine.is_hung) return;
   bool changed = false;
@@ -252,7 +252,7 @@
                {"strides", tasks}};
   if (machine.spot_ends_at) json["recall_s"] = *machine.spot_ends_at - clock_.seconds();
   auto heartbeat = protocol::parse_heartbeat(json.dump());
-  if (!heartbeat) failures_.add("a simulated worker's heartbeat can't be parsed");
+  if (!heartbeat) failures_.add("heartbeat of a simulated worker cannot be parsed");
   return *heartbeat;
 }
 
--- a/tests/simulation/simulated_workers.h
+++ b/tests/simulation/simulated_workers.h
@@ -1,4 +1,5 @@
-// The machines of a simulated cluster and their agents: tasks, heartbeats, commands, agent leases.
+// The machines of a simulated cluster and their agents, which run tasks, send heartbeats, execute
+// commands and lose their tasks when their lease expires.
 #pragma once
 
 #include <cstddef>
@@ -24,7 +25,7 @@
 
 class SimulatedWorkers {
  public:
-  // What the workers read of the cluster.
+  // The parts of the simulated cluster that the workers read.
   struct Surroundings {
     const SimulatedClock& clock;
     const ClusterConfig& config;
@@ -41,25 +42,27 @@
 
   void add(const std::string& id, const std::string& type, const std::string& zone, bool is_spot,
            double up_at);
-  // Adds machines of a large fleet, numbered on: f1001, f1002, ...
+  // Adds machines to the fleet, whose machines are numbered consecutively: f1001, f1002, ...
   void add_fleet(std::size_t count, const std::string& type, const std::string& zone);
   std::vector<SimulatedMachine*> every_nth_of_fleet(std::size_t n);
   void remove(const std::string& id) { machines_.erase(id); }
-  // It comes back up empty, with its next agent incarnation, before it was missed.
+  // Restarts a machine without its tasks and with its next agent incarnation. It is up again after
+  // the given time.
   void reboot(const std::string& id, double seconds);
-  // Throws std::out_of_range if there is no such machine.
+  // Returns the machine. Throws std::out_of_range if there is none with this id.
   SimulatedMachine& at(const std::string& id) { return machines_.at(id); }
-  // Null: there is no such machine.
+  // Returns the machine, or null if there is none with this id.
   const SimulatedMachine* find(const std::string& id) const;
   std::map<std::string, SimulatedMachine>& all() { return machines_; }
   const std::map<std::string, SimulatedMachine>& all() const { return machines_; }
 
-  // How many of a job's tasks run on machines that do not hang?
+  // Counts the job's running tasks, without those on hung machines.
   std::size_t running_tasks(const JobId& job) const;
 
-  // Delivers late copies of heartbeats, runs the tasks and sends the heartbeats that are due.
+  // Delivers delayed copies of heartbeats, advances the tasks and sends the heartbeats that are due.
   void step(ControllerEndpoints& controllers, ProtocolObserver& observer);
-  // Gives a machine a batch of commands. Returns its status as the reply; none if nothing reaches it.
+  // Delivers a batch of commands to a machine. Returns the heartbeat with which it replies, or
+  // std::nullopt if the machine cannot be reached.
   std::optional<protocol::Heartbeat> deliver(const coordination::CommandBatch& batch);
 
  private:
--- a/tests/simulation/trouble_tracker.h
+++ b/tests/simulation/trouble_tracker.h
@@ -1,4 +1,5 @@
-// Whether a simulated cluster has troubles that excuse waiting: cuts, outages, lags, controllers away.
+// Tracks faults that excuse waiting jobs in a simulated cluster: cut links, an outage of the state
+// service, delayed commits, watch lags, and controllers that are down, loading or frozen.
 #pragma once
 
 #include "simulation/simulated_clock.h"
@@ -14,12 +15,13 @@
                  const SimulatedStateService& state, const SimulatedControllers& controllers)
       : clock_(clock), network_(network), state_(state), controllers_(controllers) {}
 
+  // Returns whether the cluster has such a fault now.
   bool is_troubled() const;
-  // To be called regularly: notes the time if there are troubles.
+  // Records the current time if there is a fault now. Must be called regularly.
   void update() {
     if (is_troubled()) last_troubled_at_ = clock_.seconds();
   }
-  // Seconds of the scenario; 0: never.
+  // Returns when `update` last saw a fault, in seconds since the start of the scenario; 0 if never.
   double last_troubled_at() const { return last_troubled_at_; }
 
  private:
--- a/tests/simulation/user_commands.cpp
+++ b/tests/simulation/user_commands.cpp
@@ -1,4 +1,4 @@
-// Commands for what users do, and for the passing of time.
+// Scenario commands for user actions, for advancing the time and for expectations.
 #include <sstream>
 
 #include "simulation/scenario_commands.h"
@@ -7,7 +7,7 @@
 
 namespace {
 
-// The options of `submit`: key=value.
+// The options of the command `submit`, in the form key=value.
 class JobOptions {
  public:
   explicit JobOptions(CommandLine& line) : options_(line.options()) {}
@@ -95,12 +95,12 @@
 constexpr ScenarioCommand kCommands[] = {
     {"submit", "ID array|service|gang [KEY=VALUE ...]",
      "keys: tasks cores memory run rank team class deadline estimate controller type zone spot "
-     "one_zone spread fails (each task fails after so long) follows (ID,ID)",
+     "one_zone spread fails (seconds until each task fails) follows (ID,ID)",
      play_submit},
-    {"cancel", "ID", "asks for a job's cancellation until it is confirmed", play_cancel},
-    {"unasked", "CONTROLLER", "no user reaches this controller any more", play_unasked},
-    {"run", "SECONDS", "lets the time pass", play_run},
-    {"expect", "EXPECTATION", "fails the scenario if it does not hold now", play_expect},
+    {"cancel", "ID", "requests a job's cancellation until it is confirmed", play_cancel},
+    {"unasked", "CONTROLLER", "users send no more requests about their jobs to this controller", play_unasked},
+    {"run", "SECONDS", "advances the simulated time", play_run},
+    {"expect", "EXPECTATION", "fails the scenario if the expectation is not met now", play_expect},
 };
 
 }  // namespace
--- a/tests/simulation/whole_day_checks.cpp
+++ b/tests/simulation/whole_day_checks.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr double kForgottenAfter = 75;  // seconds
+constexpr double kForgottenAfter = 75;
 constexpr double kLeftWaitingAfter = 90;
-constexpr double kTolerance = 1e-6;  // of sums of cores
+constexpr double kTolerance = 1e-6;  // rounding error when cores are added up
 
 }  // namespace
 
@@ -71,10 +71,12 @@
   for (const auto& [id, job] : jobs_.all()) {
     const protocol::JobSpec& spec = job.spec;
     Waiting& waiting = waiting_[id];
-    // A job that fails wherever it runs never ends: it is left waiting if it is not tried again.
+    // A job whose tasks always fail never ends. It counts as left waiting only if no task of it is
+    // started again.
     if (job.fails_after && job.starts > waiting.starts_seen) waiting.capacity_since.reset();
     waiting.starts_seen = job.starts;
-    // Gangs and jobs bound to one zone or spread need more than one machine's capacity.
+    // The free capacity of a single machine does not show that a gang can start, nor a job that must
+    // stay in one zone or be spread over zones.
     const bool is_bound = spec.kind == protocol::Kind::kGang || spec.one_zone || spec.spread;
     const bool could_run = !is_troubled && !is_bound && has_waiting_tasks(job, now_used) &&
                            is_within_quota(spec, now_used) && has_free_capacity(spec, now_used);
@@ -83,7 +85,7 @@
     } else if (!waiting.capacity_since) {
       waiting.capacity_since = clock_.seconds();
     } else if (clock_.seconds() - *waiting.capacity_since > kLeftWaitingAfter) {
-      failures_.add("left waiting: " + id.get() + " though a machine has room for it");
+      failures_.add("left waiting: " + id.get() + " although a machine has free capacity for it");
     }
   }
 }
@@ -92,7 +94,7 @@
   for (const auto& [id, job] : jobs_.all()) {
     const double since = std::max(job.last_answered_at, troubles_.last_troubled_at());
     if (job.is_accepted && clock_.seconds() - since > kForgottenAfter)
-      failures_.add("forgotten: no question about " + id.get() + " is answered");
+      failures_.add("forgotten: no question about " + id.get() + " was answered in time");
   }
 }
 
--- a/tests/simulation/whole_day_checks.h
+++ b/tests/simulation/whole_day_checks.h
@@ -1,5 +1,6 @@
-// The operators' checks of a whole day: no job is forgotten or left waiting, and each class and team
-// is served.
+// Checks over a whole scenario, as operators would make them over a day: status requests for every job
+// are answered, no job waits while there is capacity for it, and each class and team gets its jobs
+// started.
 #pragma once
 
 #include <map>
@@ -18,9 +19,9 @@
 
 class WholeDayChecks {
  public:
-  static constexpr double kServedWithin = 240;  // seconds
+  static constexpr double kServedWithin = 240;
 
-  // What the checks are about.
+  // The parts of the simulated cluster that the checks read.
   struct Subjects {
     const SimulatedClock& clock;
     const ClusterConfig& config;
@@ -36,23 +37,24 @@
         troubles_(subjects.troubles),
         failures_(failures) {}
 
-  // Is a task left waiting though a machine that fits has free capacity and its team is within its
-  // quota? To be called regularly.
+  // Checks that no task keeps waiting although a suitable machine has free capacity and its team is
+  // within its quota. Must be called regularly.
   void check_waiting();
-  // Are questions about each accepted job answered?
+  // Checks that status requests for each accepted job are answered.
   void check_forgotten();
-  // Half of each class, of each team, and of each class's largest jobs must be served, of those that
-  // have had so many seconds for it. A day that fails this counts for nothing.
+  // Checks that at least half of the jobs have started in each class, in each team and among each
+  // class's largest jobs. Only jobs that have been ready for `after` seconds without a fault count. A
+  // scenario that fails this check proves nothing about the other rules.
   void check_served(double after);
 
  private:
-  // What is in use now.
+  // The cores that are in use now, and the active tasks of each job.
   struct Usage {
     std::map<std::string, double> cores_by_team, cores_by_machine;
     std::map<JobId, std::set<TaskNo>> active_tasks;
   };
   struct Waiting {
-    std::optional<double> capacity_since;  // since when a machine has free capacity for it
+    std::optional<double> capacity_since;  // since when the job could start a task
     std::size_t starts_seen = 0;
   };
   struct Served {
