--- a/tests/simulation/cluster_config.cpp
+++ b/tests/simulation/cluster_config.cpp
@@ -10,8 +10,8 @@
 using protocol::Json;
 
 Json state_section(const ClusterConfig::StateLimits& limits) {
-  return {{"value_kb", static_cast<double>(limits.value_bytes) / 1024.0},
-          {"txn_ops", limits.writes}};
+  return {{"value_kb", static_cast<double>(limits.max_value_bytes) / 1024.0},
+          {"txn_ops", limits.max_writes}};
 }
 
 Json teams_section(const std::vector<ClusterConfig::TeamQuota>& teams) {
@@ -42,12 +42,14 @@
       {"settings",
        {{"size", controller_count},
         {"teams", teams_section(teams)},
-        {"workers", {{"report_s", heartbeat_s}, {"lease_s", lease_s}, {"cancel_s", cancel_s}}},
+        {"workers",
+         {{"report_s", heartbeat_period_s}, {"lease_s", agent_lease_s}, {"cancel_s", cancel_s}}},
         {"cloud", {{"list_lag_s", 5}}}}}};
   if (state_limits) json["settings"]["state"] = state_section(*state_limits);
-  if (next_limits && is_upgraded) json["settings"]["state"]["next"] = state_section(*next_limits);
+  if (next_state_limits && is_upgraded)
+    json["settings"]["state"]["next"] = state_section(*next_state_limits);
   base::Settings settings = base::parse_settings(json.dump());
-  base::apply_tuning(settings, tuning);
+  base::apply_tuning(settings, operator_settings);
   return settings;
 }
 
--- a/tests/simulation/command_channel.cpp
+++ b/tests/simulation/command_channel.cpp
@@ -4,13 +4,13 @@
 
 namespace {
 
-constexpr double kRepeatAfter = 20;
+constexpr double kDuplicateDelaySeconds = 20;
 
 }  // namespace
 
 void CommandChannel::send(std::size_t from, const coordination::CommandBatch& batch,
                           ControllerEndpoints& controllers) {
-  if (lost_) return;
+  if (dropping_) return;
   if (clock_.seconds() < hold_until_) {
     pending_.push_back({hold_until_, from, batch});
     return;
@@ -24,7 +24,7 @@
     return;
   }
   deliver(from, batch, controllers);
-  if (repeated_) pending_.push_back({clock_.seconds() + kRepeatAfter, from, batch});
+  if (duplicating_) pending_.push_back({clock_.seconds() + kDuplicateDelaySeconds, from, batch});
 }
 
 void CommandChannel::step(ControllerEndpoints& controllers) {
@@ -34,15 +34,15 @@
       ++i;
       continue;
     }
-    const Pending due = pending_[i];
+    const PendingBatch due = pending_[i];
     pending_.erase(pending_.begin() + static_cast<std::ptrdiff_t>(i));
     deliver(due.from, due.batch, controllers);
   }
 }
 
 bool CommandChannel::is_hung(const base::MachineId& machine) const {
-  const SimulatedMachine* at = workers_.find(machine.get());
-  return at && at->is_hung;
+  const SimulatedMachine* found = workers_.find(machine.get());
+  return found && found->is_hung;
 }
 
 void CommandChannel::deliver(std::size_t from, const coordination::CommandBatch& batch,
--- a/tests/simulation/command_channel.h
+++ b/tests/simulation/command_channel.h
@@ -14,6 +14,7 @@
 
 namespace saddleslip::testing {
 
+// Sends each batch of commands at once, or queues it until it is due.
 class CommandChannel {
  public:
   CommandChannel(const SimulatedClock& clock, const SimulatedNetwork& network,
@@ -21,20 +22,21 @@
       : clock_(clock), network_(network), workers_(workers) {}
 
   // Holds back the commands that are sent within the given time and delivers them at its end.
-  void hold(double seconds) { hold_until_ = clock_.seconds() + seconds; }
-  void set_lost(bool lost) { lost_ = lost; }
+  void hold_for(double seconds) { hold_until_ = clock_.seconds() + seconds; }
+  // Sets whether every batch that is sent is lost.
+  void set_dropping(bool dropping) { dropping_ = dropping; }
   // Sets whether every delivered batch is delivered a second time, 20 seconds later.
-  void set_repeated(bool repeated) { repeated_ = repeated; }
+  void set_duplicating(bool duplicating) { duplicating_ = duplicating; }
 
-  // Delivers a batch now, unless commands are held back or lost, a link is cut or the machine hangs.
-  // The machine's reply goes to the sending controller.
+  // Delivers a batch now, unless commands are held back or lost, a link is cut or the machine
+  // hangs. The machine's reply goes to the sending controller.
   void send(std::size_t from, const coordination::CommandBatch& batch,
             ControllerEndpoints& controllers);
   // Delivers the batches that are due.
   void step(ControllerEndpoints& controllers);
 
  private:
-  struct Pending {
+  struct PendingBatch {
     std::optional<double> due_at;  // without a value: as soon as the machine no longer hangs
     std::size_t from;
     coordination::CommandBatch batch;
@@ -47,10 +49,10 @@
   const SimulatedClock& clock_;
   const SimulatedNetwork& network_;
   SimulatedWorkers& workers_;
-  std::vector<Pending> pending_;
+  std::vector<PendingBatch> pending_;
   double hold_until_ = -1;
-  bool lost_ = false;
-  bool repeated_ = false;
+  bool dropping_ = false;
+  bool duplicating_ = false;
 };
 
 }  // namespace saddleslip::testing
--- a/tests/simulation/command_line.h
+++ b/tests/simulation/command_line.h
@@ -17,19 +17,19 @@
 
   const std::string& command() const { return command_; }
   // Returns the next argument, or an empty string if there is none.
-  std::string text();
-  double number() { return std::stod(text()); }
+  std::string next_text();
+  double next_number() { return std::stod(next_text()); }
   // Returns the next argument as a number, or std::nullopt if there is no further argument.
-  std::optional<double> optional_number();
-  std::size_t count() { return std::stoul(text()); }
+  std::optional<double> next_optional_number();
+  std::size_t next_count() { return std::stoul(next_text()); }
   // Reads a controller's name (n0, n1, ...) and returns the controller's index.
-  std::size_t controller() { return std::stoul(text().substr(1)); }
+  std::size_t next_controller() { return std::stoul(next_text().substr(1)); }
   // Reads the next argument and returns whether it is this word.
-  bool is(const std::string& word) { return text() == word; }
+  bool next_is(const std::string& word) { return next_text() == word; }
   // Returns the rest of the line, with the space before it.
-  std::string rest();
+  std::string remaining_text();
   // Returns the remaining arguments, which have the form key=value. A key alone gets the value 1.
-  std::map<std::string, std::string> options();
+  std::map<std::string, std::string> remaining_options();
 
  private:
   std::istringstream in_;
--- a/tests/simulation/controller_process.h
+++ b/tests/simulation/controller_process.h
@@ -19,21 +19,21 @@
   std::unique_ptr<coordination::Controller> controller;
   std::unique_ptr<UserApi> user_api;
   std::unique_ptr<std::mutex> mutex;
-  bool is_upgraded = false;  // runs the current version, which observes `next_limits`
+  bool is_upgraded = false;  // runs the current version, which observes `next_state_limits`
   bool is_up = false;
   bool is_loaded = false;
   bool is_round_due = true;
   bool is_renewal_due = true;
   std::optional<base::LeaseId> lease;
-  double next_renewal_at = 0, next_round_at = 0, next_peer_sync_at = 0, next_fleet_plan_at = 0;
-  double busy_until = 0;          // the process is blocked by a commit whose answer was lost
-  std::optional<double> back_at;  // when the process restarts after a crash
+  double next_renewal_at = 0, next_round_at = 0, next_peer_sync_at = 0, next_scaling_at = 0;
+  double blocked_until = 0;          // the process is blocked by a commit whose answer was lost
+  std::optional<double> restart_at;  // when the process restarts after a crash
   double frozen_until = -1;
   double watch_lag_s = 0;
-  double load_time_s = 0;                 // between loading the jobs and their tasks' chunk records
-  std::optional<double> reads_chunks_at;  // set while the records are being loaded
+  double chunk_load_delay_s = 0;         // between loading the jobs and their tasks' chunk records
+  std::optional<double> load_chunks_at;  // set while the records are being loaded
   std::uint64_t load_revision = 0;
-  std::uint64_t rentals = 0;
+  std::uint64_t rental_count = 0;
 
   bool is_serving() const { return is_up && is_loaded; }
 };
--- a/tests/simulation/expectations.cpp
+++ b/tests/simulation/expectations.cpp
@@ -5,24 +5,24 @@
 
 namespace {
 
-void expect_told(SimulatedCluster& cluster, CommandLine& line, const std::string& status) {
-  const SimulatedJob& job = cluster.jobs.at(JobId(line.text()));
-  if (job.told_final == status) return;
+void expect_final_status(SimulatedCluster& cluster, CommandLine& line, const std::string& status) {
+  const SimulatedJob& job = cluster.jobs.at(JobId(line.next_text()));
+  if (job.reported_final_status == status) return;
   cluster.failures.add("expected final status " + status + " of " + job.spec.id.get() + ", got '" +
-                       job.told_final + "'");
+                       job.reported_final_status + "'");
 }
 
 void expect_done(SimulatedCluster& cluster, CommandLine& line) {
-  expect_told(cluster, line, "done");
+  expect_final_status(cluster, line, "done");
 }
 
 void expect_cancelled(SimulatedCluster& cluster, CommandLine& line) {
-  expect_told(cluster, line, "cancelled");
+  expect_final_status(cluster, line, "cancelled");
 }
 
 void expect_running(SimulatedCluster& cluster, CommandLine& line) {
-  const JobId id(line.text());
-  const std::size_t expected = line.count();
+  const JobId id(line.next_text());
+  const std::size_t expected = line.next_count();
   const std::size_t running = cluster.workers.running_tasks(id);
   if (running == expected) return;
   cluster.failures.add("expected " + std::to_string(expected) + " running tasks of " + id.get() +
@@ -30,21 +30,23 @@
 }
 
 void expect_began(SimulatedCluster& cluster, CommandLine& line) {
-  const SimulatedJob& job = cluster.jobs.at(JobId(line.text()));
-  const double within = line.number();
+  const SimulatedJob& job = cluster.jobs.at(JobId(line.next_text()));
+  const double within = line.next_number();
   if (job.began_at && *job.began_at - job.submitted_at <= within) return;
-  cluster.failures.add("expected " + job.spec.id.get() + " to start its first task within this many seconds: " +
-                       std::to_string(within));
+  cluster.failures.add(
+      "expected " + job.spec.id.get() +
+      " to start its first task within this many seconds: " + std::to_string(within));
 }
 
 void expect_served(SimulatedCluster& cluster, CommandLine&) {
-  cluster.whole_day.check_served(0);
+  cluster.whole_day.check_served_share(0);
 }
 
 void expect_submit(SimulatedCluster& cluster, CommandLine& line) {
   constexpr int kUnavailable = 503;
-  const int status = static_cast<int>(line.count());
-  const auto reply = cluster.controllers.user_api(0).submit(line.rest(), cluster.clock.now());
+  const int status = static_cast<int>(line.next_count());
+  const auto reply =
+      cluster.controllers.user_api(0).submit(line.remaining_text(), cluster.clock.now());
   if (reply.status != status) {
     cluster.failures.add("expected HTTP status " + std::to_string(status) + ", got " +
                          std::to_string(reply.status) + " " + reply.body);
@@ -55,7 +57,7 @@
 
 void expect_at_most(SimulatedCluster& cluster, CommandLine& line, const std::string& counted,
                     std::size_t actual) {
-  const std::size_t maximum = line.count();
+  const std::size_t maximum = line.next_count();
   if (actual <= maximum) return;
   cluster.failures.add("expected at most " + std::to_string(maximum) + " " + counted + ", got " +
                        std::to_string(actual));
@@ -67,7 +69,8 @@
 }
 
 void expect_most_releases(SimulatedCluster& cluster, CommandLine& line) {
-  expect_at_most(cluster, line, "releases", static_cast<std::size_t>(cluster.cloud.releases()));
+  expect_at_most(cluster, line, "releases",
+                 static_cast<std::size_t>(cluster.cloud.release_count()));
 }
 
 void expect_most_starts(SimulatedCluster& cluster, CommandLine& line) {
@@ -75,22 +78,23 @@
 }
 
 void expect_most_starts_of(SimulatedCluster& cluster, CommandLine& line) {
-  const JobId id(line.text());
-  expect_at_most(cluster, line, "starts of " + id.get(), cluster.jobs.at(id).starts);
+  const JobId id(line.next_text());
+  expect_at_most(cluster, line, "starts of " + id.get(), cluster.jobs.at(id).start_count);
 }
 
 void expect_released(SimulatedCluster& cluster, CommandLine& line) {
-  const std::string id = line.text();
+  const std::string id = line.next_text();
   if (cluster.workers.find(id)) cluster.failures.add("expected machine " + id + " to be released");
 }
 
 void expect_kept(SimulatedCluster& cluster, CommandLine& line) {
-  const std::string id = line.text();
-  if (!cluster.workers.find(id)) cluster.failures.add("expected machine " + id + " not to be released");
+  const std::string id = line.next_text();
+  if (!cluster.workers.find(id))
+    cluster.failures.add("expected machine " + id + " not to be released");
 }
 
 void expect_machines(SimulatedCluster& cluster, CommandLine& line) {
-  const std::size_t expected = line.count();
+  const std::size_t expected = line.next_count();
   const std::size_t machines = cluster.workers.all().size();
   if (machines == expected) return;
   cluster.failures.add("expected " + std::to_string(expected) + " machines, got " +
@@ -99,11 +103,16 @@
 
 constexpr ScenarioCommand kExpectations[] = {
     {"done", "ID", "a user received the final status `done` for the job", expect_done},
-    {"cancelled", "ID", "a user received the final status `cancelled` for the job", expect_cancelled},
+    {"cancelled", "ID", "a user received the final status `cancelled` for the job",
+     expect_cancelled},
     {"running", "ID COUNT", "COUNT of the job's tasks are running now", expect_running},
-    {"began", "ID SECONDS", "the job's first task started within SECONDS of the submission", expect_began},
-    {"served", "", "at least half of the jobs of each class, of each team and of each class's largest started", expect_served},
-    {"submit", "STATUS BODY", "n0 answers the submission BODY with this HTTP status", expect_submit},
+    {"began", "ID SECONDS", "the job's first task started within SECONDS of the submission",
+     expect_began},
+    {"served", "",
+     "at least half of the jobs of each class, of each team and of each class's largest started",
+     expect_served},
+    {"submit", "STATUS BODY", "n0 answers the submission BODY with this HTTP status",
+     expect_submit},
     {"released", "MACHINE", "the machine was released to the cloud", expect_released},
     {"kept", "MACHINE", "the machine was not released to the cloud", expect_kept},
     {"machines", "COUNT", "the cluster has COUNT machines", expect_machines},
--- a/tests/simulation/failure_log.cpp
+++ b/tests/simulation/failure_log.cpp
@@ -11,7 +11,7 @@
   lines_.push_back(out.str());
 }
 
-void FailureLog::add_position(int line_number, const std::string& line) {
+void FailureLog::add_scenario_line(int line_number, const std::string& line) {
   lines_.push_back("in line " + std::to_string(line_number) + ": " + line);
 }
 
--- a/tests/simulation/failure_log.h
+++ b/tests/simulation/failure_log.h
@@ -8,6 +8,7 @@
 
 namespace saddleslip::testing {
 
+// Collects failure messages, each with the simulated time at which it was recorded.
 class FailureLog {
  public:
   explicit FailureLog(const SimulatedClock& clock) : clock_(clock) {}
--- a/tests/simulation/protocol_observer.h
+++ b/tests/simulation/protocol_observer.h
@@ -10,6 +10,7 @@
 
 struct SimulatedMachine;
 
+// Receives the start of tasks, as commanded by controllers and as carried out by machines.
 class ProtocolObserver {
  public:
   virtual ~ProtocolObserver() = default;
--- a/tests/simulation/scenario_commands.cpp
+++ b/tests/simulation/scenario_commands.cpp
@@ -10,9 +10,10 @@
 using Commands = std::span<const ScenarioCommand>;
 
 const ScenarioCommand* find_in(Commands commands, std::string_view name) {
-  const auto at = std::find_if(commands.begin(), commands.end(),
-                               [&](const ScenarioCommand& c) { return c.name == name; });
-  return at == commands.end() ? nullptr : &*at;
+  const auto found =
+      std::find_if(commands.begin(), commands.end(),
+                   [&](const ScenarioCommand& command) { return command.name == name; });
+  return found == commands.end() ? nullptr : &*found;
 }
 
 std::array<Commands, 4> command_groups() {
--- a/tests/simulation/scenario_commands.h
+++ b/tests/simulation/scenario_commands.h
@@ -11,6 +11,7 @@
 
 namespace saddleslip::testing {
 
+// A command or an expectation, with its arguments and summary for the help text.
 struct ScenarioCommand {
   std::string_view name;
   std::string_view arguments;
--- a/tests/simulation/scenario_player.cpp
+++ b/tests/simulation/scenario_player.cpp
@@ -21,9 +21,9 @@
     ++number;
     if (line.empty() || line[0] == '#') continue;
     play_command(line);
-    if (!failures.empty()) failures.add_position(number, line);
+    if (!failures.empty()) failures.add_scenario_line(number, line);
   }
-  if (failures.empty()) cluster_.whole_day.check_served(WholeDayChecks::kServedWithin);
+  if (failures.empty()) cluster_.whole_day.check_served_share(WholeDayChecks::kServedWithinSeconds);
   if (cluster_.rules.starts() == 0 && failures.empty()) failures.add("nothing_ran");
   return failures.lines();
 }
@@ -37,15 +37,15 @@
 }
 
 void ScenarioPlayer::repeat(CommandLine& line) {
-  const std::size_t times = line.count();
-  const double every = line.number();
-  const std::string command = line.rest();
+  const std::size_t times = line.next_count();
+  const double interval_s = line.next_number();
+  const std::string command = line.remaining_text();
   for (std::size_t i = 0; i < times && cluster_.failures.empty(); ++i) {
     std::string numbered = command;
-    if (const auto at = numbered.find('#'); at != std::string::npos)
-      numbered.replace(at, 1, std::to_string(kFirstRepetition + repetitions_++));
+    if (const auto found = numbered.find('#'); found != std::string::npos)
+      numbered.replace(found, 1, std::to_string(kFirstRepetition + repetitions_++));
     play_command(numbered);
-    cluster_.run(every);
+    cluster_.run(interval_s);
   }
 }
 
--- a/tests/simulation/scenario_trace.h
+++ b/tests/simulation/scenario_trace.h
@@ -1,4 +1,5 @@
-// A trace of a scenario's events, which allows comparing the decisions of two versions line by line.
+// A trace of a scenario's events, which allows comparing the decisions of two versions line by
+// line.
 #pragma once
 
 #include <fstream>
@@ -13,15 +14,15 @@
   void open(const std::string& scenario);
   bool is_open() const { return out_.is_open(); }
   // Writes an event's time and fields, separated by spaces.
-  template <class... Partitions>
-  void write(double at, const Partitions&... partitions) {
+  template <class... Fields>
+  void write(double seconds, const Fields&... fields) {
     if (!out_.is_open()) return;
-    out_ << at;
-    ((out_ << ' ' << partitions), ...);
+    out_ << seconds;
+    ((out_ << ' ' << fields), ...);
     out_ << '\n';
   }
   // Writes an event with the length and the hash of a text that is too long for the trace.
-  void write_digest(double at, const std::string& event, const std::string& text);
+  void write_digest(double seconds, const std::string& event, const std::string& text);
 
  private:
   std::ofstream out_;
--- a/tests/simulation/simulated_clock.h
+++ b/tests/simulation/simulated_clock.h
@@ -1,5 +1,5 @@
-// The clock of a simulated cluster. Time advances only in fixed steps, so that every run of a scenario
-// is identical.
+// The clock of a simulated cluster. Time advances only in fixed steps, so that every run of a
+// scenario is identical.
 #pragma once
 
 #include <chrono>
@@ -8,23 +8,25 @@
 
 namespace saddleslip::testing {
 
+// Simulated time, in seconds and as the readings of a controller's monotonic and wall clocks.
 class SimulatedClock {
  public:
-  static constexpr double kStep = 0.05;
+  static constexpr double kStepSeconds = 0.05;
 
   // Returns the seconds since the start of the scenario.
   double seconds() const { return seconds_; }
   // Returns the current simulated time as a reading of a controller's monotonic clock.
   base::Time now() const {
     return base::Time(std::chrono::duration_cast<base::SteadyClock::duration>(
-        base::Seconds(kSecondsAtStart + seconds_)));
+        base::Seconds(kControllerClockStartSeconds + seconds_)));
   }
   // Returns the current simulated time as a reading of a controller's wall clock, in seconds.
-  double wall_seconds() const { return kSecondsAtStart + seconds_; }
-  void advance() { seconds_ += kStep; }
+  double wall_seconds() const { return kControllerClockStartSeconds + seconds_; }
+  // Advances the time by one step.
+  void advance() { seconds_ += kStepSeconds; }
 
  private:
-  static constexpr double kSecondsAtStart = 1000;
+  static constexpr double kControllerClockStartSeconds = 1000;
 
   double seconds_ = 0;
 };
--- a/tests/simulation/simulated_cloud.cpp
+++ b/tests/simulation/simulated_cloud.cpp
@@ -19,7 +19,7 @@
 
 void SimulatedCloud::release(const base::MachineId& machine) {
   workers_.remove(machine.get());
-  ++releases_;
+  ++release_count_;
 }
 
 }  // namespace saddleslip::testing
--- a/tests/simulation/simulated_cloud.h
+++ b/tests/simulation/simulated_cloud.h
@@ -14,6 +14,7 @@
 
 namespace saddleslip::testing {
 
+// Rents machines, which it adds to the simulated workers, and releases them, which removes them.
 class SimulatedCloud {
  public:
   SimulatedCloud(const SimulatedClock& clock, SimulatedWorkers& workers, FailureLog& failures)
@@ -21,24 +22,27 @@
 
   void set_down(bool down) { down_ = down; }
   bool is_down() const { return down_; }
+  // Sets whether spot machines can be rented.
   void set_spot_offered(bool offered) { spot_offered_ = offered; }
+  // Sets how many more machines of this type can be rented.
   void set_capacity(const std::string& type, int machines) { capacity_[type] = machines; }
   // Sets the boot time of machines that are rented from now on.
   void set_boot_time(double seconds) { boot_time_s_ = seconds; }
   // Machines that are rented from now on never finish booting.
-  void set_boots_never() { boot_time_s_ = kNever; }
+  void set_never_boots() { boot_time_s_ = kNeverBootsSeconds; }
 
   // Rents up to `count` machines, as far as the capacity allows. Reports a failure if the rental's
   // name was used before.
   std::vector<base::MachineId> rent(const std::string& rental_name,
                                     const coordination::MachineKind& kind, int count);
+  // Ends a machine, with all tasks on it.
   void release(const base::MachineId& machine);
   // Returns how many machines were released so far.
   // Returns how many machines were released so far.
-  int releases() const { return releases_; }
+  int release_count() const { return release_count_; }
 
  private:
-  static constexpr double kNever = 1e9;
+  static constexpr double kNeverBootsSeconds = 1e9;
 
   const SimulatedClock& clock_;
   SimulatedWorkers& workers_;
@@ -49,7 +53,7 @@
   std::map<std::string, int> capacity_;
   std::map<std::string, std::vector<base::MachineId>> rentals_;
   int next_machine_ = 1;
-  int releases_ = 0;
+  int release_count_ = 0;
 };
 
 }  // namespace saddleslip::testing
--- a/tests/simulation/simulated_cluster.cpp
+++ b/tests/simulation/simulated_cluster.cpp
@@ -11,9 +11,9 @@
   if (users.is_poll_due()) {
     troubles.update();
     users.poll();
-    whole_day.check_waiting();
-    whole_day.check_forgotten();
-    users.ask_for_unknown_job();
+    whole_day.check_waiting_jobs();
+    whole_day.check_unanswered_jobs();
+    users.check_unknown_job();
   }
   rules.check_running_tasks();
 }
--- a/tests/simulation/simulated_cluster.h
+++ b/tests/simulation/simulated_cluster.h
@@ -1,6 +1,6 @@
 // A simulated cluster: real controllers surrounded by simulated versions of the state service, the
-// cloud, the network, the workers and the users. It uses neither a real clock nor random numbers, so
-// that a scenario plays the same way every time. The protocol's rules are checked in every step.
+// cloud, the network, the workers and the users. It uses neither a real clock nor random numbers,
+// so that a scenario plays the same way every time. The protocol's rules are checked in every step.
 #pragma once
 
 #include "simulation/cluster_config.h"
@@ -21,8 +21,8 @@
 
 namespace saddleslip::testing {
 
-// Constructs and connects the parts of the cluster. Each part owns its state and refers only to parts
-// that are declared before it.
+// Constructs and connects the parts of the cluster. Each part owns its state and refers only to
+// parts that are declared before it.
 struct SimulatedCluster {
   SimulatedCluster() = default;
   ~SimulatedCluster() = default;
--- a/tests/simulation/simulated_jobs.cpp
+++ b/tests/simulation/simulated_jobs.cpp
@@ -6,13 +6,13 @@
 namespace saddleslip::testing {
 
 const SimulatedJob* SimulatedJobs::find(const JobId& id) const {
-  const auto at = jobs_.find(id);
-  return at == jobs_.end() ? nullptr : &at->second;
+  const auto found = jobs_.find(id);
+  return found == jobs_.end() ? nullptr : &found->second;
 }
 
 SimulatedJob* SimulatedJobs::find(const JobId& id) {
-  const auto at = jobs_.find(id);
-  return at == jobs_.end() ? nullptr : &at->second;
+  const auto found = jobs_.find(id);
+  return found == jobs_.end() ? nullptr : &found->second;
 }
 
 bool SimulatedJobs::dependencies_are_done(const SimulatedJob& job) const {
@@ -26,24 +26,25 @@
 }
 
 std::optional<double> SimulatedJobs::dependency_cancelled_at(const SimulatedJob& job) const {
-  std::optional<double> first;
-  std::set<JobId> seen;
-  std::vector<JobId> open = job.spec.dependencies;
-  while (!open.empty()) {
-    const JobId id = open.back();
-    open.pop_back();
+  std::optional<double> earliest_cancelled_at;
+  std::set<JobId> visited;
+  std::vector<JobId> to_visit = job.spec.dependencies;
+  while (!to_visit.empty()) {
+    const JobId id = to_visit.back();
+    to_visit.pop_back();
     const SimulatedJob* dependency = find(id);
-    if (!dependency || !seen.insert(id).second) continue;
+    if (!dependency || !visited.insert(id).second) continue;
     const auto& cancelled_at = dependency->cancelled_at;
-    if (cancelled_at && (!first || *cancelled_at < *first)) first = cancelled_at;
-    const auto& further = dependency->spec.dependencies;
-    open.insert(open.end(), further.begin(), further.end());
+    if (cancelled_at && (!earliest_cancelled_at || *cancelled_at < *earliest_cancelled_at))
+      earliest_cancelled_at = cancelled_at;
+    const auto& next_dependencies = dependency->spec.dependencies;
+    to_visit.insert(to_visit.end(), next_dependencies.begin(), next_dependencies.end());
   }
-  return first;
+  return earliest_cancelled_at;
 }
 
-bool SimulatedJobs::is_cancellation_asked(const SimulatedJob& job) const {
-  return job.is_cancel_asked || dependency_cancelled_at(job);
+bool SimulatedJobs::is_cancellation_expected(const SimulatedJob& job) const {
+  return job.is_cancellation_requested || dependency_cancelled_at(job);
 }
 
 }  // namespace saddleslip::testing
--- a/tests/simulation/simulated_machine.h
+++ b/tests/simulation/simulated_machine.h
@@ -14,15 +14,16 @@
 
 using base::TaskId;
 
+// An attempt to run a task, as its agent reports it.
 struct SimulatedAttempt {
-  std::uint64_t attempt = 0;
+  std::uint64_t number = 0;
   std::string state, cause;  // as the protocol writes them
   double image_ready_at = 0, ends_at = 0;
 
   bool is_active() const { return state != "ended"; }
-  void end(const std::string& why) {
+  void end(const std::string& reason) {
     state = "ended";
-    cause = why;
+    cause = reason;
   }
 };
 
@@ -36,7 +37,7 @@
   bool is_silent = false;     // its heartbeats reach no controller, but commands reach it
   bool is_half_open = false;  // its heartbeats arrive, but replies and commands do not reach it
   // If set, a copy of each heartbeat arrives at all controllers after this many seconds.
-  std::optional<double> copies_delay;
+  std::optional<double> duplicate_delay_s;
   double up_at = 0;                    // when it has booted
   std::optional<double> spot_ends_at;  // when the cloud reclaims the spot machine
   std::uint64_t agent_incarnation = 1, sequence = 0, fencing_token = 0;
@@ -52,10 +53,10 @@
     return is_up(now) && !is_hung && !is_faulty && !is_half_open && !is_silent && !spot_ends_at;
   }
   bool has_active(const TaskId& task) const {
-    const auto at = tasks.find(task);
-    return at != tasks.end() &&
-           std::any_of(at->second.begin(), at->second.end(),
-                       [](const SimulatedAttempt& a) { return a.is_active(); });
+    const auto found = tasks.find(task);
+    return found != tasks.end() &&
+           std::any_of(found->second.begin(), found->second.end(),
+                       [](const SimulatedAttempt& attempt) { return attempt.is_active(); });
   }
   void die() {
     is_alive = false;
--- a/tests/simulation/simulated_network.h
+++ b/tests/simulation/simulated_network.h
@@ -1,5 +1,5 @@
-// The network of a simulated cluster: which links are cut, and whether a sender over a cut link gets
-// an error or a timeout.
+// The network of a simulated cluster: which links are cut, and whether a sender over a cut link
+// gets an error or a timeout.
 #pragma once
 
 #include <compare>
@@ -16,10 +16,12 @@
 // "state" (the state service).
 class SimulatedNetwork {
  public:
+  // Cuts the link between two endpoints, in both directions.
   void cut(const std::string& from, const std::string& to) { cuts_.insert({from, to}); }
   // Restores a link. The endpoints must be given in the same order as when the link was cut.
   void restore(const std::string& from, const std::string& to) { cuts_.erase({from, to}); }
-  // Returns whether the link between two endpoints is cut. The order of the endpoints is irrelevant.
+  // Returns whether the link between two endpoints is cut. The order of the endpoints is
+  // irrelevant.
   bool is_cut(const std::string& first, const std::string& second) const;
   bool has_cuts() const { return !cuts_.empty(); }
 
--- a/tests/simulation/simulated_state_service.cpp
+++ b/tests/simulation/simulated_state_service.cpp
@@ -13,7 +13,7 @@
 void SimulatedStateService::set_down(bool down) {
   down_ = down;
   if (down_) return;
-  for (auto& [id, lease] : leases_) lease.expires_at = clock_.seconds() + lease.ttl;
+  for (auto& [id, lease] : leases_) lease.expires_at = clock_.seconds() + lease.ttl_s;
 }
 
 bool SimulatedStateService::is_reachable_from(std::size_t controller) const {
@@ -21,37 +21,37 @@
 }
 
 StateClient::Got SimulatedStateService::get(std::size_t controller, const std::string& key) const {
-  StateClient::Got got;
-  if (!is_reachable_from(controller)) return got;
-  got.answered = true;
-  got.item.key = key;
+  StateClient::Got response;
+  if (!is_reachable_from(controller)) return response;
+  response.answered = true;
+  response.item.key = key;
   if (const Record* record = find(key))
-    got.item = {key, record->value, base::Version(record->version)};
-  return got;
+    response.item = {key, record->value, base::Version(record->version)};
+  return response;
 }
 
 const SimulatedStateService::Record* SimulatedStateService::find(const std::string& key) const {
-  const auto at = records_.find(key);
-  return at == records_.end() ? nullptr : &at->second;
+  const auto found = records_.find(key);
+  return found == records_.end() ? nullptr : &found->second;
 }
 
-StateClient::Committed SimulatedStateService::apply(const protocol::Transaction& txn) {
+StateClient::Committed SimulatedStateService::apply(const protocol::Transaction& transaction) {
   StateClient::Committed result;
-  for (const auto& [key, version] : txn.preconditions) {
+  for (const auto& [key, version] : transaction.preconditions) {
     const Record* record = find(key);
     if ((record ? record->version : 0) != version.get()) result.failed.push_back(key);
   }
   result.revision = base::Revision(revision_);
   result.outcome = StateClient::Outcome::kConflict;
   if (!result.failed.empty()) return result;
-  for (const auto& put : txn.writes) {
+  for (const auto& put : transaction.writes) {
     if (put.lease && !leases_.contains(put.lease->get())) {
       result.outcome = StateClient::Outcome::kMalformed;
       return result;
     }
   }
   ++revision_;
-  for (const auto& put : txn.writes)
+  for (const auto& put : transaction.writes)
     write(put.key, put.value ? *put.value : Json(), put.lease ? put.lease->get() : 0);
   result.revision = base::Revision(revision_);
   result.outcome = StateClient::Outcome::kDone;
@@ -63,24 +63,24 @@
   write(key, value, 0);
 }
 
-base::LeaseId SimulatedStateService::grant_lease(double ttl) {
-  leases_[++last_lease_] = {ttl, clock_.seconds() + ttl};
+base::LeaseId SimulatedStateService::grant_lease(double ttl_s) {
+  leases_[++last_lease_] = {ttl_s, clock_.seconds() + ttl_s};
   return base::LeaseId(last_lease_);
 }
 
 bool SimulatedStateService::renew_lease(base::LeaseId lease) {
-  const auto at = leases_.find(lease.get());
-  if (at == leases_.end()) return false;
-  at->second.expires_at = clock_.seconds() + at->second.ttl;
+  const auto found = leases_.find(lease.get());
+  if (found == leases_.end()) return false;
+  found->second.expires_at = clock_.seconds() + found->second.ttl_s;
   return true;
 }
 
-bool SimulatedStateService::delays_commit(std::size_t controller,
-                                          const protocol::Transaction& txn) {
-  const auto delay = delays_.find(controller);
-  if (delay == delays_.end()) return false;
-  late_commits_.push_back({clock_.seconds() + delay->second, txn});
-  delays_.erase(delay);
+bool SimulatedStateService::take_delayed_commit(std::size_t controller,
+                                                const protocol::Transaction& transaction) {
+  const auto delay = commit_delays_.find(controller);
+  if (delay == commit_delays_.end()) return false;
+  late_commits_.push_back({clock_.seconds() + delay->second, transaction});
+  commit_delays_.erase(delay);
   return true;
 }
 
@@ -116,7 +116,7 @@
       ++i;
       continue;
     }
-    apply(late_commits_[i].txn);
+    apply(late_commits_[i].transaction);
     late_commits_.erase(late_commits_.begin() + static_cast<std::ptrdiff_t>(i));
   }
 }
--- a/tests/simulation/simulated_state_service.h
+++ b/tests/simulation/simulated_state_service.h
@@ -1,6 +1,6 @@
 // The state service of a simulated cluster: a versioned store with leases, conditional transactions
-// and an ordered history of changes. Its simulated faults are an outage, the lost answer to a commit,
-// and a commit that is applied late.
+// and an ordered history of changes. Its simulated faults are an outage, the lost answer to a
+// commit, and a commit that is applied late.
 #pragma once
 
 #include <cstdint>
@@ -17,13 +17,16 @@
 
 namespace saddleslip::testing {
 
+// The store. All controllers share it; each reaches it only if its link to it is not cut.
 class SimulatedStateService {
  public:
+  // A stored value with the version of its last write and the lease that it expires with.
   struct Record {
     protocol::Json value;
     std::uint64_t version = 0;
     std::uint64_t lease = 0;  // 0 if the record belongs to no lease
   };
+  // A write or removal of one record, with the revision and the time at which it happened.
   struct Change {
     std::uint64_t revision;
     protocol::Item item;
@@ -36,13 +39,14 @@
   // Expires leases and applies the late commits that are due.
   void step();
 
-  // While the service is down, it is unreachable and no lease expires. When it comes up again, every
-  // lease gets its full TTL.
+  // While the service is down, it is unreachable and no lease expires. When it comes up again,
+  // every lease gets its full TTL.
   void set_down(bool down);
   bool is_down() const { return down_; }
   bool is_reachable_from(std::size_t controller) const;
 
-  // Reads one record. The result is marked as unanswered if the controller cannot reach the service.
+  // Reads one record. The result is marked as unanswered if the controller cannot reach the
+  // service.
   protocol::StateClient::Got get(std::size_t controller, const std::string& key) const;
   // Returns the record under this key, or null if there is none.
   const Record* find(const std::string& key) const;
@@ -51,32 +55,35 @@
   std::uint64_t revision() const { return revision_; }
 
   // Applies a transaction if its preconditions hold and its leases have not expired.
-  protocol::StateClient::Committed apply(const protocol::Transaction& txn);
+  protocol::StateClient::Committed apply(const protocol::Transaction& transaction);
   // Writes a record directly, as a scenario does for a record that no controller would write.
   void put(const std::string& key, const protocol::Json& value);
 
-  base::LeaseId grant_lease(double ttl);
+  // Grants a new lease that expires `ttl_s` seconds after its last renewal.
+  base::LeaseId grant_lease(double ttl_s);
   // Returns false if the lease has expired.
   bool renew_lease(base::LeaseId lease);
 
   // Loses the answer to this controller's next commit.
   void lose_next_answer(std::size_t controller) { lost_answers_.insert(controller); }
   // Returns whether the answer to the commit that was just applied is lost, and clears that fault.
-  bool loses_answer(std::size_t controller) { return lost_answers_.erase(controller) > 0; }
+  bool take_lost_answer(std::size_t controller) { return lost_answers_.erase(controller) > 0; }
   // Applies this controller's next commit after the given delay, without an answer.
-  void delay_next_commit(std::size_t controller, double seconds) { delays_[controller] = seconds; }
+  void delay_next_commit(std::size_t controller, double seconds) {
+    commit_delays_[controller] = seconds;
+  }
   // Returns whether a delay is set whose commit has not come yet.
-  bool has_announced_delays() const { return !delays_.empty(); }
+  bool has_pending_commit_delays() const { return !commit_delays_.empty(); }
   // Queues the controller's commit if a delay is set for it. Returns false if there is no delay.
-  bool delays_commit(std::size_t controller, const protocol::Transaction& txn);
+  bool take_delayed_commit(std::size_t controller, const protocol::Transaction& transaction);
 
  private:
   struct Lease {
-    double ttl = 0, expires_at = 0;
+    double ttl_s = 0, expires_at = 0;
   };
   struct LateCommit {
     double due_at;
-    protocol::Transaction txn;
+    protocol::Transaction transaction;
   };
 
   void write(const std::string& key, const protocol::Json& value, std::uint64_t lease);
@@ -92,7 +99,7 @@
   std::uint64_t last_lease_ = 0;
   bool down_ = false;
   std::set<std::size_t> lost_answers_;
-  std::map<std::size_t, double> delays_;
+  std::map<std::size_t, double> commit_delays_;
   std::vector<LateCommit> late_commits_;
 };
 
--- a/tests/simulation/simulated_users.cpp
+++ b/tests/simulation/simulated_users.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr double kPollPeriod = 0.5;  // seconds
+constexpr double kPollPeriodSeconds = 0.5;
 
 enum HttpStatus { kOk = 200, kCreated = 201, kBadRequest = 400, kNotFound = 404, kInvalid = 422 };
 
@@ -16,15 +16,15 @@
   SimulatedJob& added = jobs_.add(job);
   added.submitted_at = added.last_answered_at = clock_.seconds();
   if (added.spec.dependencies.empty()) added.ready_since = clock_.seconds();
-  send(controller, added);
+  send_submission(controller, added);
 }
 
 void SimulatedUsers::cancel(const JobId& id) {
-  jobs_.at(id).is_cancel_asked = true;
+  jobs_.at(id).is_cancellation_requested = true;
   next_poll_at_ = 0;
 }
 
-void SimulatedUsers::send(std::size_t controller, SimulatedJob& job) {
+void SimulatedUsers::send_submission(std::size_t controller, SimulatedJob& job) {
   if (!controllers_.is_serving(controller)) return;
   const auto reply =
       controllers_.user_api(controller).submit(to_json(job.spec).dump(), clock_.now());
@@ -35,25 +35,25 @@
 
 bool SimulatedUsers::can_ask(std::size_t controller) const {
   return controllers_.is_serving(controller) && !controllers_.is_frozen(controller) &&
-         !avoided_.contains(controller);
+         !excluded_controllers_.contains(controller);
 }
 
 void SimulatedUsers::poll() {
-  next_poll_at_ = clock_.seconds() + kPollPeriod;
+  next_poll_at_ = clock_.seconds() + kPollPeriodSeconds;
   for (auto& [id, job] : jobs_.all()) {
-    if (!job.is_accepted) send(0, job);
+    if (!job.is_accepted) send_submission(0, job);
     if (!job.is_accepted) continue;
-    for (std::size_t n = 0; n < controllers_.count(); ++n) {
-      if (can_ask(n)) ask_about(n, job);
+    for (std::size_t controller = 0; controller < controllers_.count(); ++controller) {
+      if (can_ask(controller)) poll_job(controller, job);
     }
     if (!job.ready_since && jobs_.dependencies_are_done(job)) job.ready_since = clock_.seconds();
   }
 }
 
-void SimulatedUsers::ask_about(std::size_t controller, SimulatedJob& job) {
+void SimulatedUsers::poll_job(std::size_t controller, SimulatedJob& job) {
   UserApi& api = controllers_.user_api(controller);
   const JobId& id = job.spec.id;
-  if (job.is_cancel_asked && !job.cancelled_at && job.told_final.empty()) {
+  if (job.is_cancellation_requested && !job.cancelled_at && job.reported_final_status.empty()) {
     const auto reply = api.cancel(id, clock_.now());
     // A job that has already ended is answered `done` and is not cancelled.
     if (reply.status == kOk && Json::parse(reply.body)["status"] == "withdrawn")
@@ -66,11 +66,12 @@
   rules_.check_answer(job, Json::parse(reply.body)["status"]);
 }
 
-void SimulatedUsers::ask_for_unknown_job() {
+void SimulatedUsers::check_unknown_job() {
   const JobId unknown("run-999999");
-  for (std::size_t n = 0; n < controllers_.count(); ++n) {
-    if (!controllers_.is_serving(n) || avoided_.contains(n)) continue;
-    if (controllers_.user_api(n).status(unknown).status == kOk)
+  for (std::size_t controller = 0; controller < controllers_.count(); ++controller) {
+    if (!controllers_.is_serving(controller) || excluded_controllers_.contains(controller))
+      continue;
+    if (controllers_.user_api(controller).status(unknown).status == kOk)
       failures_.add("invented: " + unknown.get());
   }
 }
--- a/tests/simulation/simulated_users.h
+++ b/tests/simulation/simulated_users.h
@@ -1,4 +1,5 @@
-// The users of a simulated cluster, who submit jobs, request cancellations and poll the jobs' status.
+// The users of a simulated cluster, who submit jobs, request cancellations and poll the jobs'
+// status.
 #pragma once
 
 #include <cstddef>
@@ -12,6 +13,7 @@
 
 namespace saddleslip::testing {
 
+// Sends the users' requests to the controllers and passes the answers to the rule checks.
 class SimulatedUsers {
  public:
   SimulatedUsers(const SimulatedClock& clock, SimulatedJobs& jobs,
@@ -20,29 +22,29 @@
 
   // Submits a job. A job that is not accepted is submitted again, to n0, with each poll.
   void submit(std::size_t controller, const SimulatedJob& job);
-  // Requests the job's cancellation with every poll, the next of which follows in the next step, until
-  // a controller confirms it.
+  // Requests the job's cancellation with every poll, the next of which follows in the next step,
+  // until a controller confirms it.
   void cancel(const JobId& id);
   // Sends no more polls to this controller, so that no status request refreshes its cache.
-  void avoid(std::size_t controller) { avoided_.insert(controller); }
+  void exclude_controller(std::size_t controller) { excluded_controllers_.insert(controller); }
 
   bool is_poll_due() const { return clock_.seconds() >= next_poll_at_; }
   // Requests every job's status from every controller.
   void poll();
   // Checks that no controller returns the status of a job that nobody submitted.
-  void ask_for_unknown_job();
+  void check_unknown_job();
 
  private:
-  void send(std::size_t controller, SimulatedJob& job);
+  void send_submission(std::size_t controller, SimulatedJob& job);
   bool can_ask(std::size_t controller) const;
-  void ask_about(std::size_t controller, SimulatedJob& job);
+  void poll_job(std::size_t controller, SimulatedJob& job);
 
   const SimulatedClock& clock_;
   SimulatedJobs& jobs_;
   SimulatedControllers& controllers_;
   RuleChecks& rules_;
   FailureLog& failures_;
-  std::set<std::size_t> avoided_;
+  std::set<std::size_t> excluded_controllers_;
   double next_poll_at_ = 0;
 };
 
--- a/tests/simulation/simulated_workers.cpp
+++ b/tests/simulation/simulated_workers.cpp
@@ -9,25 +9,25 @@
 
 namespace {
 
-constexpr double kImagePull = 0.5;
-constexpr double kRequestTimeout = 4;         // for a request that gets neither answer nor error
-constexpr double kRetryNextController = 1.0;  // after a controller did not answer
-constexpr double kRetryRedirected = 0.1;
-constexpr double kHeartbeatAfterChange = 0.2;
-constexpr double kHeartbeatAfterCommands = 0.5;
-constexpr int kMisdirected = 421;  // HTTP
+constexpr double kImagePullSeconds = 0.5;
+constexpr double kRequestTimeoutSeconds = 4;  // for a request that gets neither answer nor error
+constexpr double kNextControllerRetrySeconds = 1.0;  // after a controller did not answer
+constexpr double kRedirectRetrySeconds = 0.1;
+constexpr double kHeartbeatAfterChangeSeconds = 0.2;
+constexpr double kHeartbeatAfterCommandsSeconds = 0.5;
+constexpr int kHttpMisdirected = 421;
 constexpr char kFleetPrefix = 'f';
 
-Command::Op op_of(const std::string& call) {
+Command::Op parse_op(const std::string& call) {
   if (call == "run") return Command::Op::kRun;
   return call == "kill" ? Command::Op::kKill : Command::Op::kForget;
 }
 
-Command command_of(const Json& call) {
+Command parse_command(const Json& call) {
   const std::string task = call["stride"];
   const auto slash = task.rfind('/');
   Command command;
-  command.op = op_of(call["call"]);
+  command.op = parse_op(call["call"]);
   command.task = {JobId(task.substr(0, slash)),
                   static_cast<TaskNo>(std::stoul(task.substr(slash + 1)))};
   command.attempt = base::Attempt(call["remount"].get<std::uint64_t>());
@@ -70,9 +70,9 @@
     if (!machine.is_alive || machine.is_hung) continue;
     for (const auto& [task, attempts] : machine.tasks) {
       if (task.job != job) continue;
-      running += static_cast<std::size_t>(
-          std::count_if(attempts.begin(), attempts.end(),
-                        [](const SimulatedAttempt& a) { return a.state == "running"; }));
+      running += static_cast<std::size_t>(std::count_if(
+          attempts.begin(), attempts.end(),
+          [](const SimulatedAttempt& attempt) { return attempt.state == "running"; }));
     }
   }
   return running;
@@ -85,8 +85,8 @@
 }
 
 const SimulatedMachine* SimulatedWorkers::find(const std::string& id) const {
-  const auto at = machines_.find(id);
-  return at == machines_.end() ? nullptr : &at->second;
+  const auto found = machines_.find(id);
+  return found == machines_.end() ? nullptr : &found->second;
 }
 
 void SimulatedWorkers::step(ControllerEndpoints& controllers, ProtocolObserver& observer) {
@@ -98,17 +98,17 @@
 
 std::optional<protocol::Heartbeat> SimulatedWorkers::deliver(
     const coordination::CommandBatch& batch) {
-  const auto at = machines_.find(batch.machine.get());
-  if (at == machines_.end()) return std::nullopt;
-  SimulatedMachine& machine = at->second;
+  const auto found = machines_.find(batch.machine.get());
+  if (found == machines_.end()) return std::nullopt;
+  SimulatedMachine& machine = found->second;
   if (!machine.is_up(clock_.seconds()) || machine.is_hung || machine.is_half_open)
     return std::nullopt;
   if (batch.fencing_token.get() >= machine.fencing_token &&
       batch.agent_incarnation.get() == machine.agent_incarnation) {
     machine.fencing_token = batch.fencing_token.get();
-    execute(machine, batch.commands);
+    execute_commands(machine, batch.commands);
   }
-  return heartbeat_of(machine);
+  return make_heartbeat(machine);
 }
 
 void SimulatedWorkers::deliver_late_heartbeats(ControllerEndpoints& controllers) {
@@ -119,8 +119,9 @@
     }
     const LateHeartbeat late = late_heartbeats_[i];
     late_heartbeats_.erase(late_heartbeats_.begin() + static_cast<std::ptrdiff_t>(i));
-    for (std::size_t c = 0; c < controllers.count(); ++c) {
-      if (controllers.is_serving(c)) controllers.handle_heartbeat(c, late.heartbeat);
+    for (std::size_t controller = 0; controller < controllers.count(); ++controller) {
+      if (controllers.is_serving(controller))
+        controllers.handle_heartbeat(controller, late.heartbeat);
     }
   }
 }
@@ -129,8 +130,9 @@
                                     ProtocolObserver& observer) {
   const double now = clock_.seconds();
   if (machine.spot_ends_at && now >= *machine.spot_ends_at) return machine.die();
-  // A hung machine keeps its tasks only until its lease expires, as an agent's lease does not wait.
-  if (now - machine.last_answered_at > config_.lease_s) begin_agent_incarnation(machine);
+  // The agent's lease also expires while the machine hangs. A machine that resumes later has lost
+  // its tasks.
+  if (now - machine.last_answered_at > config_.agent_lease_s) begin_agent_incarnation(machine);
   if (machine.is_hung) return;
   bool changed = false;
   for (auto& [task, attempts] : machine.tasks) {
@@ -138,7 +140,8 @@
       changed = step_attempt(machine, task, attempt, observer) || changed;
   }
   if (changed)
-    machine.next_heartbeat_at = std::min(machine.next_heartbeat_at, now + kHeartbeatAfterChange);
+    machine.next_heartbeat_at =
+        std::min(machine.next_heartbeat_at, now + kHeartbeatAfterChangeSeconds);
   if (now >= machine.next_heartbeat_at) send_heartbeat(machine, controllers, observer);
 }
 
@@ -149,14 +152,14 @@
     observer.on_task_started(machine, task);
     const SimulatedJob& job = jobs_.at(task.job);
     attempt.state = "running";
-    attempt.ends_at = now + job.fails_after.value_or(job.run_s);
+    attempt.ends_at = now + job.fails_after_s.value_or(job.task_run_s);
     if (machine.is_faulty) attempt.end("error");
     return true;
   }
   if (attempt.state != "running" || now < attempt.ends_at) return false;
   SimulatedJob& job = jobs_.at(task.job);
   if (job.spec.kind == protocol::Kind::kService) return false;
-  const bool failed = job.fails_after.has_value();
+  const bool failed = job.fails_after_s.has_value();
   attempt.end(failed ? "error" : "done");
   if (!failed) job.done.insert(task.no);
   return true;
@@ -171,72 +174,74 @@
 void SimulatedWorkers::try_next_controller(SimulatedMachine& machine,
                                            const ControllerEndpoints& controllers) {
   machine.controller = (machine.controller + 1) % controllers.count();
-  machine.next_heartbeat_at = clock_.seconds() + kRetryNextController;
+  machine.next_heartbeat_at = clock_.seconds() + kNextControllerRetrySeconds;
 }
 
 void SimulatedWorkers::send_heartbeat(SimulatedMachine& machine, ControllerEndpoints& controllers,
                                       ProtocolObserver& observer) {
   const double now = clock_.seconds();
-  machine.next_heartbeat_at = now + config_.heartbeat_s;
+  machine.next_heartbeat_at = now + config_.heartbeat_period_s;
   const std::size_t to = machine.controller;
   if (!controllers.is_serving(to)) return try_next_controller(machine, controllers);
   if (!is_connected(machine) || controllers.is_frozen(to)) {
     try_next_controller(machine, controllers);
-    if (network_.cuts_are_silent()) machine.next_heartbeat_at += kRequestTimeout;
+    if (network_.cuts_are_silent()) machine.next_heartbeat_at += kRequestTimeoutSeconds;
     return;
   }
-  const auto heartbeat = heartbeat_of(machine);
-  if (machine.copies_delay) late_heartbeats_.push_back({now + *machine.copies_delay, heartbeat});
+  const auto heartbeat = make_heartbeat(machine);
+  if (machine.duplicate_delay_s)
+    late_heartbeats_.push_back({now + *machine.duplicate_delay_s, heartbeat});
   const auto reply = controllers.handle_heartbeat(to, heartbeat);
   trace_.write(now, "report", machine.id, controller_name(to), reply.status, reply.body);
   if (machine.is_half_open) {
     try_next_controller(machine, controllers);
-    machine.next_heartbeat_at += kRequestTimeout;
+    machine.next_heartbeat_at += kRequestTimeoutSeconds;
     return;
   }
   const Json body = Json::parse(reply.body, nullptr, false);
-  if (reply.status == kMisdirected && body.contains("trailboss"))
+  if (reply.status == kHttpMisdirected && body.contains("trailboss"))
     return follow_redirect(machine, body, controllers);
   if (reply.status != 200) return try_next_controller(machine, controllers);
-  take_reply(machine, body, observer);
+  process_reply(machine, body, observer);
 }
 
 void SimulatedWorkers::follow_redirect(SimulatedMachine& machine, const Json& reply,
                                        const ControllerEndpoints& controllers) {
-  for (std::size_t c = 0; c < controllers.count(); ++c) {
-    if (controller_name(c) != reply["trailboss"] || c == machine.controller) continue;
-    machine.controller = c;
-    machine.next_heartbeat_at = clock_.seconds() + kRetryRedirected;
+  for (std::size_t controller = 0; controller < controllers.count(); ++controller) {
+    if (controller_name(controller) != reply["trailboss"] || controller == machine.controller)
+      continue;
+    machine.controller = controller;
+    machine.next_heartbeat_at = clock_.seconds() + kRedirectRetrySeconds;
     return;
   }
   try_next_controller(machine, controllers);
 }
 
-void SimulatedWorkers::take_reply(SimulatedMachine& machine, const Json& reply,
-                                  ProtocolObserver& observer) {
+void SimulatedWorkers::process_reply(SimulatedMachine& machine, const Json& reply,
+                                     ProtocolObserver& observer) {
   const auto fencing_token = reply["reins"].get<std::uint64_t>();
   if (fencing_token < machine.fencing_token) return;
   machine.fencing_token = fencing_token;
   machine.last_answered_at = clock_.seconds();
   std::vector<Command> commands;
   for (const Json& call : reply["calls"]) {
-    const Command command = command_of(call);
+    const Command command = parse_command(call);
     if (command.op == Command::Op::kRun)
       observer.on_start_commanded(machine.controller, command.task);
     commands.push_back(command);
   }
-  execute(machine, commands);
+  execute_commands(machine, commands);
   if (commands.empty()) return;
   machine.next_heartbeat_at =
-      std::min(machine.next_heartbeat_at, clock_.seconds() + kHeartbeatAfterCommands);
+      std::min(machine.next_heartbeat_at, clock_.seconds() + kHeartbeatAfterCommandsSeconds);
 }
 
-protocol::Heartbeat SimulatedWorkers::heartbeat_of(SimulatedMachine& machine) {
+protocol::Heartbeat SimulatedWorkers::make_heartbeat(SimulatedMachine& machine) {
   Json tasks = Json::array();
   for (const auto& [id, attempts] : machine.tasks) {
     for (const SimulatedAttempt& attempt : attempts) {
       tasks.push_back({{"stride", id.job.get() + "/" + std::to_string(id.no)},
-                       {"remount", attempt.attempt},
+                       {"remount", attempt.number},
                        {"status", attempt.state},
                        {"cause", attempt.cause}});
     }
@@ -256,27 +261,29 @@
   return *heartbeat;
 }
 
-void SimulatedWorkers::execute(SimulatedMachine& machine, const std::vector<Command>& commands) {
+void SimulatedWorkers::execute_commands(SimulatedMachine& machine,
+                                        const std::vector<Command>& commands) {
   for (const Command& command : commands) {
     auto& attempts = machine.tasks[command.task];
-    const auto at = std::find_if(attempts.begin(), attempts.end(), [&](const SimulatedAttempt& a) {
-      return a.attempt == command.attempt.get();
-    });
-    const bool is_known = at != attempts.end();
+    const auto found = std::find_if(
+        attempts.begin(), attempts.end(),
+        [&](const SimulatedAttempt& attempt) { return attempt.number == command.attempt.get(); });
+    const bool is_known = found != attempts.end();
     if (command.op == Command::Op::kRun) {
-      if (!is_known) attempts.push_back(start(machine, command));
+      if (!is_known) attempts.push_back(start_attempt(machine, command));
     } else if (is_known && command.op == Command::Op::kForget) {
-      if (!at->is_active()) attempts.erase(at);
-    } else if (is_known && at->is_active()) {
-      at->end("halted");
+      if (!found->is_active()) attempts.erase(found);
+    } else if (is_known && found->is_active()) {
+      found->end("halted");
     }
     if (attempts.empty()) machine.tasks.erase(command.task);
   }
 }
 
-SimulatedAttempt SimulatedWorkers::start(const SimulatedMachine& machine,
-                                         const Command& command) const {
-  SimulatedAttempt attempt{command.attempt.get(), "pulling", "", clock_.seconds() + kImagePull, 0};
+SimulatedAttempt SimulatedWorkers::start_attempt(const SimulatedMachine& machine,
+                                                 const Command& command) const {
+  SimulatedAttempt attempt{command.attempt.get(), "pulling", "",
+                           clock_.seconds() + kImagePullSeconds, 0};
   const SimulatedJob* job = jobs_.find(command.task.job);
   if (machine.has_active(command.task)) {
     attempt.end("busy");
--- a/tests/simulation/simulated_workers.h
+++ b/tests/simulation/simulated_workers.h
@@ -23,19 +23,20 @@
 
 namespace saddleslip::testing {
 
+// Owns the machines and plays the agent of each of them.
 class SimulatedWorkers {
  public:
   // The parts of the simulated cluster that the workers read.
-  struct Surroundings {
+  struct Dependencies {
     const SimulatedClock& clock;
     const ClusterConfig& config;
     const SimulatedNetwork& network;
   };
-  SimulatedWorkers(const Surroundings& surroundings, SimulatedJobs& jobs, ScenarioTrace& trace,
+  SimulatedWorkers(const Dependencies& dependencies, SimulatedJobs& jobs, ScenarioTrace& trace,
                    FailureLog& failures)
-      : clock_(surroundings.clock),
-        config_(surroundings.config),
-        network_(surroundings.network),
+      : clock_(dependencies.clock),
+        config_(dependencies.config),
+        network_(dependencies.network),
         jobs_(jobs),
         trace_(trace),
         failures_(failures) {}
@@ -59,7 +60,8 @@
   // Counts the job's running tasks, without those on hung machines.
   std::size_t running_tasks(const JobId& job) const;
 
-  // Delivers delayed copies of heartbeats, advances the tasks and sends the heartbeats that are due.
+  // Delivers delayed copies of heartbeats, advances the tasks and sends the heartbeats that are
+  // due.
   void step(ControllerEndpoints& controllers, ProtocolObserver& observer);
   // Delivers a batch of commands to a machine. Returns the heartbeat with which it replies, or
   // std::nullopt if the machine cannot be reached.
@@ -79,16 +81,20 @@
                     ProtocolObserver& observer);
   void send_heartbeat(SimulatedMachine& machine, ControllerEndpoints& controllers,
                       ProtocolObserver& observer);
+  // Directs the machine's heartbeats to the owner that a reply names, if that controller exists.
   void follow_redirect(SimulatedMachine& machine, const protocol::Json& reply,
                        const ControllerEndpoints& controllers);
-  void take_reply(SimulatedMachine& machine, const protocol::Json& reply,
-                  ProtocolObserver& observer);
+  void process_reply(SimulatedMachine& machine, const protocol::Json& reply,
+                     ProtocolObserver& observer);
+  // Returns whether the machine's heartbeats can reach the controller that they go to.
   bool is_connected(const SimulatedMachine& machine) const;
   void try_next_controller(SimulatedMachine& machine, const ControllerEndpoints& controllers);
-  protocol::Heartbeat heartbeat_of(SimulatedMachine& machine);
-  void execute(SimulatedMachine& machine, const std::vector<protocol::Command>& commands);
-  SimulatedAttempt start(const SimulatedMachine& machine, const protocol::Command& command) const;
+  protocol::Heartbeat make_heartbeat(SimulatedMachine& machine);
+  void execute_commands(SimulatedMachine& machine, const std::vector<protocol::Command>& commands);
+  SimulatedAttempt start_attempt(const SimulatedMachine& machine,
+                                 const protocol::Command& command) const;
   double cores_in_use(const SimulatedMachine& machine) const;
+  // Starts the machine's next agent incarnation, which has no tasks.
   void begin_agent_incarnation(SimulatedMachine& machine);
 
   const SimulatedClock& clock_;
--- a/tests/simulation/trouble_tracker.cpp
+++ b/tests/simulation/trouble_tracker.cpp
@@ -2,13 +2,13 @@
 
 namespace saddleslip::testing {
 
-bool TroubleTracker::is_troubled() const {
-  if (state_.is_down() || network_.has_cuts() || state_.has_announced_delays() ||
-      controllers_.any_watch_lags()) {
+bool TroubleTracker::has_active_fault() const {
+  if (state_.is_down() || network_.has_cuts() || state_.has_pending_commit_delays() ||
+      controllers_.has_watch_lag()) {
     return true;
   }
-  for (std::size_t n = 0; n < controllers_.count(); ++n) {
-    if (!controllers_.is_serving(n) || controllers_.is_frozen(n)) return true;
+  for (std::size_t controller = 0; controller < controllers_.count(); ++controller) {
+    if (!controllers_.is_serving(controller) || controllers_.is_frozen(controller)) return true;
   }
   return false;
 }
--- a/tests/simulation/trouble_tracker.h
+++ b/tests/simulation/trouble_tracker.h
@@ -9,6 +9,7 @@
 
 namespace saddleslip::testing {
 
+// Finds such faults from the state of the network, the state service and the controllers.
 class TroubleTracker {
  public:
   TroubleTracker(const SimulatedClock& clock, const SimulatedNetwork& network,
@@ -16,20 +17,20 @@
       : clock_(clock), network_(network), state_(state), controllers_(controllers) {}
 
   // Returns whether the cluster has such a fault now.
-  bool is_troubled() const;
+  bool has_active_fault() const;
   // Records the current time if there is a fault now. Must be called regularly.
   void update() {
-    if (is_troubled()) last_troubled_at_ = clock_.seconds();
+    if (has_active_fault()) last_fault_at_ = clock_.seconds();
   }
   // Returns when `update` last saw a fault, in seconds since the start of the scenario; 0 if never.
-  double last_troubled_at() const { return last_troubled_at_; }
+  double last_fault_at() const { return last_fault_at_; }
 
  private:
   const SimulatedClock& clock_;
   const SimulatedNetwork& network_;
   const SimulatedStateService& state_;
   const SimulatedControllers& controllers_;
-  double last_troubled_at_ = 0;
+  double last_fault_at_ = 0;
 };
 
 }  // namespace saddleslip::testing
--- a/tests/simulation/user_commands.cpp
+++ b/tests/simulation/user_commands.cpp
@@ -10,26 +10,26 @@
 // The options of the command `submit`, in the form key=value.
 class JobOptions {
  public:
-  explicit JobOptions(CommandLine& line) : options_(line.options()) {}
+  explicit JobOptions(CommandLine& line) : options_(line.remaining_options()) {}
 
   bool has(const std::string& key) const { return options_.contains(key); }
-  std::string text(const std::string& key, const std::string& otherwise) const {
-    return has(key) ? options_.at(key) : otherwise;
+  std::string text(const std::string& key, const std::string& default_value) const {
+    return has(key) ? options_.at(key) : default_value;
   }
-  double number(const std::string& key, double otherwise) const {
-    return has(key) ? std::stod(options_.at(key)) : otherwise;
+  double number(const std::string& key, double default_value) const {
+    return has(key) ? std::stod(options_.at(key)) : default_value;
   }
 
  private:
   std::map<std::string, std::string> options_;
 };
 
-protocol::Kind kind_of(const std::string& name) {
+protocol::Kind parse_kind(const std::string& name) {
   if (name == "service") return protocol::Kind::kService;
   return name == "gang" ? protocol::Kind::kGang : protocol::Kind::kArray;
 }
 
-protocol::Rank rank_of(const std::string& name) {
+protocol::Rank parse_rank(const std::string& name) {
   static const std::map<std::string, protocol::Rank> kRanks = {
       {"critical", protocol::Rank::kCritical},
       {"urgent", protocol::Rank::kUrgent},
@@ -38,14 +38,14 @@
   return kRanks.at(name);
 }
 
-protocol::JobSpec spec_of(const std::string& id, const std::string& kind,
-                          const JobOptions& options) {
+protocol::JobSpec make_job_spec(const std::string& id, const std::string& kind,
+                                const JobOptions& options) {
   protocol::JobSpec spec;
   spec.id = JobId(id);
-  spec.kind = kind_of(kind);
+  spec.kind = parse_kind(kind);
   spec.job_class = options.text("class", "c");
   spec.team = options.text("team", "t");
-  spec.rank = rank_of(options.text("rank", "standard"));
+  spec.rank = parse_rank(options.text("rank", "standard"));
   spec.tasks = static_cast<TaskNo>(options.number("tasks", 1));
   spec.request.v = {options.number("cores", 1), 0, options.number("memory", 1)};
   spec.image = "img";
@@ -63,29 +63,29 @@
 }
 
 void play_submit(SimulatedCluster& cluster, CommandLine& line) {
-  const std::string id = line.text(), kind = line.text();
+  const std::string id = line.next_text(), kind = line.next_text();
   const JobOptions options(line);
   SimulatedJob job;
-  job.spec = spec_of(id, kind, options);
-  job.run_s = options.number("run", 10);
-  if (options.has("fails")) job.fails_after = options.number("fails", 0);
+  job.spec = make_job_spec(id, kind, options);
+  job.task_run_s = options.number("run", 10);
+  if (options.has("fails")) job.fails_after_s = options.number("fails", 0);
   cluster.users.submit(static_cast<std::size_t>(options.number("controller", 0)), job);
 }
 
 void play_cancel(SimulatedCluster& cluster, CommandLine& line) {
-  cluster.users.cancel(JobId(line.text()));
+  cluster.users.cancel(JobId(line.next_text()));
 }
 
 void play_unasked(SimulatedCluster& cluster, CommandLine& line) {
-  cluster.users.avoid(line.controller());
+  cluster.users.exclude_controller(line.next_controller());
 }
 
 void play_run(SimulatedCluster& cluster, CommandLine& line) {
-  cluster.run(line.number());
+  cluster.run(line.next_number());
 }
 
 void play_expect(SimulatedCluster& cluster, CommandLine& line) {
-  const std::string name = line.text();
+  const std::string name = line.next_text();
   const ScenarioCommand* expectation = find_expectation(name);
   if (!expectation)
     return cluster.failures.add("unknown expectation: " + name + "\n" + scenario_help());
@@ -98,7 +98,8 @@
      "one_zone spread fails (seconds until each task fails) follows (ID,ID)",
      play_submit},
     {"cancel", "ID", "requests a job's cancellation until it is confirmed", play_cancel},
-    {"unasked", "CONTROLLER", "users send no more requests about their jobs to this controller", play_unasked},
+    {"unasked", "CONTROLLER", "users send no more requests about their jobs to this controller",
+     play_unasked},
     {"run", "SECONDS", "advances the simulated time", play_run},
     {"expect", "EXPECTATION", "fails the scenario if the expectation is not met now", play_expect},
 };
