--- a/tests/simulation/simulated_cloud.h
+++ b/tests/simulation/simulated_cloud.h
@@ -38,7 +38,6 @@
   // Ends a machine, with all tasks on it.
   void release(const base::MachineId& machine);
   // Returns how many machines were released so far.
-  // Returns how many machines were released so far.
   int release_count() const { return release_count_; }
 
  private:
--- a/tests/simulation/simulated_controllers.h
+++ b/tests/simulation/simulated_controllers.h
@@ -67,7 +67,6 @@
   // Returns the TTL, in seconds, of the controller's member lease.
   double member_ttl(std::size_t controller_index) const;
   // Returns whether the scenario has set a watch lag for any controller.
-  // Returns whether the scenario has set a watch lag for any controller.
   bool has_watch_lag() const { return has_watch_lag_; }
   // Returns the API through which users submit, query and cancel jobs at this controller.
   UserApi& user_api(std::size_t controller_index) { return *processes_[controller_index].user_api; }
@@ -120,7 +119,7 @@
   void sync_peer(std::size_t from, std::size_t to);
   // Runs one scheduling round: offers, plans, commits and commands.
   void run_round(std::size_t controller_index, ProtocolObserver& observer);
-  // Sends the tasks that the controller offers to other members, or to itself.
+  // Delivers the offers of waiting tasks that the controller makes to members, itself included.
   void send_offers(std::size_t controller_index);
   // Plans and commits once. Returns whether the round must plan again.
   bool plan_and_commit_once(std::size_t controller_index, ProtocolObserver& observer);
