--- a/tests/simulation/controller_process.h
+++ b/tests/simulation/controller_process.h
@@ -13,7 +13,8 @@
 
 namespace saddleslip::testing {
 
-// Points in time are seconds since the start of the scenario.
+// The state of one process, and when its loops are due. Points in time are seconds since the start
+// of the scenario.
 struct ControllerProcess {
   base::Settings settings;
   std::unique_ptr<coordination::Controller> controller;
--- a/tests/simulation/expectations.cpp
+++ b/tests/simulation/expectations.cpp
@@ -31,11 +31,11 @@
 
 void expect_began(SimulatedCluster& cluster, CommandLine& line) {
   const SimulatedJob& job = cluster.jobs.at(JobId(line.next_text()));
-  const double within = line.next_number();
-  if (job.began_at && *job.began_at - job.submitted_at <= within) return;
+  const double within_s = line.next_number();
+  if (job.began_at && *job.began_at - job.submitted_at <= within_s) return;
   cluster.failures.add(
       "expected " + job.spec.id.get() +
-      " to start its first task within this many seconds: " + std::to_string(within));
+      " to start its first task within this many seconds: " + std::to_string(within_s));
 }
 
 void expect_served(SimulatedCluster& cluster, CommandLine&) {
--- a/tests/simulation/fault_commands.cpp
+++ b/tests/simulation/fault_commands.cpp
@@ -63,7 +63,7 @@
 }
 
 void play_die(SimulatedCluster& cluster, CommandLine& line) {
-  named_machine(cluster, line).die();
+  named_machine(cluster, line).terminate();
 }
 
 // Plays a command that sets or clears a condition of a machine.
@@ -78,7 +78,7 @@
   const std::string fault = line.next_text();
   for (SimulatedMachine* machine : cluster.workers.every_nth_of_fleet(every)) {
     if (fault == "die") {
-      machine->die();
+      machine->terminate();
     } else {
       machine->is_hung = fault == "hang";
     }
--- a/tests/simulation/simulated_cloud.h
+++ b/tests/simulation/simulated_cloud.h
@@ -20,6 +20,7 @@
   SimulatedCloud(const SimulatedClock& clock, SimulatedWorkers& workers, FailureLog& failures)
       : clock_(clock), workers_(workers), failures_(failures) {}
 
+  // Starts or ends an outage, during which controllers neither rent nor release machines.
   void set_down(bool down) { down_ = down; }
   bool is_down() const { return down_; }
   // Sets whether spot machines can be rented.
--- a/tests/simulation/simulated_jobs.h
+++ b/tests/simulation/simulated_jobs.h
@@ -17,8 +17,8 @@
 using base::TaskId;
 using base::TaskNo;
 
-// Points in time are seconds since the start of the scenario.
-// A submitted job: its behaviour, the answers that its user received, and its progress.
+// A submitted job: its behaviour, the answers that its user received, and its progress. Points in
+// time are seconds since the start of the scenario.
 struct SimulatedJob {
   protocol::JobSpec spec;
   double task_run_s = 10;               // how long each task runs
@@ -44,6 +44,7 @@
  public:
   explicit SimulatedJobs(const SimulatedStateService& state) : state_(state) {}
 
+  // Adds a job, or replaces the job with the same id.
   SimulatedJob& add(const SimulatedJob& job) { return jobs_[job.spec.id] = job; }
   // Returns the job, or null if no user submitted it.
   const SimulatedJob* find(const JobId& id) const;
--- a/tests/simulation/simulated_machine.h
+++ b/tests/simulation/simulated_machine.h
@@ -27,7 +27,8 @@
   }
 };
 
-// Points in time are seconds since the start of the scenario.
+// A machine, its agent and the attempts on it. Points in time are seconds since the start of the
+// scenario.
 struct SimulatedMachine {
   std::string id, type, zone;
   bool is_spot = false;
@@ -52,13 +53,15 @@
   bool is_usable(double now) const {
     return is_up(now) && !is_hung && !is_faulty && !is_half_open && !is_silent && !spot_ends_at;
   }
+  // Returns whether an attempt of the task has not ended on this machine.
   bool has_active(const TaskId& task) const {
     const auto found = tasks.find(task);
     return found != tasks.end() &&
            std::any_of(found->second.begin(), found->second.end(),
                        [](const SimulatedAttempt& attempt) { return attempt.is_active(); });
   }
-  void die() {
+  // Ends the machine for good, with all tasks on it.
+  void terminate() {
     is_alive = false;
     tasks.clear();
   }
--- a/tests/simulation/simulated_state_service.h
+++ b/tests/simulation/simulated_state_service.h
@@ -56,7 +56,7 @@
 
   // Applies a transaction if its preconditions hold and its leases have not expired.
   protocol::StateClient::Committed apply(const protocol::Transaction& transaction);
-  // Writes a record directly, as a scenario does for a record that no controller would write.
+  // Writes a record without a transaction, for records that no controller would write.
   void put(const std::string& key, const protocol::Json& value);
 
   // Grants a new lease that expires `ttl_s` seconds after its last renewal.
--- a/tests/simulation/simulated_workers.cpp
+++ b/tests/simulation/simulated_workers.cpp
@@ -55,11 +55,11 @@
   }
 }
 
-std::vector<SimulatedMachine*> SimulatedWorkers::every_nth_of_fleet(std::size_t n) {
+std::vector<SimulatedMachine*> SimulatedWorkers::every_nth_of_fleet(std::size_t interval) {
   std::vector<SimulatedMachine*> machines;
   std::size_t i = 0;
   for (auto& [id, machine] : machines_) {
-    if (id[0] == kFleetPrefix && ++i % n == 0) machines.push_back(&machine);
+    if (id[0] == kFleetPrefix && ++i % interval == 0) machines.push_back(&machine);
   }
   return machines;
 }
@@ -129,7 +129,7 @@
 void SimulatedWorkers::step_machine(SimulatedMachine& machine, ControllerEndpoints& controllers,
                                     ProtocolObserver& observer) {
   const double now = clock_.seconds();
-  if (machine.spot_ends_at && now >= *machine.spot_ends_at) return machine.die();
+  if (machine.spot_ends_at && now >= *machine.spot_ends_at) return machine.terminate();
   // The agent's lease also expires while the machine hangs. A machine that resumes later has lost
   // its tasks.
   if (now - machine.last_answered_at > config_.agent_lease_s) begin_agent_incarnation(machine);
--- a/tests/simulation/simulated_workers.h
+++ b/tests/simulation/simulated_workers.h
@@ -41,11 +41,14 @@
         trace_(trace),
         failures_(failures) {}
 
+  // Adds a machine that has finished booting at the given time.
   void add(const std::string& id, const std::string& type, const std::string& zone, bool is_spot,
            double up_at);
   // Adds machines to the fleet, whose machines are numbered consecutively: f1001, f1002, ...
   void add_fleet(std::size_t count, const std::string& type, const std::string& zone);
-  std::vector<SimulatedMachine*> every_nth_of_fleet(std::size_t n);
+  // Returns every machine of the fleet whose position, in the order of the ids, is a multiple of
+  // `interval`.
+  std::vector<SimulatedMachine*> every_nth_of_fleet(std::size_t interval);
   void remove(const std::string& id) { machines_.erase(id); }
   // Restarts a machine without its tasks and with its next agent incarnation. It is up again after
   // the given time.
@@ -84,15 +87,20 @@
   // Directs the machine's heartbeats to the owner that a reply names, if that controller exists.
   void follow_redirect(SimulatedMachine& machine, const protocol::Json& reply,
                        const ControllerEndpoints& controllers);
+  // Executes the commands in the reply to a heartbeat, unless its fencing token is out of date.
   void process_reply(SimulatedMachine& machine, const protocol::Json& reply,
                      ProtocolObserver& observer);
   // Returns whether the machine's heartbeats can reach the controller that they go to.
   bool is_connected(const SimulatedMachine& machine) const;
+  // Directs the machine's heartbeats to the next controller, the first of them after a retry delay.
   void try_next_controller(SimulatedMachine& machine, const ControllerEndpoints& controllers);
   protocol::Heartbeat make_heartbeat(SimulatedMachine& machine);
+  // Executes the commands to run, kill or forget attempts.
   void execute_commands(SimulatedMachine& machine, const std::vector<protocol::Command>& commands);
+  // Returns a new attempt, already ended if it repeats an active task or exceeds the free cores.
   SimulatedAttempt start_attempt(const SimulatedMachine& machine,
                                  const protocol::Command& command) const;
+  // Returns the cores that the machine's active attempts use.
   double cores_in_use(const SimulatedMachine& machine) const;
   // Starts the machine's next agent incarnation, which has no tasks.
   void begin_agent_incarnation(SimulatedMachine& machine);
--- a/tests/simulation/trouble_tracker.h
+++ b/tests/simulation/trouble_tracker.h
@@ -9,16 +9,16 @@
 
 namespace saddleslip::testing {
 
-// Finds such faults from the state of the network, the state service and the controllers.
+// Detects these faults from the state of the network, the state service and the controllers.
 class TroubleTracker {
  public:
   TroubleTracker(const SimulatedClock& clock, const SimulatedNetwork& network,
                  const SimulatedStateService& state, const SimulatedControllers& controllers)
       : clock_(clock), network_(network), state_(state), controllers_(controllers) {}
 
-  // Returns whether the cluster has such a fault now.
+  // Returns whether the cluster currently has a fault that excuses waiting.
   bool has_active_fault() const;
-  // Records the current time if there is a fault now. Must be called regularly.
+  // Records the current time if the cluster has such a fault. Must be called regularly.
   void update() {
     if (has_active_fault()) last_fault_at_ = clock_.seconds();
   }
