--- a/src/coordination/fleet/fleet_status.cpp
+++ b/src/coordination/fleet/fleet_status.cpp
@@ -2,12 +2,13 @@
 
 namespace saddleslip::coordination {
 
-std::set<base::MachineId> FleetStatus::reporting() const {
-  std::set<base::MachineId> out;
+std::set<base::MachineId> FleetStatus::reporting_machines() const {
+  std::set<base::MachineId> machine_ids;
   for (const OwnedMachines& partition : partitions) {
-    for (const protocol::MachineStatus* machine : partition.machines) out.insert(machine->id);
+    for (const protocol::MachineStatus* machine : partition.machines)
+      machine_ids.insert(machine->id);
   }
-  return out;
+  return machine_ids;
 }
 
 }  // namespace saddleslip::coordination
--- a/src/storage/job.cpp
+++ b/src/storage/job.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Records of the given number as they are before any of the job's tasks has started.
+// Returns the task records of a job before any of its tasks has started.
 std::vector<Chunk> unstarted_chunks(const RecordLayout& layout) {
   std::vector<Chunk> chunks(layout.record_count());
   for (std::uint32_t number = 0; number < chunks.size(); ++number)
@@ -39,13 +39,13 @@
 }
 
 void Job::replace_chunk(std::size_t number, Chunk chunk, Time now) {
-  const ChunkRecord& before = chunks[number].record;
-  assigned -= static_cast<TaskNo>(before.assigned.size());
-  done -= before.done_count();
+  const ChunkRecord& old_record = chunks[number].record;
+  assigned -= static_cast<TaskNo>(old_record.assigned.size());
+  done -= old_record.done_count();
   chunks[number] = std::move(chunk);
-  const ChunkRecord& after = chunks[number].record;
-  assigned += static_cast<TaskNo>(after.assigned.size());
-  done += after.done_count();
+  const ChunkRecord& new_record = chunks[number].record;
+  assigned += static_cast<TaskNo>(new_record.assigned.size());
+  done += new_record.done_count();
   last_progress_at = now;
 }
 
@@ -61,13 +61,14 @@
   const std::uint32_t chunk = piece / record.pieces_of_chunk();
   const TaskRange tasks = layout.tasks_of_record(piece);
   const TaskNo offset = tasks.first - layout.tasks_of_chunk(chunk).first;
-  const ChunkRecord& from = whole[chunk].record;
-  ChunkRecord out;
-  out.next = from.next;
-  out.done.assign(from.done.begin() + offset, from.done.begin() + offset + tasks.count);
-  out.assigned.insert(from.assigned.lower_bound(tasks.first),
-                      from.assigned.lower_bound(tasks.first + tasks.count));
-  return out;
+  const ChunkRecord& chunk_record = whole[chunk].record;
+  ChunkRecord piece_record;
+  piece_record.next = chunk_record.next;
+  piece_record.done.assign(chunk_record.done.begin() + offset,
+                           chunk_record.done.begin() + offset + tasks.count);
+  piece_record.assigned.insert(chunk_record.assigned.lower_bound(tasks.first),
+                               chunk_record.assigned.lower_bound(tasks.first + tasks.count));
+  return piece_record;
 }
 
 }  // namespace saddleslip::storage
--- a/tests/key_versions_test.cpp
+++ b/tests/key_versions_test.cpp
@@ -1,4 +1,4 @@
-// Which items of the store are new to this process.
+// Tests of which items of the store count as new to this process.
 #include "storage/key_versions.h"
 
 #include <gtest/gtest.h>
@@ -11,23 +11,23 @@
 TEST(KeyVersions, SameOrOlderVersionIsNotNewer) {
   KeyVersions versions;
   versions.record_value("key", Version(5));
-  EXPECT_EQ(versions.of("key"), Version(5));
+  EXPECT_EQ(versions.version_of("key"), Version(5));
   EXPECT_FALSE(versions.is_newer("key", Version(4)));
   EXPECT_FALSE(versions.is_newer("key", Version(5)));
   EXPECT_TRUE(versions.is_newer("key", Version(6)));
   EXPECT_TRUE(versions.is_newer("other", Version(4)));
 }
 
-TEST(KeyVersions, RemovalAheadOfTheWatchHidesOlderItems) {
+TEST(KeyVersions, RemovalAheadOfTheWatchRejectsOlderItems) {
   KeyVersions versions;
   versions.record_value("key", Version(5));
   versions.record_removal("key", Version(8));
-  EXPECT_EQ(versions.of("key"), Version(0));
+  EXPECT_EQ(versions.version_of("key"), Version(0));
   EXPECT_FALSE(versions.is_newer("key", Version(8)));
   EXPECT_TRUE(versions.is_newer("key", Version(9)));
 }
 
-TEST(KeyVersions, NothingUpToTheRevisionIsNewer) {
+TEST(KeyVersions, VersionsUpToTheRevisionAreNotNewer) {
   KeyVersions versions;
   versions.record_removal("key", Version(8));
   versions.advance_to(Revision(9));
@@ -38,7 +38,7 @@
   EXPECT_TRUE(versions.is_newer("key", Version(10)));
 }
 
-TEST(KeyVersions, ClearStartsOver) {
+TEST(KeyVersions, ClearResetsVersionsAndRevision) {
   KeyVersions versions;
   versions.record_value("key", Version(5));
   versions.record_removal("removed", Version(6));
--- a/tests/simulation/command_channel.h
+++ b/tests/simulation/command_channel.h
@@ -1,5 +1,5 @@
-// The way of commands from controllers to machines. It can hold, lose and repeat them, and keeps
-// what is sent to a hung machine until that goes on.
+// Delivers commands from controllers to machines. Simulated faults delay, lose or duplicate them.
+// Commands to a hung machine wait until it resumes.
 #pragma once
 
 #include <cstddef>
@@ -14,27 +14,30 @@
 
 namespace saddleslip::testing {
 
+// Sends each batch of commands at once, or queues it until it is due.
 class CommandChannel {
  public:
   CommandChannel(const SimulatedClock& clock, const SimulatedNetwork& network,
                  SimulatedWorkers& workers)
       : clock_(clock), network_(network), workers_(workers) {}
 
-  // What is sent from now on arrives after so many seconds.
-  void hold(double seconds) { hold_until_ = clock_.seconds() + seconds; }
-  void set_lost(bool lost) { lost_ = lost; }
-  // Does what is sent arrive a second time, much later?
-  void set_repeated(bool repeated) { repeated_ = repeated; }
+  // Holds back the commands that are sent within the given time and delivers them at its end.
+  void hold_for(double seconds) { hold_until_ = clock_.seconds() + seconds; }
+  // Sets whether every batch that is sent is lost.
+  void set_dropping(bool dropping) { dropping_ = dropping; }
+  // Sets whether every delivered batch is delivered a second time, 20 seconds later.
+  void set_duplicating(bool duplicating) { duplicating_ = duplicating; }
 
-  // Delivers a batch now, unless it is held, lost or cut off. The reply goes to the sender.
+  // Delivers a batch now, unless commands are held back or lost, a link is cut or the machine
+  // hangs. The machine's reply goes to the sending controller.
   void send(std::size_t from, const coordination::CommandBatch& batch,
             ControllerEndpoints& controllers);
   // Delivers the batches that are due.
   void step(ControllerEndpoints& controllers);
 
  private:
-  struct Pending {
-    std::optional<double> due_at;  // none: as soon as the machine no longer hangs
+  struct PendingBatch {
+    std::optional<double> due_at;  // without a value: as soon as the machine no longer hangs
     std::size_t from;
     coordination::CommandBatch batch;
   };
@@ -46,10 +49,10 @@
   const SimulatedClock& clock_;
   const SimulatedNetwork& network_;
   SimulatedWorkers& workers_;
-  std::vector<Pending> pending_;
+  std::vector<PendingBatch> pending_;
   double hold_until_ = -1;
-  bool lost_ = false;
-  bool repeated_ = false;
+  bool dropping_ = false;
+  bool duplicating_ = false;
 };
 
 }  // namespace saddleslip::testing
--- a/tests/simulation/failure_log.cpp
+++ b/tests/simulation/failure_log.cpp
@@ -4,14 +4,14 @@
 
 namespace saddleslip::testing {
 
-void FailureLog::add(const std::string& what) {
+void FailureLog::add(const std::string& failure) {
   std::ostringstream out;
   out.precision(4);
-  out << "at " << clock_.seconds() << ": " << what;
+  out << "at " << clock_.seconds() << ": " << failure;
   lines_.push_back(out.str());
 }
 
-void FailureLog::add_position(int line_number, const std::string& line) {
+void FailureLog::add_scenario_line(int line_number, const std::string& line) {
   lines_.push_back("in line " + std::to_string(line_number) + ": " + line);
 }
 
--- a/tests/simulation/simulated_cluster.cpp
+++ b/tests/simulation/simulated_cluster.cpp
@@ -11,15 +11,15 @@
   if (users.is_poll_due()) {
     troubles.update();
     users.poll();
-    whole_day.check_waiting();
-    whole_day.check_forgotten();
-    users.ask_for_unknown_job();
+    whole_day.check_waiting_jobs();
+    whole_day.check_unanswered_jobs();
+    users.check_unknown_job();
   }
   rules.check_running_tasks();
 }
 
 void SimulatedCluster::run(double seconds) {
-  constexpr double kTolerance = 1e-9;  // of a sum of steps
+  constexpr double kTolerance = 1e-9;  // rounding error when many steps are added up
   const double until = clock.seconds() + seconds;
   while (clock.seconds() < until - kTolerance && failures.empty()) step();
 }
--- a/tests/simulation/trouble_tracker.h
+++ b/tests/simulation/trouble_tracker.h
@@ -1,4 +1,5 @@
-// Whether a simulated cluster has troubles that excuse waiting: cuts, outages, lags, controllers away.
+// Tracks faults that excuse waiting jobs in a simulated cluster: cut links, an outage of the state
+// service, delayed commits, watch lags, and controllers that are down, loading or frozen.
 #pragma once
 
 #include "simulation/simulated_clock.h"
@@ -8,26 +9,28 @@
 
 namespace saddleslip::testing {
 
+// Detects these faults from the state of the network, the state service and the controllers.
 class TroubleTracker {
  public:
   TroubleTracker(const SimulatedClock& clock, const SimulatedNetwork& network,
                  const SimulatedStateService& state, const SimulatedControllers& controllers)
       : clock_(clock), network_(network), state_(state), controllers_(controllers) {}
 
-  bool is_troubled() const;
-  // To be called regularly: notes the time if there are troubles.
+  // Returns whether the cluster currently has a fault that excuses waiting.
+  bool has_active_fault() const;
+  // Records the current time if the cluster has such a fault. Must be called regularly.
   void update() {
-    if (is_troubled()) last_troubled_at_ = clock_.seconds();
+    if (has_active_fault()) last_fault_at_ = clock_.seconds();
   }
-  // Seconds of the scenario; 0: never.
-  double last_troubled_at() const { return last_troubled_at_; }
+  // Returns when `update` last saw a fault, in seconds since the start of the scenario; 0 if never.
+  double last_fault_at() const { return last_fault_at_; }
 
  private:
   const SimulatedClock& clock_;
   const SimulatedNetwork& network_;
   const SimulatedStateService& state_;
   const SimulatedControllers& controllers_;
-  double last_troubled_at_ = 0;
+  double last_fault_at_ = 0;
 };
 
 }  // namespace saddleslip::testing
