--- a/bench/versions/records_tool.cpp
+++ b/bench/versions/records_tool.cpp
@@ -35,7 +35,7 @@
   spec.team = "vision";
   spec.rank = protocol::Rank::kUrgent;
   spec.tasks = tasks;
-  spec.request.v = {2, 0, 6.4};
+  spec.request.amounts = {2, 0, 6.4};
   spec.types = {{"g8", "g16"}};
   spec.zone = "a";
   spec.spot = true;
@@ -88,9 +88,9 @@
   cancelled.spec = make_job_spec("run-000003", 1);
   cancelled.cancelled = true;
   print(protocol::job_key(cancelled.spec.id), to_json(cancelled));
-  const protocol::TaskNo size = protocol::parse_job(record)->chunk;
+  const protocol::TaskNo size = protocol::parse_job(record)->chunk_size;
   protocol::ChunkRecord chunk;
-  chunk.next = base::Attempt(7);
+  chunk.next_attempt = base::Attempt(7);
   chunk.done.assign(size, false);
   chunk.done[0] = chunk.done[1] = chunk.done[9] = true;
   chunk.assigned[size + 2] = {base::MachineId("i-000231"), base::Attempt(5),
@@ -99,10 +99,10 @@
                               base::AgentIncarnation(1)};
   chunk.assigned[size + 4] = {base::MachineId("i-000232"), base::Attempt(6),
                               base::AgentIncarnation(1)};
-  print(protocol::chunk_key(large_job.id, 1), to_json(chunk, size));
-  print(protocol::final_key(base::JobId("run-000004")),
+  print(protocol::chunk_record_key(large_job.id, 1), to_json(chunk, size));
+  print(protocol::tombstone_key(base::JobId("run-000004")),
         encode_final_state(protocol::JobStatus::kDone));
-  print(protocol::final_key(base::JobId("run-000005")),
+  print(protocol::tombstone_key(base::JobId("run-000005")),
         encode_final_state(protocol::JobStatus::kCancelled));
 }
 
@@ -114,19 +114,20 @@
 void write_cluster() {
   const protocol::ControllerIncarnation incarnation = first_incarnation();
   print(protocol::member_key(incarnation.member), to_json(protocol::Member{incarnation, true}));
-  print(protocol::kLeadKey, to_json(incarnation));
+  print(protocol::kLeaderKey, to_json(incarnation));
   protocol::View view;
   view.epoch = base::Epoch(9);
   view.members = {incarnation, {base::MemberId("stall-2"), base::Incarnation(43)}};
   view.overrides[base::MachineId("i-000231")] = base::MemberId("stall-2");
   print(protocol::kViewKey, to_json(view));
   print(protocol::claim_key(base::MachineId("i-000233")), to_json(incarnation));
-  print(protocol::kFleetKey, to_json(std::vector<protocol::Booting>{{base::MachineId("i-000240"),
-                                                                     "g8", "a", true, kTimeOfDay}},
-                                     1024));
+  print(protocol::kFleetKey,
+        to_json(std::vector<protocol::BootingMachine>{{base::MachineId("i-000240"), "g8", "a", true,
+                                                       kTimeOfDay}},
+                1024));
   protocol::MachineType type;
   type.name = "g8";
-  type.size.v = {8, 0, 64};
+  type.size.amounts = {8, 0, 64};
   type.price = 0.5;
   type.zones = {"a", "b"};
   print(protocol::kCatalogueKey, to_json(std::vector{type}));
@@ -136,18 +137,18 @@
 void write_peer_messages() {
   protocol::MemberStatus status;
   status.from = first_incarnation();
-  status.has_state = true;
-  status.upto = 3;
+  status.has_lease = true;
+  status.revision = 3;
   protocol::MachineStatus machine;
   machine.id = base::MachineId("i-000231");
   machine.type = "g8";
   machine.zone = "a";
-  machine.free.v = {4, 0, 32};
+  machine.free.amounts = {4, 0, 32};
   machine.tasks = 2;
   machine.images = {"img-07"};
   status.machines = {machine};
   status.ownership_claims = {base::MachineId("i-000233")};
-  status.contact = protocol::WorkerContact::kLost;
+  status.worker_contact = protocol::WorkerContact::kLost;
   print("message/status", to_json(status, base::Time{}));
   protocol::Offers offers;
   offers.from = first_incarnation();
@@ -183,9 +184,9 @@
   split.spec.dependencies = dependent.dependencies;
   const auto lists = protocol::split_dependencies(split.spec.dependencies, 16);
   split.dependency_lists = protocol::name_dependency_lists(lists);
-  split.submitted = kTimeOfDay;
-  split.chunk = 128;
-  split.piece = 32;
+  split.submitted_at = kTimeOfDay;
+  split.chunk_size = 128;
+  split.piece_size = 32;
   print(protocol::dependency_lists_key(split.spec.id), to_json(*split.dependency_lists));
   for (std::size_t i = 0; i < lists.size(); ++i) {
     print(protocol::dependency_list_key(split.spec.id, split.dependency_lists->set, i), lists[i]);
@@ -202,14 +203,14 @@
 
 // Writes cluster records and peer messages with the fields and values that `write` does not use.
 void write_cluster_variants() {
-  print(protocol::team_key("vision & \"speech\""), Json(1));
-  print(protocol::row_key(base::JobId("run-000011")), Json(1));
+  print(protocol::team_start_key("vision & \"speech\""), Json(1));
+  print(protocol::job_start_key(base::JobId("run-000011")), Json(1));
   const protocol::ControllerIncarnation incarnation{base::MemberId("stall-3"),
                                                     base::Incarnation(44)};
   print(protocol::member_key(incarnation.member),
         to_json(protocol::Member{incarnation, false, protocol::kFormat}));
   const auto booting = [](const char* id, const char* type, bool spot) {
-    return protocol::Booting{base::MachineId(id), type, "b", spot, kTimeOfDay};
+    return protocol::BootingMachine{base::MachineId(id), type, "b", spot, kTimeOfDay};
   };
   print(protocol::kFleetKey,
         to_json(std::vector{booting("i-1", "g8", false), booting("i-2", "g8", false),
@@ -217,28 +218,28 @@
                 1024));
   protocol::MemberStatus status;
   status.from = incarnation;
-  status.since = 3;
-  status.upto = 4;
+  status.base_revision = 3;
+  status.revision = 4;
   protocol::MachineStatus machine;
   machine.id = base::MachineId("i-000235");
   machine.type = "g16";
   machine.zone = "b";
   machine.spot = true;
   machine.open = false;
-  machine.free.v = {1, 2, 3.5};
-  machine.preemptible.v = {4, 0, 6};
+  machine.free.amounts = {1, 2, 3.5};
+  machine.preemptible.amounts = {4, 0, 6};
   machine.idle_since = base::after(base::Time{}, base::Seconds(-30));
-  machine.silent = machine.late = true;
+  machine.is_silent = machine.heartbeat_overdue = true;
   status.machines = {machine};
   machine.id = base::MachineId("i-000236");
-  machine.unsure = machine.soon = true;
-  machine.silent = machine.late = false;
+  machine.has_unacknowledged_response = machine.awaits_confirmation = true;
+  machine.is_silent = machine.heartbeat_overdue = false;
   status.machines.push_back(machine);
-  status.left = {base::MachineId("i-000237")};
+  status.departed_machines = {base::MachineId("i-000237")};
   status.release_requested = {base::MachineId("i-000235"), base::MachineId("i-000236")};
   status.misdirected = {base::MachineId("i-000238")};
   status.crash_looping_jobs = {base::JobId("run-000012")};
-  status.contact = protocol::WorkerContact::kGood;
+  status.worker_contact = protocol::WorkerContact::kGood;
   print("message/status", to_json(status, base::Time{}));
   protocol::Offers offers;
   offers.from = incarnation;
@@ -258,11 +259,11 @@
       {Op::kRun, task, base::Attempt(4), base::Seconds(0)},
       {Op::kKill, task, base::Attempt(3), base::Seconds(2.5)},
       {Op::kForget, task, base::Attempt(2), base::Seconds(0)}};
-  print_response("heartbeat", protocol::heartbeat_response(base::FencingToken(8), commands));
-  print_response("orders",
-                 protocol::orders(base::FencingToken(8), base::AgentIncarnation(5), commands));
-  print_response("redirect", protocol::redirect(base::MemberId("stall-1")));
-  print_response("redirect", protocol::redirect({}));
+  print_response("heartbeat", protocol::encode_heartbeat_response(base::FencingToken(8), commands));
+  print_response("orders", protocol::encode_command_batch(base::FencingToken(8),
+                                                          base::AgentIncarnation(5), commands));
+  print_response("redirect", protocol::encode_redirect(base::MemberId("stall-1")));
+  print_response("redirect", protocol::encode_redirect({}));
   using protocol::JobStatus;
   const base::JobId job("run-000010");
   print_response("status", protocol::user_status(job, JobStatus::kQueued));
@@ -277,10 +278,11 @@
 Json reencode(const std::string& key, const Json& value, protocol::TaskNo first,
               protocol::TaskNo count) {
   const auto encoded = [](const auto& parsed) { return parsed ? to_json(*parsed) : Json(); };
-  if (key.starts_with(protocol::kJobs)) return encoded(protocol::parse_job(value));
-  if (key.starts_with(protocol::kFinals)) return encoded(protocol::parse_final(value));
-  if (key.starts_with(protocol::kMembers)) return encoded(protocol::parse_member(value));
-  if (key == protocol::kLeadKey || key.starts_with(protocol::kClaims)) {
+  if (key.starts_with(protocol::kJobPrefix)) return encoded(protocol::parse_job(value));
+  if (key.starts_with(protocol::kTombstonePrefix))
+    return encoded(protocol::parse_final_state(value));
+  if (key.starts_with(protocol::kMemberPrefix)) return encoded(protocol::parse_member(value));
+  if (key == protocol::kLeaderKey || key.starts_with(protocol::kClaimPrefix)) {
     return encoded(protocol::parse_incarnation(value));
   }
   if (key == protocol::kViewKey) return encoded(protocol::parse_view(value));
@@ -291,7 +293,7 @@
     const auto status = protocol::parse_status(value, base::Time{});
     return status ? to_json(*status, base::Time{}) : Json();
   }
-  if (key.starts_with(protocol::kChunks)) {
+  if (key.starts_with(protocol::kTaskRecordPrefix)) {
     const auto record = protocol::parse_chunk(value, first, count);
     return record ? to_json(*record, first) : Json();
   }
@@ -310,11 +312,11 @@
       continue;
     }
     const Json value = Json::parse(line.substr(tab + 1));
-    if (key.starts_with(protocol::kJobs)) {
+    if (key.starts_with(protocol::kJobPrefix)) {
       if (const auto job = protocol::parse_job(value)) jobs[job->spec.id] = *job;
     }
     protocol::TaskNo first = 0, count = 0;
-    if (const auto name = protocol::parse_chunk_key(key); name && jobs.contains(name->job)) {
+    if (const auto name = protocol::parse_task_record_key(key); name && jobs.contains(name->job)) {
       first = jobs.at(name->job).first_task(name->chunk);
       count = jobs.at(name->job).tasks_of(name->chunk);
     }
@@ -328,7 +330,7 @@
     const auto status = protocol::parse_status(value, base::Time{});
     std::cout << key << ' ' << status->from.member.get() << ' ' << status->machines.size() << ' '
               << status->machines[0].free.cores() << ' ' << status->ownership_claims.size() << ' '
-              << (status->contact == protocol::WorkerContact::kLost) << '\n';
+              << (status->worker_contact == protocol::WorkerContact::kLost) << '\n';
   } else {
     const auto offers = protocol::parse_offers(value);
     std::cout << key << ' ' << offers->epoch.get() << ' ' << offers->offers[0].job.get() << ' '
@@ -342,14 +344,14 @@
     const auto& spec = job.record.spec;
     std::cout << "job " << id.get() << " class " << spec.job_class << " tasks " << spec.tasks
               << " memory " << spec.request.memory() << " deadline " << spec.deadline->count()
-              << " submitted " << job.record.submitted << " cancelled " << job.cancelled()
+              << " submitted " << job.record.submitted_at << " cancelled " << job.cancelled()
               << " done " << job.done << " held " << job.assigned << '\n';
     for (const auto& chunk : job.chunks) {
       for (const auto& [number, assignment] : chunk.record.assigned) {
         std::cout << "held " << id.get() << ' ' << (number - job.chunk_first(1))
                   << " of record 1 by " << assignment.machine.get() << " attempt "
                   << assignment.attempt.get() << " session " << assignment.agent_incarnation.get()
-                  << " next " << chunk.record.next.get() << '\n';
+                  << " next " << chunk.record.next_attempt.get() << '\n';
       }
     }
   }
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -67,10 +67,10 @@
 }
 
 UserApi::Acceptance UserApi::read_final_state(const JobId& id) {
-  const auto response = store_.get(protocol::final_key(id));
+  const auto response = store_.get(protocol::tombstone_key(id));
   if (!response.answered) return Acceptance::kUnknown;
   if (response.item.version.get() == 0) return Acceptance::kNeverAccepted;
-  const auto final_state = protocol::parse_final(response.item.value);
+  const auto final_state = protocol::parse_final_state(response.item.value);
   if (!final_state) return Acceptance::kUnknown;
   with_lock([&](Controller& controller) { controller.cache().remember_final(id, *final_state); });
   return Acceptance::kAccepted;
--- a/src/api/user_api.h
+++ b/src/api/user_api.h
@@ -34,9 +34,9 @@
     // false if that failed.
     std::function<bool()> read_barrier;
     // Reads one key from the state service.
-    std::function<protocol::StateClient::Got(const std::string& key)> get;
+    std::function<protocol::StateClient::GetResult(const std::string& key)> get;
     // Commits one transaction to the state service.
-    std::function<protocol::StateClient::Committed(const protocol::Transaction& transaction)>
+    std::function<protocol::StateClient::CommitResult(const protocol::Transaction& transaction)>
         commit;
     // Returns the time of day in seconds since 1970.
     std::function<double()> time_of_day;
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -78,7 +78,7 @@
   const ControllerIncarnation* owner_incarnation = owner(heartbeat.machine);
   if (owner_incarnation->member != self_.member) {
     ownership_claims_.record_redirection(heartbeat.machine, *owner_incarnation, now);
-    return {421, protocol::redirect(owner_incarnation->member)};
+    return {421, protocol::encode_redirect(owner_incarnation->member)};
   }
   if (!has_authority(now)) return {503, protocol::error_body("not entitled to act now")};
   if (released_.contains(heartbeat.machine)) return {503, protocol::error_body("released")};
@@ -144,11 +144,11 @@
   detect_pause(now);
   MemberStatus report;
   report.from = self_;
-  report.has_state = has_lease(now);
+  report.has_lease = has_lease(now);
   machines_.add_status_changes(peer, now, report);
   report.release_requested = release_requests();
   report.misdirected = misdirected(now);
-  report.contact = worker_contact(now);
+  report.worker_contact = worker_contact(now);
   report.crash_looping_jobs = failures_.crash_looping_jobs();
   if (report.crash_looping_jobs.size() > kMaxReportedCrashLoopingJobs)
     report.crash_looping_jobs.resize(kMaxReportedCrashLoopingJobs);
--- a/src/coordination/fleet/autoscaler.cpp
+++ b/src/coordination/fleet/autoscaler.cpp
@@ -122,7 +122,7 @@
 void Autoscaler::review_list(const std::vector<CloudMachine>& cloud_machines,
                              const FleetStatus& fleet) {
   std::set<MachineId> known_machines = fleet.reporting_machines();
-  for (const protocol::Booting& machine : booting_.all()) known_machines.insert(machine.id);
+  for (const protocol::BootingMachine& machine : booting_.all()) known_machines.insert(machine.id);
   std::set<MachineId> listed;
   for (const CloudMachine& machine : cloud_machines) {
     listed.insert(machine.id);
@@ -162,7 +162,7 @@
 
 protocol::Transaction Autoscaler::booting_record() const {
   protocol::Transaction transaction;
-  transaction.preconditions[protocol::kLeadKey] = cache_.version(protocol::kLeadKey);
+  transaction.preconditions[protocol::kLeaderKey] = cache_.version(protocol::kLeaderKey);
   transaction.writes.push_back(
       {protocol::kFleetKey,
        to_json(booting_.all(), settings_.value_bytes - kFleetRecordOverheadBytes),
--- a/src/coordination/fleet/booting_machines.cpp
+++ b/src/coordination/fleet/booting_machines.cpp
@@ -6,7 +6,7 @@
 
 namespace saddleslip::coordination {
 
-using protocol::Booting;
+using protocol::BootingMachine;
 
 namespace {
 
@@ -14,12 +14,12 @@
 constexpr double kMaxAdoptedAgeFactor = 3;
 constexpr Seconds kUnknownBootTime{30.0};
 
-MachineKind kind_of(const Booting& machine) {
+MachineKind kind_of(const BootingMachine& machine) {
   return {machine.type, machine.zone, machine.spot};
 }
 
-Seconds age_of(const Booting& machine, double wall_now) {
-  return Seconds(wall_now - machine.rented);
+Seconds age_of(const BootingMachine& machine, double wall_now) {
+  return Seconds(wall_now - machine.rented_at);
 }
 
 }  // namespace
@@ -43,7 +43,7 @@
 std::vector<MachineId> BootingMachines::remove_finished_boots(const FleetStatus& fleet) {
   const std::set<MachineId> reporting = fleet.reporting_machines();
   std::vector<MachineId> failed_boots;
-  std::erase_if(machines_, [&](const Booting& machine) {
+  std::erase_if(machines_, [&](const BootingMachine& machine) {
     const MachineKind kind = kind_of(machine);
     const Seconds age = age_of(machine, fleet.wall_now);
     if (reporting.contains(machine.id)) {
@@ -61,14 +61,14 @@
   return failed_boots;
 }
 
-std::vector<Booting> BootingMachines::likely_to_boot(Time now, double wall_now) const {
+std::vector<BootingMachine> BootingMachines::likely_to_boot(Time now, double wall_now) const {
   std::map<std::string, BootingCount> by_type;
-  for (const Booting& machine : machines_) {
+  for (const BootingMachine& machine : machines_) {
     if (BootTracker::is_overdue(age_of(machine, wall_now), usual_boot_time(machine.type)))
       ++by_type[machine.type].overdue;
   }
-  std::vector<Booting> likely_machines;
-  for (const Booting& machine : machines_) {
+  std::vector<BootingMachine> likely_machines;
+  for (const BootingMachine& machine : machines_) {
     if (boots_.is_likely_to_boot(kind_of(machine), age_of(machine, wall_now),
                                  usual_boot_time(machine.type), by_type[machine.type], now))
       likely_machines.push_back(machine);
--- a/src/coordination/fleet/booting_machines.h
+++ b/src/coordination/fleet/booting_machines.h
@@ -33,9 +33,9 @@
   // the last group, which is to be released.
   std::vector<MachineId> remove_finished_boots(const FleetStatus& fleet);
   // Returns the machines that are likely to come up, and so count as future capacity.
-  std::vector<protocol::Booting> likely_to_boot(Time now, double wall_now) const;
+  std::vector<protocol::BootingMachine> likely_to_boot(Time now, double wall_now) const;
   // Returns all booting machines, also those that are overdue.
-  const std::vector<protocol::Booting>& all() const { return machines_; }
+  const std::vector<protocol::BootingMachine>& all() const { return machines_; }
 
  private:
   // Returns the usual boot time from the machine catalogue, or a default for a type that is not in
@@ -43,7 +43,7 @@
   Seconds usual_boot_time(const std::string& type) const;
 
   const storage::StateCache& cache_;
-  std::vector<protocol::Booting> machines_;
+  std::vector<protocol::BootingMachine> machines_;
   BootTracker boots_;
 };
 
--- a/src/coordination/fleet/demand_estimator.cpp
+++ b/src/coordination/fleet/demand_estimator.cpp
@@ -153,7 +153,7 @@
   const auto [entry, is_new] = remaining.try_emplace(spec.team);
   Resources& remaining_quota = entry->second;
   if (is_new) {
-    remaining_quota.v = {team.max_cores, team.max_gpus, 0};
+    remaining_quota.amounts = {team.max_cores, team.max_gpus, 0};
     remaining_quota -= cache_.team_use(spec.team);
   }
   std::size_t count = waiting;
--- a/src/coordination/fleet/pending_releases.cpp
+++ b/src/coordination/fleet/pending_releases.cpp
@@ -37,7 +37,7 @@
   // half-open and the machine tries one member after another. Such a machine is released.
   for (const OwnedMachines& partition : fleet.partitions) {
     for (const protocol::MachineStatus* machine : partition.machines) {
-      if (machine->unsure) alive.erase(machine->id);
+      if (machine->has_unacknowledged_response) alive.erase(machine->id);
     }
   }
   std::erase_if(releases,
--- a/src/coordination/fleet/scaling_plan.cpp
+++ b/src/coordination/fleet/scaling_plan.cpp
@@ -149,15 +149,15 @@
 
 void ScalingPlanner::add_hosts() {
   for (const MachineType& type : *input_.catalogue) {
-    for (std::size_t i = 0; i < scale_.v.size(); ++i) {
-      scale_.v[i] = std::max(scale_.v[i], type.size.v[i]);
+    for (std::size_t i = 0; i < scale_.amounts.size(); ++i) {
+      scale_.amounts[i] = std::max(scale_.amounts[i], type.size.amounts[i]);
     }
   }
   for (const MachineStatus* machine : input_.machines) {
-    if (!machine->open && !machine->soon) continue;
+    if (!machine->open && !machine->awaits_confirmation) continue;
     add_host({machine->type, machine->zone, machine->spot}, machine, machine->free);
   }
-  for (const protocol::Booting& booting : input_.booting) {
+  for (const protocol::BootingMachine& booting : input_.booting) {
     const MachineType* type = type_of(booting.type);
     if (type) add_host({booting.type, booting.zone, booting.spot}, nullptr, type->size);
   }
@@ -174,7 +174,7 @@
   for (const MachineStatus* machine : input_.machines) {
     ZoneHealth& zone = zone_health_[machine->zone];
     ++zone.total;
-    if (machine->silent) ++zone.silent;
+    if (machine->is_silent) ++zone.silent;
   }
 }
 
--- a/src/coordination/fleet/scaling_plan.h
+++ b/src/coordination/fleet/scaling_plan.h
@@ -41,8 +41,8 @@
 // The input of a scaling plan.
 struct ScalingInput {
   std::vector<Demand> demand;
-  std::vector<const MachineStatus*> machines;  // all that report to a member
-  std::vector<protocol::Booting> booting;      // rented machines that are likely to report soon
+  std::vector<const MachineStatus*> machines;     // all that report to a member
+  std::vector<protocol::BootingMachine> booting;  // rented machines that are likely to report soon
   const std::vector<MachineType>* catalogue = nullptr;
   std::map<MachineKind, Time> retry_at;  // kinds without capacity: not rented before this time
   // The services on each machine; only filled if machines may be drained.
--- a/src/coordination/machines/capacity_calculator.cpp
+++ b/src/coordination/machines/capacity_calculator.cpp
@@ -57,7 +57,7 @@
     }
     const auto* reported = machine.reported_attempt(task, assignment);
     if (reported && reported->state == TaskState::kEnded) {
-      const bool is_done = reported->cause == protocol::Cause::kDone;
+      const bool is_done = reported->cause == protocol::EndCause::kDone;
       capacity.ended_attempts.push_back({task, protocol::to_string(reported->cause),
                                          is_done && spec.kind != protocol::Kind::kService});
       continue;
@@ -91,7 +91,7 @@
       }
     }
   }
-  for (double& amount : capacity.free.v) amount = std::max(amount, 0.0);
+  for (double& amount : capacity.free.amounts) amount = std::max(amount, 0.0);
   // The attempt is being stopped, and its request is unknown because its job is not known here.
   if (runs_unknown_job) capacity.free = {};
 }
--- a/src/coordination/machines/machine_registry.cpp
+++ b/src/coordination/machines/machine_registry.cpp
@@ -112,7 +112,7 @@
 }
 
 void MachineRegistry::record_reclaim_notice(Machine& machine, Time now) {
-  const auto& notice = machine.last_heartbeat.notice;
+  const auto& notice = machine.last_heartbeat.time_to_preemption;
   if (!notice || machine.taken_at) return;
   machine.taken_at = base::after(now, *notice);
   machine.cordoned = true;
@@ -132,7 +132,7 @@
       if (reported.state == TaskState::kPulling) {
         machine.pulling.insert(spec.image);
       } else if (reported.state == TaskState::kRunning ||
-                 reported.cause == protocol::Cause::kDone) {
+                 reported.cause == protocol::EndCause::kDone) {
         machine.used_image(spec.image, spec.image_gb, type->cache_gb);
       }
     }
@@ -183,7 +183,7 @@
   const auto token =
       machine.token_for_response(settings_.worker_lease * kTokenRenewalLeaseShare, now);
   const auto commands = commands_due(machine, capacity_.of(machine).stops, cache_);
-  return protocol::heartbeat_response(token, commands);
+  return protocol::encode_heartbeat_response(token, commands);
 }
 
 void MachineRegistry::end_agent_incarnation(const Machine& machine) {
@@ -246,14 +246,15 @@
                                                          Time now) const {
   const Seconds since_heartbeat = base::between(machine.last_heartbeat_at, now);
   Condition condition;
-  condition.silent = !is_schedulable(machine, now);
+  condition.is_silent = !is_schedulable(machine, now);
   // A late heartbeat does not make the machine unschedulable yet. Together with heartbeats that
   // arrive at other controllers it shows that the machine cannot reach this one.
-  condition.late = since_heartbeat > settings_.heartbeat_interval * storage::kOverdue;
-  condition.soon = !machine.cordoned && !machine.is_confirmed() && !machine.is_half_open() &&
-                   has_recent_heartbeat(machine, now);
-  condition.unsure = machine.unacknowledged_replies > 0 && since_heartbeat < kHalfOpenRetryPeriod;
-  condition.open = !machine.cordoned && !condition.silent;
+  condition.heartbeat_overdue = since_heartbeat > settings_.heartbeat_interval * storage::kOverdue;
+  condition.awaits_confirmation = !machine.cordoned && !machine.is_confirmed() &&
+                                  !machine.is_half_open() && has_recent_heartbeat(machine, now);
+  condition.has_unacknowledged_response =
+      machine.unacknowledged_replies > 0 && since_heartbeat < kHalfOpenRetryPeriod;
+  condition.open = !machine.cordoned && !condition.is_silent;
   condition.idle_since = capacity.assigned > 0 ? Time{} : machine.idle_since;
   return condition;
 }
@@ -261,11 +262,13 @@
 bool MachineRegistry::is_status_current(const Machine& machine, const Condition& condition,
                                         const MachineCapacity& capacity) {
   const MachineStatus& status = machine.status;
-  return machine.status_changed_at != 0 && status.silent == condition.silent &&
-         status.late == condition.late && status.soon == condition.soon &&
-         status.unsure == condition.unsure && status.open == condition.open &&
-         status.idle_since == condition.idle_since && status.tasks == capacity.assigned &&
-         status.free == capacity.free && status.preemptible == capacity.preemptible &&
+  return machine.status_changed_at != 0 && status.is_silent == condition.is_silent &&
+         status.heartbeat_overdue == condition.heartbeat_overdue &&
+         status.awaits_confirmation == condition.awaits_confirmation &&
+         status.has_unacknowledged_response == condition.has_unacknowledged_response &&
+         status.open == condition.open && status.idle_since == condition.idle_since &&
+         status.tasks == capacity.assigned && status.free == capacity.free &&
+         status.preemptible == capacity.preemptible &&
          (machine.status_heartbeat == heartbeat_id(machine) || lists_same_images(status, machine));
 }
 
@@ -287,10 +290,10 @@
     status.zone = machine.last_heartbeat.zone;
     status.spot = machine.last_heartbeat.spot;
   }
-  status.silent = condition.silent;
-  status.late = condition.late;
-  status.soon = condition.soon;
-  status.unsure = condition.unsure;
+  status.is_silent = condition.is_silent;
+  status.heartbeat_overdue = condition.heartbeat_overdue;
+  status.awaits_confirmation = condition.awaits_confirmation;
+  status.has_unacknowledged_response = condition.has_unacknowledged_response;
   status.open = condition.open;
   status.idle_since = condition.idle_since;
   status.free = capacity.free;
@@ -306,13 +309,13 @@
 
 void MachineRegistry::add_status_changes(const base::MemberId& peer, Time now,
                                          protocol::MemberStatus& status) {
-  status.since = status_revisions_.acknowledged(peer);
+  status.base_revision = status_revisions_.acknowledged(peer);
   for (auto& [id, machine] : machines_) {
     update_status(machine, now);
-    if (machine.status_changed_at > status.since) status.machines.push_back(machine.status);
+    if (machine.status_changed_at > status.base_revision) status.machines.push_back(machine.status);
   }
-  status.left = status_revisions_.departed_since(status.since);
-  status.upto = status_revisions_.current();
+  status.departed_machines = status_revisions_.departed_since(status.base_revision);
+  status.revision = status_revisions_.current();
   status_revisions_.prune_departed(settings_.peers);
 }
 
--- a/src/coordination/machines/machine_registry.h
+++ b/src/coordination/machines/machine_registry.h
@@ -116,7 +116,8 @@
   // The parts of a machine's status that depend on the time; the members correspond to those of
   // MachineStatus.
   struct Condition {
-    bool silent = false, late = false, soon = false, unsure = false, open = false;
+    bool is_silent = false, heartbeat_overdue = false, awaits_confirmation = false,
+         has_unacknowledged_response = false, open = false;
     base::Time idle_since{};
   };
 
--- a/src/coordination/machines/peer_registry.h
+++ b/src/coordination/machines/peer_registry.h
@@ -15,12 +15,12 @@
 // The state of one other controller, assembled from its status messages.
 struct Peer {
   protocol::ControllerIncarnation from;
-  bool has_state = false;  // it holds a lease in the state service
-  std::uint64_t upto = 0;  // the revision of the peer's status that this copy corresponds to
+  bool has_lease = false;      // it holds a lease in the state service
+  std::uint64_t revision = 0;  // the revision of the peer's status that this copy corresponds to
   std::map<base::MachineId, protocol::MachineStatus> machines;
   std::vector<base::MachineId> release_requested, misdirected, ownership_claims;
   std::set<base::JobId> crash_looping_jobs;
-  protocol::WorkerContact contact = protocol::WorkerContact::kUnknown;
+  protocol::WorkerContact worker_contact = protocol::WorkerContact::kUnknown;
   base::Time last_heartbeat_at{};
 };
 
--- a/src/coordination/membership/membership_proposals.cpp
+++ b/src/coordination/membership/membership_proposals.cpp
@@ -81,7 +81,7 @@
     transaction.writes.push_back({key, {}, {}});
   }
   if (transaction.writes.empty()) return {};
-  require_unchanged(protocol::kLeadKey, transaction);
+  require_unchanged(protocol::kLeaderKey, transaction);
   return transaction;
 }
 
@@ -112,7 +112,7 @@
   for (const auto& [id, member] : inputs_.cache.members()) {
     if (id == own_id()) continue;
     ++connections.others;
-    connections.others_are_connected = connections.others_are_connected || member.reaches;
+    connections.others_are_connected = connections.others_are_connected || member.reaches_others;
     if (inputs_.contact.is_reachable(id, now)) ++connections.reachable;
   }
   return connections;
@@ -120,7 +120,7 @@
 
 // A new incarnation does not report that it reaches no other member before it has had time to try.
 bool MembershipProposals::is_record_outdated(bool reaches_others, base::Time now) const {
-  if (inputs_.cache.members().at(own_id()).reaches == reaches_others) return false;
+  if (inputs_.cache.members().at(own_id()).reaches_others == reaches_others) return false;
   return reaches_others ||
          base::between(inputs_.authority.incarnation_began_at(), now) > kPeerContactTimeout;
 }
@@ -155,16 +155,16 @@
 
 Transaction MembershipProposals::take_leadership(base::LeaseId lease) const {
   Transaction transaction;
-  require_unchanged(protocol::kLeadKey, transaction);
+  require_unchanged(protocol::kLeaderKey, transaction);
   require_unchanged(protocol::member_key(own_id()), transaction);
-  transaction.writes.push_back({protocol::kLeadKey, to_json(inputs_.authority.self()), lease});
+  transaction.writes.push_back({protocol::kLeaderKey, to_json(inputs_.authority.self()), lease});
   return transaction;
 }
 
 Transaction MembershipProposals::give_up_leadership() const {
   Transaction transaction;
-  require_unchanged(protocol::kLeadKey, transaction);
-  transaction.writes.push_back({protocol::kLeadKey, {}, {}});
+  require_unchanged(protocol::kLeaderKey, transaction);
+  transaction.writes.push_back({protocol::kLeaderKey, {}, {}});
   return transaction;
 }
 
--- a/src/coordination/membership/ownership_claims.cpp
+++ b/src/coordination/membership/ownership_claims.cpp
@@ -20,7 +20,8 @@
 bool misses_heartbeats(const Peer& owner, const base::MachineId& machine) {
   const auto status = owner.machines.find(machine);
   if (status == owner.machines.end()) return true;
-  return status->second.late && !status->second.unsure && !status->second.soon;
+  return status->second.heartbeat_overdue && !status->second.has_unacknowledged_response &&
+         !status->second.awaits_confirmation;
 }
 
 }  // namespace
--- a/src/coordination/membership/ownership_transfers.cpp
+++ b/src/coordination/membership/ownership_transfers.cpp
@@ -73,11 +73,11 @@
 
 WorkerContact OwnershipTransfers::contact_of(const ControllerIncarnation& member,
                                              const MemberReport& own, base::Time now) const {
-  if (member == inputs_.authority.self()) return own.contact;
+  if (member == inputs_.authority.self()) return own.worker_contact;
   const auto peer = inputs_.peers.find(member.member);
   const bool is_known =
       peer != inputs_.peers.end() && peer->second.from == member && is_recent(peer->second, now);
-  return is_known ? peer->second.contact : WorkerContact::kUnknown;
+  return is_known ? peer->second.worker_contact : WorkerContact::kUnknown;
 }
 
 // Returns the member's machines whose heartbeats are overdue or never arrived. The member must be
@@ -88,7 +88,7 @@
   const Peer& peer = inputs_.peers.at(member.member);
   std::vector<base::MachineId> silent;
   for (const auto& [machine, status] : peer.machines) {
-    if (status.late) silent.push_back(machine);
+    if (status.heartbeat_overdue) silent.push_back(machine);
   }
   // Machines that have recorded assignments but have never sent a heartbeat to the member.
   for (const auto& [machine, assignments] : inputs_.cache.assigned()) {
--- a/src/coordination/membership/ownership_transfers.h
+++ b/src/coordination/membership/ownership_transfers.h
@@ -19,7 +19,7 @@
 // their status messages.
 struct MemberReport {
   std::vector<base::MachineId> claims;  // machines of other members that it claims
-  protocol::WorkerContact contact = protocol::WorkerContact::kUnknown;
+  protocol::WorkerContact worker_contact = protocol::WorkerContact::kUnknown;
   std::vector<base::MachineId> silent;  // its own machines whose heartbeats are overdue
 };
 
--- a/src/coordination/membership/reachability.cpp
+++ b/src/coordination/membership/reachability.cpp
@@ -61,8 +61,8 @@
 MemberReport Controller::own_report(Time now) {
   MemberReport report;
   if (cache_.view()) report.claims = ownership_claims(now);
-  report.contact = worker_contact(now);
-  if (report.contact == protocol::WorkerContact::kLost) report.silent = silent_machines(now);
+  report.worker_contact = worker_contact(now);
+  if (report.worker_contact == protocol::WorkerContact::kLost) report.silent = silent_machines(now);
   return report;
 }
 
--- a/src/coordination/records/admission.cpp
+++ b/src/coordination/records/admission.cpp
@@ -45,9 +45,9 @@
                                     const AcceptanceContext& context) {
   protocol::JobRecord record;
   record.spec = spec;
-  record.submitted = context.time_of_day;
+  record.submitted_at = context.time_of_day;
   record.cancelled = context.dependency_cancelled;
-  record.chunk = protocol::chunk_size(spec.tasks, context.partitions, context.value_bytes);
+  record.chunk_size = protocol::chunk_size(spec.tasks, context.partitions, context.value_bytes);
   // A later cancellation makes the record larger, so its size is checked with the flag set.
   protocol::JobRecord largest = record;
   largest.cancelled = true;
@@ -63,7 +63,7 @@
   // The job must have neither a live record nor a final state. The preconditions make a retried
   // submission idempotent even if another controller handles the retry.
   transaction.preconditions[protocol::job_key(id)] = base::Version(0);
-  transaction.preconditions[protocol::final_key(id)] = base::Version(0);
+  transaction.preconditions[protocol::tombstone_key(id)] = base::Version(0);
   if (record.dependency_lists)
     transaction.preconditions[protocol::dependency_lists_key(id)] = lists;
   transaction.writes.push_back({protocol::job_key(id), to_json(record), {}});
--- a/src/coordination/records/finalization.cpp
+++ b/src/coordination/records/finalization.cpp
@@ -23,11 +23,11 @@
   transaction.preconditions[protocol::job_key(spec.id)] = job.version;
   protocol::FinalState state;
   state.status = job.cancelled_on_record() ? JobStatus::kCancelled : JobStatus::kDone;
-  state.at = time_of_day;
-  transaction.writes.push_back({protocol::final_key(spec.id), to_json(state), {}});
+  state.recorded_at = time_of_day;
+  transaction.writes.push_back({protocol::tombstone_key(spec.id), to_json(state), {}});
   transaction.writes.push_back({protocol::job_key(spec.id), {}, {}});
   if (job.chunks.size() > 1 && (spec.one_zone || spec.spread)) {
-    transaction.writes.push_back({protocol::row_key(spec.id), {}, {}});
+    transaction.writes.push_back({protocol::job_start_key(spec.id), {}, {}});
   }
 }
 
--- a/src/coordination/records/garbage_collection.cpp
+++ b/src/coordination/records/garbage_collection.cpp
@@ -10,7 +10,7 @@
 
 // Returns the job that a task record or dependency list belongs to.
 std::optional<JobId> job_of_record(const std::string& key) {
-  const auto chunk = protocol::parse_chunk_key(key);
+  const auto chunk = protocol::parse_task_record_key(key);
   return chunk ? chunk->job : protocol::job_of_dependency_key(key);
 }
 
--- a/src/coordination/records/record_splitting.cpp
+++ b/src/coordination/records/record_splitting.cpp
@@ -12,12 +12,12 @@
 
 // Returns how many of the job's tasks fit into one value of the store.
 TaskNo tasks_per_value(const JobRecord& record, const base::Settings& settings) {
-  return protocol::chunk_size(record.chunk, 1, settings.value_bytes);
+  return protocol::chunk_size(record.chunk_size, 1, settings.value_bytes);
 }
 
 Transaction split(const storage::Job& job, protocol::Version view, const base::Settings& settings) {
   JobRecord split_record = job.record;
-  split_record.piece = tasks_per_value(job.record, settings);
+  split_record.piece_size = tasks_per_value(job.record, settings);
   const std::string key = protocol::job_key(split_record.spec.id);
   Transaction transaction;
   transaction.preconditions[protocol::kViewKey] = view;
@@ -32,9 +32,9 @@
 
 bool needs_splitting(const storage::Job& job, const base::Settings& settings) {
   const JobRecord& record = job.record;
-  if (record.piece != 0) return false;
+  if (record.piece_size != 0) return false;
   const TaskNo fit = tasks_per_value(record, settings);
-  return record.chunk > fit && record.spec.tasks > fit;
+  return record.chunk_size > fit && record.spec.tasks > fit;
 }
 
 std::optional<Transaction> split_one_record(const storage::StateCache& cache,
--- a/src/coordination/scheduling/job_priorities.cpp
+++ b/src/coordination/scheduling/job_priorities.cpp
@@ -131,7 +131,7 @@
     return a_since != b_since ? a_since < b_since : a->record.spec.id < b->record.spec.id;
   });
   Resources remaining;
-  remaining.v = {team.guaranteed_cores, team.guaranteed_gpus, kUnlimitedMemory};
+  remaining.amounts = {team.guaranteed_cores, team.guaranteed_gpus, kUnlimitedMemory};
   for (const Job* job : jobs) {
     const auto& spec = job->record.spec;
     const Resources unfinished = spec.request * static_cast<double>(spec.tasks - job->done);
@@ -170,7 +170,7 @@
   // The earliest of the deadline and the objectives' later deadlines that can still be met.
   double earliest = 0;
   const auto consider_deadline = [&](double seconds_after_submission) {
-    const double due_time = job.record.submitted + seconds_after_submission;
+    const double due_time = job.record.submitted_at + seconds_after_submission;
     if (due_time > earliest_completion && (earliest == 0 || due_time < earliest))
       earliest = due_time;
   };
@@ -181,7 +181,7 @@
       consider_deadline(spec.deadline->count() * objective.times);
     if (objective.kind == base::ObjectiveKind::kFinished) consider_deadline(objective.within_s);
   }
-  return earliest > 0 ? earliest : kMissedDeadlineDue + job.record.submitted;
+  return earliest > 0 ? earliest : kMissedDeadlineDue + job.record.submitted_at;
 }
 
 std::optional<Seconds> JobPriorities::start_within(const protocol::JobSpec& spec) const {
--- a/src/coordination/scheduling/offer_router.cpp
+++ b/src/coordination/scheduling/offer_router.cpp
@@ -46,8 +46,8 @@
 
 void update_minimum(std::optional<Resources>& minimum, const Resources& request) {
   if (!minimum) minimum = request;
-  for (std::size_t i = 0; i < request.v.size(); ++i) {
-    minimum->v[i] = std::min(minimum->v[i], request.v[i]);
+  for (std::size_t i = 0; i < request.amounts.size(); ++i) {
+    minimum->amounts[i] = std::min(minimum->amounts[i], request.amounts[i]);
   }
 }
 
--- a/src/coordination/scheduling/packing.cpp
+++ b/src/coordination/scheduling/packing.cpp
@@ -8,9 +8,10 @@
 
 double score(const Resources& request, const Resources& free, const Resources& scale) {
   double dot_product = 0, squared_length = 0;
-  for (std::size_t i = 0; i < scale.v.size(); ++i) {
-    if (scale.v[i] <= 0) continue;
-    const double request_share = request.v[i] / scale.v[i], free_share = free.v[i] / scale.v[i];
+  for (std::size_t i = 0; i < scale.amounts.size(); ++i) {
+    if (scale.amounts[i] <= 0) continue;
+    const double request_share = request.amounts[i] / scale.amounts[i],
+                 free_share = free.amounts[i] / scale.amounts[i];
     dot_product += request_share * free_share;
     squared_length += free_share * free_share;
   }
@@ -91,8 +92,8 @@
                           const std::vector<std::size_t>& tier_groups) {
   Resources minimum = groups[tier_groups.front()].request;
   for (const std::size_t group : tier_groups) {
-    for (std::size_t i = 0; i < minimum.v.size(); ++i) {
-      minimum.v[i] = std::min(minimum.v[i], groups[group].request.v[i]);
+    for (std::size_t i = 0; i < minimum.amounts.size(); ++i) {
+      minimum.amounts[i] = std::min(minimum.amounts[i], groups[group].request.amounts[i]);
     }
   }
   return minimum;
--- a/src/coordination/scheduling/partition_capacity.cpp
+++ b/src/coordination/scheduling/partition_capacity.cpp
@@ -30,9 +30,10 @@
 
 std::size_t PartitionCapacity::Candidate::tasks_that_fit(const Resources& request) const {
   double fitting_tasks = kUnlimitedTasks;
-  for (std::size_t i = 0; i < free.v.size(); ++i) {
-    if (request.v[i] > 0)
-      fitting_tasks = std::min(fitting_tasks, free.v[i] / request.v[i] + kRoundingError);
+  for (std::size_t i = 0; i < free.amounts.size(); ++i) {
+    if (request.amounts[i] > 0)
+      fitting_tasks =
+          std::min(fitting_tasks, free.amounts[i] / request.amounts[i] + kRoundingError);
   }
   return static_cast<std::size_t>(std::max(0.0, std::floor(fitting_tasks)));
 }
--- a/src/coordination/scheduling/record_batch.cpp
+++ b/src/coordination/scheduling/record_batch.cpp
@@ -86,8 +86,8 @@
   if (!record_fits_start(*job, task.no, assignment)) return {};
   const auto& spec = job->record.spec;
   const bool has_quota_limit = cache_.has_quota_limit(spec.team);
-  const std::string team_key = has_quota_limit ? protocol::team_key(spec.team) : "";
-  const std::string job_key = needs_serialized_starts(*job) ? protocol::row_key(spec.id) : "";
+  const std::string team_key = has_quota_limit ? protocol::team_start_key(spec.team) : "";
+  const std::string job_key = needs_serialized_starts(*job) ? protocol::job_start_key(spec.id) : "";
   std::size_t new_writes = writes_record_of(*job, task.no) ? 0 : 1;
   if (!team_key.empty() && !team_keys_.contains(team_key)) ++new_writes;
   if (!job_key.empty() && !job_keys_.contains(job_key)) ++new_writes;
@@ -97,7 +97,7 @@
   }
   RecordEdit* edit = find_or_add_edit(*job, task.no);
   if (!edit) return {};
-  assignment.attempt = edit->record.next;
+  assignment.attempt = edit->record.next_attempt;
   edit->has_starts = true;
   edit->record.assigned[task.no] = assignment;
   if (!team_key.empty()) team_keys_.insert(team_key);
@@ -164,7 +164,7 @@
     if (finalized.contains(id.job)) continue;
     protocol::ChunkRecord record = edit.record;
     if (edit.has_starts) {
-      record.next = Attempt(record.next.get() + 1);
+      record.next_attempt = Attempt(record.next_attempt.get() + 1);
       transaction.preconditions[protocol::job_key(id.job)] = edit.job->version;
     }
     transaction.writes.push_back({key, to_json(record, edit.job->chunk_first(id.chunk)), {}});
@@ -182,7 +182,7 @@
 void RecordBatch::guard_whole_chunk(Transaction& transaction, const Job& job, std::uint32_t piece) {
   if (job.whole.empty()) return;
   const std::uint32_t chunk = piece / job.record.pieces_of_chunk();
-  transaction.preconditions[protocol::chunk_key(job.record.spec.id, chunk)] =
+  transaction.preconditions[protocol::chunk_record_key(job.record.spec.id, chunk)] =
       job.whole[chunk].version;
 }
 
--- a/src/coordination/scheduling/scheduling_round.cpp
+++ b/src/coordination/scheduling/scheduling_round.cpp
@@ -9,7 +9,7 @@
 
 namespace saddleslip::coordination {
 
-using protocol::Cause;
+using protocol::EndCause;
 using protocol::Kind;
 using protocol::Rank;
 
@@ -161,8 +161,8 @@
   for (auto& [id, machine] : machines_) {
     const auto* type = cache_.type(machine.last_heartbeat.type);
     if (!type) continue;
-    for (std::size_t i = 0; i < open.scale.v.size(); ++i) {
-      open.scale.v[i] = std::max(open.scale.v[i], type->size.v[i]);
+    for (std::size_t i = 0; i < open.scale.amounts.size(); ++i) {
+      open.scale.amounts[i] = std::max(open.scale.amounts[i], type->size.amounts[i]);
     }
     if (machine.cordoned || !is_schedulable(machine, now)) continue;
     open.bins.push_back({capacity(machine).free});
@@ -335,7 +335,7 @@
     if (completion.done) {
       failures_.record_success(completion.machine);
       failures_.mark_known_good(completion.task.job);
-    } else if (completion.why == protocol::to_string(Cause::kError)) {
+    } else if (completion.why == protocol::to_string(EndCause::kError)) {
       failures_.record_failure(completion.task.job, completion.machine, run_before_end(completion),
                                now);
     }
--- a/src/daemon/command_sender.cpp
+++ b/src/daemon/command_sender.cpp
@@ -47,9 +47,9 @@
     return controller.drop_stale_commands(batch, SteadyClock::now());
   });
   if (!may_send) return;
-  const auto response = worker_client_.order(
+  const auto response = worker_client_.send_commands(
       batch.address, batch.fencing_token, batch.agent_incarnation, batch.commands, kCommandTimeout);
-  if (response.sent != transport::Sent::kYes) {
+  if (response.delivery != transport::Delivery::kAnswered) {
     spdlog::info("no response to command batch: machine={}", batch.machine.get());
     shared_controller.with_lock(
         [&](Controller& controller) { controller.commands_lost(batch.machine); });
--- a/src/daemon/fleet_loop.cpp
+++ b/src/daemon/fleet_loop.cpp
@@ -91,7 +91,8 @@
       context_.controller.with_lock([&](Controller& controller) -> std::optional<Transaction> {
         if (to_json(controller.cache().catalogue()) == value) return {};
         Transaction update;
-        update.preconditions[protocol::kLeadKey] = controller.cache().version(protocol::kLeadKey);
+        update.preconditions[protocol::kLeaderKey] =
+            controller.cache().version(protocol::kLeaderKey);
         update.writes.push_back({protocol::kCatalogueKey, value, {}});
         return update;
       });
@@ -160,13 +161,13 @@
 }
 
 FleetLoop::RentalOutcome FleetLoop::send_rental_request(const RentalRequest& request) {
-  using What = protocol::CloudClient::Rented::What;
+  using Outcome = protocol::CloudClient::RentalResult::Outcome;
   const coordination::MachineKind& kind = request.kind;
   const auto response =
       cloud_client_.rent(request.name, kind.type, kind.zone, kind.spot, request.count);
   unresolved_request_.reset();
-  switch (response.what) {
-    case What::kMachines:
+  switch (response.outcome) {
+    case Outcome::kMachines:
       spdlog::info("machines rented: requested={} count={} type={} zone={} spot={}", request.count,
                    response.machines.size(), kind.type, kind.zone, kind.spot);
       context_.controller.with_lock([&](Controller& controller) {
@@ -176,16 +177,16 @@
         }
       });
       return RentalOutcome::kRented;
-    case What::kNoCapacity:
+    case Outcome::kNoCapacity:
       spdlog::info("no capacity requested={} type={} zone={} spot={}", request.count, kind.type,
                    kind.zone, kind.spot);
       context_.controller.with_lock(
           [&](Controller& controller) { controller.refused(kind, SteadyClock::now()); });
       return RentalOutcome::kNoCapacity;
-    case What::kUnknown:
+    case Outcome::kUnknown:
       unresolved_request_ = request;
       return RentalOutcome::kRetryLater;
-    case What::kRefused:
+    case Outcome::kRefused:
       // The cloud is out of service or over its rate limit; the next plan includes these machines.
       return RentalOutcome::kRetryLater;
   }
--- a/src/daemon/http_routes.cpp
+++ b/src/daemon/http_routes.cpp
@@ -64,7 +64,7 @@
   const std::string& cancel_suffix = protocol::kCancelSuffix;
   const bool is_cancellation = id.size() > cancel_suffix.size() && id.ends_with(cancel_suffix);
   if (is_cancellation) id.resize(id.size() - cancel_suffix.size());
-  if (!protocol::valid_job_id(id)) return error_reply(404, "no such job");
+  if (!protocol::is_valid_job_id(id)) return error_reply(404, "no such job");
   if (is_cancellation) {
     return request.method == "POST" ? user_api_.cancel(JobId(id), SteadyClock::now())
                                     : wrong_method();
--- a/src/daemon/lease_renewer.cpp
+++ b/src/daemon/lease_renewer.cpp
@@ -85,16 +85,16 @@
 }
 
 bool LeaseRenewer::renew_lease() {
-  using Renewed = StateClient::Renewed;
+  using RenewalOutcome = StateClient::RenewalOutcome;
   const Time sent_at = SteadyClock::now();
-  const Renewed renewal = state_client_.renew_lease(*lease_, lease_call_timeout_);
-  if (renewal == Renewed::kGone) {
+  const RenewalOutcome renewal = state_client_.renew_lease(*lease_, lease_call_timeout_);
+  if (renewal == RenewalOutcome::kGone) {
     spdlog::warn("lease lost, incarnation ended lease={}", lease_->get());
     lease_.reset();
     context_.controller.with_lock([](Controller& controller) { controller.end_incarnation(); });
     return false;
   }
-  if (renewal != Renewed::kYes) return true;
+  if (renewal != RenewalOutcome::kYes) return true;
   context_.controller.with_lock(
       [&](Controller& controller) { controller.lease_acquired(sent_at); });
   // Authority to send commands requires a local copy of the jobs that is as new as the renewal, not
--- a/src/daemon/peer_request_handler.cpp
+++ b/src/daemon/peer_request_handler.cpp
@@ -25,7 +25,7 @@
   }
   // The tasks on the peer's machines stop unless another controller takes the machines over and
   // answers their heartbeats before their leases expire. The lease renewal commits such a change.
-  if (message->status.contact == protocol::WorkerContact::kLost) {
+  if (message->status.worker_contact == protocol::WorkerContact::kLost) {
     context_.wakeups.lease_renewal.notify();
   }
   return {200,
--- a/src/daemon/peer_sync.cpp
+++ b/src/daemon/peer_sync.cpp
@@ -75,7 +75,7 @@
     return false;
   }
   remove_delivered_cancellations(message.cancelled);
-  handle_reply(protocol::parse_peer_reply(response.body), message.status.upto);
+  handle_reply(protocol::parse_peer_reply(response.body), message.status.revision);
   return true;
 }
 
--- a/src/daemon/scheduling_loop.cpp
+++ b/src/daemon/scheduling_loop.cpp
@@ -159,9 +159,9 @@
       [](Controller& controller) { return controller.cache().unresolved_dependencies(); });
   if (ids.size() > kMaxFinalStateReadsPerRound) ids.resize(kMaxFinalStateReadsPerRound);
   for (const JobId& id : ids) {
-    const auto response = state_client_.get(protocol::final_key(id), kUserReadTimeout);
+    const auto response = state_client_.get(protocol::tombstone_key(id), kUserReadTimeout);
     if (!response.answered) return;
-    const auto state = protocol::parse_final(response.item.value);
+    const auto state = protocol::parse_final_state(response.item.value);
     if (!state) continue;
     context_.controller.with_lock(
         [&](Controller& controller) { controller.cache().remember_final(id, *state); });
--- a/src/daemon/state_replicator.cpp
+++ b/src/daemon/state_replicator.cpp
@@ -26,14 +26,14 @@
 
 // Returns whether a change of this key may require a new view or another leader.
 bool is_membership_key(const std::string& key) {
-  return key == protocol::kViewKey || key == protocol::kLeadKey ||
-         key.starts_with(protocol::kMembers) || key.starts_with(protocol::kClaims);
+  return key == protocol::kViewKey || key == protocol::kLeaderKey ||
+         key.starts_with(protocol::kMemberPrefix) || key.starts_with(protocol::kClaimPrefix);
 }
 
 }  // namespace
 
 void StateReplicator::run(const std::stop_token& stop) {
-  using What = StateClient::Watched::What;
+  using WatchOutcome = StateClient::WatchResult::Outcome;
   bool must_load = true;
   while (!stop.stop_requested()) {
     if (must_load && !load()) {
@@ -46,16 +46,16 @@
     // The first watch after the first load does not wait: it reads the changes made during the
     // load.
     const auto changes =
-        state_client_.watch(protocol::kAll, after, is_loaded_ ? kWatchDuration : Seconds(0));
-    switch (changes.what) {
-      case What::kTooOld:
+        state_client_.watch(protocol::kAllPrefix, after, is_loaded_ ? kWatchDuration : Seconds(0));
+    switch (changes.outcome) {
+      case WatchOutcome::kTooOld:
         spdlog::warn("watch fell too far behind, loading the state again revision={}", after.get());
         must_load = true;
         break;
-      case What::kNothing:
+      case WatchOutcome::kNoResponse:
         sleep_for(kRetryDelay, stop);
         break;
-      case What::kEvents:
+      case WatchOutcome::kEvents:
         apply(changes);
         break;
     }
@@ -66,13 +66,14 @@
   std::vector<Item> items;
   // The watch starts from the revision of the first page; later pages are at least as new.
   std::optional<Revision> watch_from;
-  for (const std::string& prefix : {protocol::kMembers, protocol::kClaims, protocol::kDependencies,
-                                    protocol::kJobs, protocol::kChunks, protocol::kTeams}) {
+  for (const std::string& prefix :
+       {protocol::kMemberPrefix, protocol::kClaimPrefix, protocol::kDependencyListPrefix,
+        protocol::kJobPrefix, protocol::kTaskRecordPrefix, protocol::kStartConflictPrefix}) {
     Revision revision;
     if (!list_all(prefix, items, revision)) return false;
     if (!watch_from) watch_from = revision;
   }
-  for (const std::string& key : {protocol::kViewKey, protocol::kLeadKey, protocol::kFormatKey,
+  for (const std::string& key : {protocol::kViewKey, protocol::kLeaderKey, protocol::kFormatKey,
                                  protocol::kCatalogueKey, protocol::kFleetKey}) {
     auto response = state_client_.get(key, kLoadReadTimeout);
     if (!response.answered) return false;
@@ -97,7 +98,7 @@
     if (page.items.empty()) return true;
     after = page.items.back().key;
     std::move(page.items.begin(), page.items.end(), std::back_inserter(items));
-    if (!page.more) return true;
+    if (!page.has_more) return true;
   }
 }
 
@@ -105,11 +106,11 @@
   if (!is_loaded_) return false;
   const Revision after = context_.controller.with_lock(
       [](Controller& controller) { return controller.cache().revision(); });
-  const auto changes = state_client_.changes(protocol::kAll, after, timeout);
-  return changes.what == StateClient::Watched::What::kEvents && apply(changes);
+  const auto changes = state_client_.changes(protocol::kAllPrefix, after, timeout);
+  return changes.outcome == StateClient::WatchResult::Outcome::kEvents && apply(changes);
 }
 
-bool StateReplicator::apply(const StateClient::Watched& changes) {
+bool StateReplicator::apply(const StateClient::WatchResult& changes) {
   bool has_changed = false;
   bool has_membership_changed = false;
   const bool is_current = context_.controller.with_lock([&](Controller& controller) {
@@ -151,7 +152,7 @@
     // the records of task starts imply all changes committed before them: applied without those, a
     // team's usage would lack starts by other controllers.
     const bool is_independent =
-        key.starts_with(protocol::kJobs) || key.starts_with(protocol::kChunks);
+        key.starts_with(protocol::kJobPrefix) || key.starts_with(protocol::kTaskRecordPrefix);
     if (!is_independent) continue;
     const auto response = state_client_.get(key, kUserReadTimeout);
     if (!response.answered) return;
--- a/src/daemon/state_replicator.h
+++ b/src/daemon/state_replicator.h
@@ -47,7 +47,7 @@
                 base::Revision& revision);
   // Applies changes that the store delivered. Returns false if the copy was reloaded meanwhile,
   // which makes them useless.
-  bool apply(const protocol::StateClient::Watched& changes);
+  bool apply(const protocol::StateClient::WatchResult& changes);
 
   const DaemonContext context_;
   protocol::StateClient& state_client_;
--- a/src/protocol/client_support.cpp
+++ b/src/protocol/client_support.cpp
@@ -4,7 +4,7 @@
 
 namespace saddleslip::protocol {
 
-Json parse_object(const transport::Answer& response) {
+Json parse_object(const transport::HttpResult& response) {
   Json object = Json::parse(response.body, nullptr, false);
   if (object.is_object()) return object;
   spdlog::warn("response is not a JSON object: status={} bytes={}", response.status,
--- a/src/protocol/client_support.h
+++ b/src/protocol/client_support.h
@@ -15,7 +15,7 @@
 
 // Parses the response body as a JSON object. If it is not one, logs a warning and returns JSON
 // null.
-Json parse_object(const transport::Answer& response);
+Json parse_object(const transport::HttpResult& response);
 
 // Returns whether `object` is a JSON object whose field `field` is an array.
 bool has_array(const Json& object, const char* field);
--- a/src/protocol/cloud_client.cpp
+++ b/src/protocol/cloud_client.cpp
@@ -9,8 +9,8 @@
 
 namespace saddleslip::protocol {
 
-using transport::Answer;
-using transport::Sent;
+using transport::Delivery;
+using transport::HttpResult;
 
 namespace {
 
@@ -21,10 +21,10 @@
 
 // Classifies a response whose status is not 200: kNoCapacity or kRefused if nothing was rented,
 // kUnknown if machines may have been rented.
-CloudClient::Rented::What classify_refusal(const Answer& response) {
-  using What = CloudClient::Rented::What;
+CloudClient::RentalResult::Outcome classify_refusal(const HttpResult& response) {
+  using Outcome = CloudClient::RentalResult::Outcome;
   if (response.status == 503 && response.body.find("no capacity") != std::string::npos) {
-    return What::kNoCapacity;
+    return Outcome::kNoCapacity;
   }
   if (response.status == 400) {
     spdlog::error("cloud rejected a rental as malformed: response={}",
@@ -32,7 +32,7 @@
   }
   const bool is_refused =
       response.status == 400 || response.status == 429 || response.status == 503;
-  return is_refused ? What::kRefused : What::kUnknown;
+  return is_refused ? Outcome::kRefused : Outcome::kUnknown;
 }
 
 }  // namespace
@@ -40,31 +40,31 @@
 CloudClient::CloudClient(const base::Address& address) : http_(address, kMaxConcurrentCalls) {}
 
 std::optional<std::vector<MachineType>> CloudClient::catalogue() {
-  const Answer response = http_.get("/catalog", kCatalogTimeout);
+  const HttpResult response = http_.get("/catalog", kCatalogTimeout);
   if (!response.ok()) return {};
   return parse_catalogue(parse_object(response));
 }
 
-CloudClient::Rented CloudClient::rent(const std::string& request, const std::string& type,
-                                      const std::string& zone, bool spot, int count) {
+CloudClient::RentalResult CloudClient::rent(const std::string& request, const std::string& type,
+                                            const std::string& zone, bool spot, int count) {
   const Json body = {{wire::kRentalRequest, request},
                      {wire::kMachineType, type},
                      {wire::kZone, zone},
                      {wire::kSpot, spot},
                      {"how_many", std::clamp(count, 1, kMaxRentedPerCall)}};
-  const Answer response = http_.post("/rentals", body.dump(), kRentalTimeout);
-  Rented rented;
-  if (response.sent == Sent::kNo) rented.what = Rented::What::kRefused;
-  if (response.sent != Sent::kYes) return rented;
+  const HttpResult response = http_.post("/rentals", body.dump(), kRentalTimeout);
+  RentalResult result;
+  if (response.delivery == Delivery::kNotSent) result.outcome = RentalResult::Outcome::kRefused;
+  if (response.delivery != Delivery::kAnswered) return result;
   if (response.status != 200) {
-    rented.what = classify_refusal(response);
-    return rented;
+    result.outcome = classify_refusal(response);
+    return result;
   }
   const Json machines = parse_object(response);
-  if (!has_array(machines, wire::kMachines)) return rented;
-  rented.machines = parse_ids<MachineId>(machines, wire::kMachines);
-  rented.what = Rented::What::kMachines;
-  return rented;
+  if (!has_array(machines, wire::kMachines)) return result;
+  result.machines = parse_ids<MachineId>(machines, wire::kMachines);
+  result.outcome = RentalResult::Outcome::kMachines;
+  return result;
 }
 
 bool CloudClient::release(const std::vector<MachineId>& machines) {
@@ -77,7 +77,7 @@
   for (;;) {
     std::string path = std::string("/rentals?page=") + kPageSize;
     if (!machines.empty()) path += "&after=" + machines.back().id.get();
-    const Answer response = http_.get(path, kRentalTimeout, kMaxResponseBytes);
+    const HttpResult response = http_.get(path, kRentalTimeout, kMaxResponseBytes);
     if (!response.ok()) return {};
     const Json page = parse_object(response);
     if (!has_array(page, wire::kMachines)) return {};
--- a/src/protocol/cloud_client.h
+++ b/src/protocol/cloud_client.h
@@ -25,19 +25,19 @@
   std::optional<std::vector<MachineType>> catalogue();
 
   // The result of a rental.
-  struct Rented {
-    enum class What {
+  struct RentalResult {
+    enum class Outcome {
       kMachines,    // the machines were rented
       kNoCapacity,  // the cloud has no machines of this type in this zone now
       kRefused,     // rate limit exceeded or request malformed; certainly not carried out
       kUnknown      // no valid response: machines may have been rented
-    } what = What::kUnknown;
+    } outcome = Outcome::kUnknown;
     std::vector<MachineId> machines;
   };
   // Rents up to `count` machines. `request` is an idempotency key: a repeated call with the same
   // key rents no further machines.
-  Rented rent(const std::string& request, const std::string& type, const std::string& zone,
-              bool spot, int count);
+  RentalResult rent(const std::string& request, const std::string& type, const std::string& zone,
+                    bool spot, int count);
 
   // Releases the machines. Returns true if the cloud confirmed it: the machines and all tasks on
   // them no longer exist.
--- a/src/protocol/heartbeat.cpp
+++ b/src/protocol/heartbeat.cpp
@@ -13,7 +13,7 @@
 constexpr auto kMaxInteger = std::numeric_limits<std::uint64_t>::max();
 constexpr std::size_t kMaxTaskDigits = 6;
 
-// Names of the causes in heartbeats, in the order of enum Cause.
+// Names of the causes in heartbeats, in the order of enum EndCause.
 constexpr std::array<const char*, 7> kCauseNames = {"none",    "done", "halted", "error",
                                                     "no_room", "busy", "unknown"};
 
@@ -40,13 +40,13 @@
   return TaskState::kGathering;
 }
 
-Cause parse_cause(const Json* value) {
+EndCause parse_cause(const Json* value) {
   const std::string name = value && value->is_string() ? value->get<std::string>() : "";
-  for (const Cause cause :
-       {Cause::kDone, Cause::kHalted, Cause::kNoRoom, Cause::kBusy, Cause::kUnknown}) {
+  for (const EndCause cause : {EndCause::kDone, EndCause::kHalted, EndCause::kNoRoom,
+                               EndCause::kBusy, EndCause::kUnknown}) {
     if (name == to_string(cause)) return cause;
   }
-  return Cause::kError;
+  return EndCause::kError;
 }
 
 // Adds the attempt that `entry` describes to the heartbeat. Returns false if the entry is
@@ -74,7 +74,7 @@
 
 }  // namespace
 
-const char* to_string(Cause cause) {
+const char* to_string(EndCause cause) {
   return kCauseNames[static_cast<std::size_t>(cause)];
 }
 
@@ -96,7 +96,7 @@
         FencingToken(reader.read_integer(wire::kFencingToken, 0, kMaxInteger));
   }
   if (const auto notice = reader.read_optional_amount(wire::kPreemptionNotice, -kMaxAmount)) {
-    heartbeat.notice = Seconds(*notice);
+    heartbeat.time_to_preemption = Seconds(*notice);
   }
   const Json* tasks = reader.find_non_null(wire::kTasks);
   if (tasks && !read_tasks(*tasks, heartbeat)) return {};
--- a/src/protocol/heartbeat.h
+++ b/src/protocol/heartbeat.h
@@ -14,15 +14,15 @@
 enum class TaskState { kPulling, kGathering, kRunning, kSaving, kEnded };
 
 // The reason why an attempt ended; kNone if it has not ended.
-enum class Cause { kNone, kDone, kHalted, kError, kNoRoom, kBusy, kUnknown };
+enum class EndCause { kNone, kDone, kHalted, kError, kNoRoom, kBusy, kUnknown };
 // Returns the cause's name in heartbeats.
-const char* to_string(Cause cause);
+const char* to_string(EndCause cause);
 
 // One attempt of a task, as listed in a heartbeat.
 struct ReportedAttempt {
   Attempt attempt;
   TaskState state = TaskState::kPulling;
-  Cause cause = Cause::kNone;
+  EndCause cause = EndCause::kNone;
   bool operator==(const ReportedAttempt&) const = default;
 };
 
@@ -34,9 +34,10 @@
   std::string zone;
   bool spot = false;
   AgentIncarnation agent_incarnation;
-  Sequence sequence;              // increases with each heartbeat of an agent incarnation
-  FencingToken fencing_token;     // the highest that the agent has received; 0: none
-  std::optional<Seconds> notice;  // preemption notice: time until the cloud takes the machine
+  Sequence sequence;           // increases with each heartbeat of an agent incarnation
+  FencingToken fencing_token;  // the highest that the agent has received; 0: none
+  // Preemption notice: the time until the cloud reclaims the machine.
+  std::optional<Seconds> time_to_preemption;
   std::map<TaskId, std::vector<ReportedAttempt>> tasks;  // a task's attempts; rarely more than one
 };
 
--- a/src/protocol/job_record.cpp
+++ b/src/protocol/job_record.cpp
@@ -36,12 +36,12 @@
 }  // namespace
 
 std::uint32_t JobRecord::pieces_of_chunk() const {
-  return piece == 0 ? 1 : (chunk + piece - 1) / piece;
+  return piece_size == 0 ? 1 : (chunk_size + piece_size - 1) / piece_size;
 }
 
 std::uint32_t JobRecord::chunk_of(TaskNo task) const {
-  const TaskNo piece_in_chunk = piece == 0 ? 0 : task % chunk / piece;
-  return task / chunk * pieces_of_chunk() + piece_in_chunk;
+  const TaskNo piece_in_chunk = piece_size == 0 ? 0 : task % chunk_size / piece_size;
+  return task / chunk_size * pieces_of_chunk() + piece_in_chunk;
 }
 
 std::size_t JobRecord::chunks() const {
@@ -49,28 +49,28 @@
 }
 
 TaskNo JobRecord::first_task(std::uint32_t number) const {
-  return number / pieces_of_chunk() * chunk + number % pieces_of_chunk() * piece;
+  return number / pieces_of_chunk() * chunk_size + number % pieces_of_chunk() * piece_size;
 }
 
 TaskNo JobRecord::tasks_of(std::uint32_t number) const {
   const TaskNo first = first_task(number);
-  const TaskNo remaining = std::min(chunk - first % chunk, spec.tasks - first);
-  return piece == 0 ? remaining : std::min(piece, remaining);
+  const TaskNo remaining = std::min(chunk_size - first % chunk_size, spec.tasks - first);
+  return piece_size == 0 ? remaining : std::min(piece_size, remaining);
 }
 
 std::string JobRecord::record_key(std::uint32_t number) const {
-  return piece == 0 ? chunk_key(spec.id, number) : piece_key(spec.id, number);
+  return piece_size == 0 ? chunk_record_key(spec.id, number) : piece_record_key(spec.id, number);
 }
 
 Json to_json(const JobRecord& job) {
-  Json json = {{kSubmission, to_json(job.spec)}, {kSubmittedAt, job.submitted}};
+  Json json = {{kSubmission, to_json(job.spec)}, {kSubmittedAt, job.submitted_at}};
   if (job.dependency_lists) {
     json[kSubmission].erase(wire::kDependencies);
     json[kDependencyLists] = to_json(*job.dependency_lists);
   }
   if (job.cancelled) json[kIsCancelled] = true;
-  if (job.chunk != kMaxChunkTasks) json[kChunkSize] = job.chunk;
-  if (job.piece != 0) json[kPieceSize] = job.piece;
+  if (job.chunk_size != kMaxChunkTasks) json[kChunkSize] = job.chunk_size;
+  if (job.piece_size != 0) json[kPieceSize] = job.piece_size;
   return json;
 }
 
@@ -80,32 +80,32 @@
   if (!std::holds_alternative<JobSpec>(spec)) return {};
   JobRecord job;
   job.spec = std::get<JobSpec>(std::move(spec));
-  job.submitted = value.value(kSubmittedAt, 0.0);
+  job.submitted_at = value.value(kSubmittedAt, 0.0);
   job.cancelled = value.value(kIsCancelled, false);
   if (const auto lists = value.find(kDependencyLists); lists != value.end()) {
     job.dependency_lists = parse_dependency_lists(*lists);
     if (!job.dependency_lists) return {};
   }
-  if (!read_task_count(value, kChunkSize, kMaxChunkTasks, job.chunk)) return {};
-  if (!read_task_count(value, kPieceSize, job.chunk, job.piece)) return {};
+  if (!read_task_count(value, kChunkSize, kMaxChunkTasks, job.chunk_size)) return {};
+  if (!read_task_count(value, kPieceSize, job.chunk_size, job.piece_size)) return {};
   return job;
 }
 
 Json to_json(const FinalState& state) {
   const char* status = state.status == JobStatus::kDone ? kFinalDone : kFinalCancelled;
   Json json = {{kFinalStatus, status}};
-  if (state.at > 0) json[kFinalAt] = state.at;
+  if (state.recorded_at > 0) json[kFinalAt] = state.recorded_at;
   return json;
 }
 
-std::optional<FinalState> parse_final(const Json& value) {
+std::optional<FinalState> parse_final_state(const Json& value) {
   if (!value.is_object()) return {};
   FinalState state;
   const auto status = value.find(kFinalStatus);
   const bool is_done = status != value.end() && *status == kFinalDone;
   state.status = is_done ? JobStatus::kDone : JobStatus::kCancelled;
   if (const auto at = value.find(kFinalAt); at != value.end() && at->is_number()) {
-    state.at = at->get<double>();
+    state.recorded_at = at->get<double>();
   }
   return state;
 }
--- a/src/protocol/job_record.h
+++ b/src/protocol/job_record.h
@@ -21,18 +21,18 @@
 inline constexpr std::uint64_t kFormat = kFormatWithPieces;
 
 // The record of a job. The states of the job's tasks are stored in task records, each of which
-// holds a chunk of `chunk` tasks. If such a record exceeds the size limit of a value in the state
-// service, every chunk is split into pieces of `piece` tasks, and each piece gets a task record.
-// Task records are numbered from 0: by chunk, or by piece if the chunks are split.
+// holds a chunk of `chunk_size` tasks. If such a record exceeds the size limit of a value in the
+// state service, every chunk is split into pieces of `piece_size` tasks, and each piece gets a task
+// record. Task records are numbered from 0: by chunk, or by piece if the chunks are split.
 struct JobRecord {
   JobSpec spec;
   std::optional<DependencyLists> dependency_lists;  // if set, `spec` lacks the dependencies
   // Time of the submission in seconds since 1970, by the clock of the controller that accepted the
   // job.
-  double submitted = 0;
+  double submitted_at = 0;
   bool cancelled = false;
-  TaskNo chunk = kMaxChunkTasks;  // tasks per chunk
-  TaskNo piece = 0;               // tasks per piece; 0: the chunks are not split
+  TaskNo chunk_size = kMaxChunkTasks;  // tasks per chunk
+  TaskNo piece_size = 0;               // tasks per piece; 0: the chunks are not split
 
   // Returns the number of task records per chunk: 1 if the chunks are not split.
   std::uint32_t pieces_of_chunk() const;
@@ -57,11 +57,11 @@
   JobStatus status = JobStatus::kDone;  // kDone or kCancelled
   // When the tombstone was written, in seconds since 1970; 0: unknown, as versions before 0.2 did
   // not record it.
-  double at = 0;
+  double recorded_at = 0;
 };
 
 Json to_json(const FinalState& state);
 // Parses a tombstone; nullopt if the value is malformed.
-std::optional<FinalState> parse_final(const Json& value);
+std::optional<FinalState> parse_final_state(const Json& value);
 
 }  // namespace saddleslip::protocol
--- a/src/protocol/job_spec.cpp
+++ b/src/protocol/job_spec.cpp
@@ -40,7 +40,7 @@
 
 JobId read_job_id(FieldReader& reader) {
   const std::string id = reader.read_string(wire::kId);
-  if (!valid_job_id(id)) reader.record_error(wire::kId, "must have the form run-000412");
+  if (!is_valid_job_id(id)) reader.record_error(wire::kId, "must have the form run-000412");
   return JobId(id);
 }
 
@@ -67,7 +67,7 @@
   std::vector<JobId> dependencies;
   std::set<JobId> seen;
   for (const Json& entry : *list) {
-    if (!entry.is_string() || !valid_job_id(entry.get_ref<const std::string&>())) {
+    if (!entry.is_string() || !is_valid_job_id(entry.get_ref<const std::string&>())) {
       reader.record_error(wire::kDependencies, "must hold job ids of the form run-000412");
       return {};
     }
@@ -98,7 +98,7 @@
 
 }  // namespace
 
-bool valid_job_id(const std::string& id) {
+bool is_valid_job_id(const std::string& id) {
   static const std::string kPrefix = "run-";
   constexpr std::size_t kMinDigits = 6, kMaxDigits = 20;
   if (id.size() < kPrefix.size() + kMinDigits || id.size() > kPrefix.size() + kMaxDigits) {
@@ -152,8 +152,8 @@
   spec.rank =
       read_enum<Rank>(reader, "rank", kRankNames, "must be critical, urgent, standard or idle");
   spec.tasks = static_cast<TaskNo>(reader.read_integer(wire::kTaskCount, 1, kMaxTasks));
-  spec.request.v = {reader.read_amount("cores", 0), reader.read_amount("gpus", 0),
-                    reader.read_amount("memory_gb", 0)};
+  spec.request.amounts = {reader.read_amount("cores", 0), reader.read_amount("gpus", 0),
+                          reader.read_amount("memory_gb", 0)};
   read_placement(reader, spec);
   read_image_and_times(reader, spec);
   spec.dependencies = read_dependencies(reader);
@@ -166,7 +166,7 @@
   if (!root.is_object()) return {};
   const auto id = root.find(wire::kId);
   if (id == root.end() || !id->is_string()) return {};
-  if (!valid_job_id(id->get_ref<const std::string&>())) return {};
+  if (!is_valid_job_id(id->get_ref<const std::string&>())) return {};
   return JobId(id->get<std::string>());
 }
 
--- a/src/protocol/job_spec.h
+++ b/src/protocol/job_spec.h
@@ -47,7 +47,7 @@
 };
 
 // Returns whether `id` has the form of a job id, such as run-000412: "run-" and 6 to 20 digits.
-bool valid_job_id(const std::string& id);
+bool is_valid_job_id(const std::string& id);
 
 // Encodes the specification with the field names of a submission.
 Json to_json(const JobSpec& spec);
--- a/src/protocol/machine_catalog.cpp
+++ b/src/protocol/machine_catalog.cpp
@@ -27,8 +27,8 @@
   FieldReader reader(entry);
   MachineType type;
   type.name = reader.read_string(wire::kTypeName);
-  type.size.v = {reader.read_amount("cores", 0), read_amount_or_zero(reader, "gpus"),
-                 reader.read_amount("memory_gb", 0)};
+  type.size.amounts = {reader.read_amount("cores", 0), read_amount_or_zero(reader, "gpus"),
+                       reader.read_amount("memory_gb", 0)};
   type.cache_gb = read_amount_or_zero(reader, "cache_gb");
   type.fetch_gb_per_s = read_amount_or_zero(reader, "fetch_gb_per_s");
   type.price = reader.read_amount("price", 0);
--- a/src/protocol/member_records.cpp
+++ b/src/protocol/member_records.cpp
@@ -6,7 +6,7 @@
 
 // JSON field names of member records and of the membership view.
 constexpr const char* kIncarnation = "life";
-constexpr const char* kReaches = "reaches";
+constexpr const char* kReachesOthers = "reaches";
 constexpr const char* kFormatField = "format";
 constexpr const char* kEpoch = "epoch";
 constexpr const char* kMembersField = "members";
@@ -44,7 +44,7 @@
 
 Json to_json(const Member& member) {
   return Json{{kIncarnation, to_json(member.incarnation)},
-              {kReaches, member.reaches},
+              {kReachesOthers, member.reaches_others},
               {kFormatField, member.format}};
 }
 
@@ -54,7 +54,7 @@
   if (!incarnation) return {};
   Member member;
   member.incarnation = *incarnation;
-  member.reaches = value.contains(kReaches) && value.at(kReaches) == true;
+  member.reaches_others = value.contains(kReachesOthers) && value.at(kReachesOthers) == true;
   const auto format = value.find(kFormatField);
   if (format != value.end() && format->is_number_unsigned()) {
     member.format = format->get<std::uint64_t>();
--- a/src/protocol/member_records.h
+++ b/src/protocol/member_records.h
@@ -26,8 +26,8 @@
 // service and removed with it.
 struct Member {
   ControllerIncarnation incarnation;
-  bool reaches = false;      // it can reach at least one other member
-  std::uint64_t format = 1;  // the latest format of stored records that it can read
+  bool reaches_others = false;  // it can reach at least one other member
+  std::uint64_t format = 1;     // the latest format of stored records that it can read
 };
 
 Json to_json(const Member& member);
--- a/src/protocol/peer_status.cpp
+++ b/src/protocol/peer_status.cpp
@@ -10,16 +10,16 @@
 
 // JSON field names of a member status.
 constexpr const char* kFrom = "from";
-constexpr const char* kHasState = "state";
-constexpr const char* kSince = "since";
-constexpr const char* kUpto = "upto";
+constexpr const char* kHasLease = "state";
+constexpr const char* kBaseRevision = "since";
+constexpr const char* kRevision = "upto";
 constexpr const char* kMachines = "m";
-constexpr const char* kLeft = "left";
+constexpr const char* kDepartedMachines = "left";
 constexpr const char* kReleaseRequested = "back";
 constexpr const char* kMisdirected = "knocked";
 constexpr const char* kOwnershipClaims = "claims";
 constexpr const char* kCrashLoopingJobs = "suspects";
-constexpr const char* kContact = "contact";
+constexpr const char* kWorkerContact = "contact";
 
 // JSON field names of offers.
 constexpr const char* kEpoch = "epoch";
@@ -37,13 +37,13 @@
   kTasks,
   kIdleSeconds,  // 0 if it has tasks
   kImages,
-  kSilent,
-  kUnsure,
-  kSoon,
-  kLate,
+  kIsSilent,
+  kHasUnacknowledgedResponse,
+  kAwaitsConfirmation,
+  kHeartbeatOverdue,
 };
 
-// Values of the field kContact.
+// Values of the field kWorkerContact.
 constexpr const char* kContactGood = "good";
 constexpr const char* kContactLost = "lost";
 constexpr const char* kContactUnknown = "unknown";
@@ -71,8 +71,10 @@
   const double idle_seconds =
       machine.tasks > 0 ? 0.0 : base::between(machine.idle_since, now).count();
   return Json::array({machine.id.get(), machine.type, machine.zone, machine.spot, machine.open,
-                      machine.free.v, machine.preemptible.v, machine.tasks, idle_seconds,
-                      machine.images, machine.silent, machine.unsure, machine.soon, machine.late});
+                      machine.free.amounts, machine.preemptible.amounts, machine.tasks,
+                      idle_seconds, machine.images, machine.is_silent,
+                      machine.has_unacknowledged_response, machine.awaits_confirmation,
+                      machine.heartbeat_overdue});
 }
 
 // Parses the array that encodes a machine. Throws Json::exception if it is malformed.
@@ -83,17 +85,17 @@
   machine.zone = value.at(kZone).get<std::string>();
   machine.spot = value.at(kSpot).get<bool>();
   machine.open = value.at(kOpen).get<bool>();
-  machine.free.v = value.at(kFree).get<std::array<double, 3>>();
-  machine.preemptible.v = value.at(kPreemptible).get<std::array<double, 3>>();
+  machine.free.amounts = value.at(kFree).get<std::array<double, 3>>();
+  machine.preemptible.amounts = value.at(kPreemptible).get<std::array<double, 3>>();
   machine.tasks = value.at(kTasks).get<std::uint32_t>();
   if (machine.tasks == 0) {
     machine.idle_since = base::after(now, Seconds(-value.at(kIdleSeconds).get<double>()));
   }
   machine.images = value.at(kImages).get<std::vector<std::string>>();
-  machine.silent = value.at(kSilent).get<bool>();
-  machine.unsure = value.at(kUnsure).get<bool>();
-  machine.soon = value.at(kSoon).get<bool>();
-  machine.late = value.at(kLate).get<bool>();
+  machine.is_silent = value.at(kIsSilent).get<bool>();
+  machine.has_unacknowledged_response = value.at(kHasUnacknowledgedResponse).get<bool>();
+  machine.awaits_confirmation = value.at(kAwaitsConfirmation).get<bool>();
+  machine.heartbeat_overdue = value.at(kHeartbeatOverdue).get<bool>();
   return machine;
 }
 
@@ -103,16 +105,16 @@
   Json machines = Json::array();
   for (const MachineStatus& machine : status.machines) machines.push_back(to_json(machine, now));
   return Json{{kFrom, to_json(status.from)},
-              {kHasState, status.has_state},
-              {kSince, status.since},
-              {kUpto, status.upto},
+              {kHasLease, status.has_lease},
+              {kBaseRevision, status.base_revision},
+              {kRevision, status.revision},
               {kMachines, std::move(machines)},
-              {kLeft, ids_to_json(status.left)},
+              {kDepartedMachines, ids_to_json(status.departed_machines)},
               {kReleaseRequested, ids_to_json(status.release_requested)},
               {kMisdirected, ids_to_json(status.misdirected)},
               {kOwnershipClaims, ids_to_json(status.ownership_claims)},
               {kCrashLoopingJobs, ids_to_json(status.crash_looping_jobs)},
-              {kContact, to_string(status.contact)}};
+              {kWorkerContact, to_string(status.worker_contact)}};
 }
 
 std::optional<MemberStatus> parse_status(const Json& body, Time now) {
@@ -121,18 +123,18 @@
     const auto from = parse_incarnation(body.at(kFrom));
     if (!from) return {};
     status.from = *from;
-    status.has_state = body.at(kHasState).get<bool>();
-    status.since = body.at(kSince).get<std::uint64_t>();
-    status.upto = body.at(kUpto).get<std::uint64_t>();
+    status.has_lease = body.at(kHasLease).get<bool>();
+    status.base_revision = body.at(kBaseRevision).get<std::uint64_t>();
+    status.revision = body.at(kRevision).get<std::uint64_t>();
     for (const Json& entry : body.at(kMachines)) {
       status.machines.push_back(parse_machine(entry, now));
     }
-    status.left = parse_ids<MachineId>(body, kLeft);
+    status.departed_machines = parse_ids<MachineId>(body, kDepartedMachines);
     status.release_requested = parse_ids<MachineId>(body, kReleaseRequested);
     status.misdirected = parse_ids<MachineId>(body, kMisdirected);
     status.ownership_claims = parse_ids<MachineId>(body, kOwnershipClaims);
     status.crash_looping_jobs = parse_ids<JobId>(body, kCrashLoopingJobs);
-    status.contact = parse_contact(body.value(kContact, ""));
+    status.worker_contact = parse_contact(body.value(kWorkerContact, ""));
     return status;
   } catch (const Json::exception&) {
     return {};
--- a/src/protocol/peer_status.h
+++ b/src/protocol/peer_status.h
@@ -28,12 +28,12 @@
   Time idle_since{};                // when its last task ended; unset while it has tasks
   std::vector<std::string> images;  // images known to be in its cache
   // No recent heartbeat, or none that proves that responses reach the machine.
-  bool silent = false;
+  bool is_silent = false;
   // Heartbeats arrive, but the last one did not acknowledge the latest response.
-  bool unsure = false;
-  bool late = false;  // the next heartbeat is overdue
+  bool has_unacknowledged_response = false;
+  bool heartbeat_overdue = false;  // its next heartbeat has not arrived in time
   // A new machine, which accepts tasks once a heartbeat has proved that responses reach it.
-  bool soon = false;
+  bool awaits_confirmation = false;
 
   // Returns whether the image is known to be in the cache of the machine.
   bool has_image(const std::string& image) const {
@@ -52,17 +52,18 @@
 // does.
 struct MemberStatus {
   ControllerIncarnation from;
-  bool has_state = false;   // its lease in the state service was renewed recently
-  std::uint64_t since = 0;  // base revision of the delta, acknowledged by the peer; 0: full status
-  std::uint64_t upto = 0;   // revision that the peer has after applying this status
+  bool has_lease = false;  // its lease in the state service was renewed recently
+  // Base revision of the delta, acknowledged by the peer; 0: full status.
+  std::uint64_t base_revision = 0;
+  std::uint64_t revision = 0;  // revision that the peer has after applying this status
   std::vector<MachineStatus> machines;
-  std::vector<MachineId> left;               // machines that it no longer owns
+  std::vector<MachineId> departed_machines;  // machines that it no longer owns
   std::vector<MachineId> release_requested;  // machines that the leader should release
   std::vector<MachineId> misdirected;  // machines of other owners that recently sent it heartbeats
   // Machines in `misdirected` that cannot reach their owners, so this member claims their
   // ownership.
   std::vector<MachineId> ownership_claims;
-  WorkerContact contact = WorkerContact::kUnknown;
+  WorkerContact worker_contact = WorkerContact::kUnknown;
   // Jobs that failed on every machine on which this member saw them run.
   std::vector<JobId> crash_looping_jobs;
 };
--- a/src/protocol/resources.h
+++ b/src/protocol/resources.h
@@ -8,32 +8,32 @@
 
 // An amount of each resource: CPU cores, GPUs and memory in GB.
 struct Resources {
-  std::array<double, 3> v{};  // in the order cores, GPUs, memory
+  std::array<double, 3> amounts{};  // in the order cores, GPUs, memory
 
-  double cores() const { return v[0]; }
-  double gpus() const { return v[1]; }
-  double memory() const { return v[2]; }
+  double cores() const { return amounts[0]; }
+  double gpus() const { return amounts[1]; }
+  double memory() const { return amounts[2]; }
 
   // Returns whether these resources cover `request`, tolerating rounding errors of repeated
   // additions.
   bool fits(const Resources& request) const {
     constexpr double kRoundingError = 1e-6;
-    for (std::size_t i = 0; i < v.size(); ++i) {
-      if (request.v[i] > v[i] + kRoundingError) return false;
+    for (std::size_t i = 0; i < amounts.size(); ++i) {
+      if (request.amounts[i] > amounts[i] + kRoundingError) return false;
     }
     return true;
   }
 
   Resources& operator+=(const Resources& other) {
-    for (std::size_t i = 0; i < v.size(); ++i) v[i] += other.v[i];
+    for (std::size_t i = 0; i < amounts.size(); ++i) amounts[i] += other.amounts[i];
     return *this;
   }
   Resources& operator-=(const Resources& other) {
-    for (std::size_t i = 0; i < v.size(); ++i) v[i] -= other.v[i];
+    for (std::size_t i = 0; i < amounts.size(); ++i) amounts[i] -= other.amounts[i];
     return *this;
   }
   friend Resources operator*(Resources resources, double factor) {
-    for (double& amount : resources.v) amount *= factor;
+    for (double& amount : resources.amounts) amount *= factor;
     return resources;
   }
   bool operator==(const Resources&) const = default;
--- a/src/protocol/state_client.cpp
+++ b/src/protocol/state_client.cpp
@@ -6,8 +6,8 @@
 
 namespace saddleslip::protocol {
 
-using transport::Answer;
-using transport::Sent;
+using transport::Delivery;
+using transport::HttpResult;
 
 namespace {
 
@@ -25,7 +25,7 @@
 
 // Reads the revision and the failed keys from a response with status 200 (committed) or
 // 409 (conflict).
-void read_commit_response(const Answer& response, StateClient::Committed& result) {
+void read_commit_response(const HttpResult& response, StateClient::CommitResult& result) {
   const Json body = parse_object(response);
   if (!body.is_object() || !body.contains(wire::kRevision)) return;
   result.revision = parse_revision(body);
@@ -46,14 +46,14 @@
   return "/leases/" + std::to_string(lease.get());
 }
 
-StateClient::Watched parse_changes_response(const Answer& response, Revision after) {
-  using What = StateClient::Watched::What;
-  StateClient::Watched result;
+StateClient::WatchResult parse_changes_response(const HttpResult& response, Revision after) {
+  using Outcome = StateClient::WatchResult::Outcome;
+  StateClient::WatchResult result;
   result.after = after;
   // A response that is too large would not get smaller on a retry, so the caller has to list the
   // items instead, page by page.
-  if (response.too_large || (response.sent == Sent::kYes && response.status == 410)) {
-    result.what = What::kTooOld;
+  if (response.too_large || (response.delivery == Delivery::kAnswered && response.status == 410)) {
+    result.outcome = Outcome::kTooOld;
     return result;
   }
   if (!response.ok()) return result;
@@ -65,7 +65,7 @@
     result.events.push_back(std::move(*change));
   }
   result.revision = parse_revision(body);
-  result.what = What::kEvents;
+  result.outcome = Outcome::kEvents;
   return result;
 }
 
@@ -77,11 +77,11 @@
       renewals_(address, kMaxRenewals),
       watches_(address, kMaxWatches) {}
 
-StateClient::Committed StateClient::commit(const Transaction& transaction, Seconds timeout) {
-  const Answer response = http_.post("/commit", to_json(transaction).dump(), timeout);
-  Committed result;
-  if (response.sent == Sent::kNo) result.outcome = Outcome::kRefused;
-  if (response.sent != Sent::kYes) return result;
+StateClient::CommitResult StateClient::commit(const Transaction& transaction, Seconds timeout) {
+  const HttpResult response = http_.post("/commit", to_json(transaction).dump(), timeout);
+  CommitResult result;
+  if (response.delivery == Delivery::kNotSent) result.outcome = Outcome::kRefused;
+  if (response.delivery != Delivery::kAnswered) return result;
   switch (response.status) {
     case 200:
     case 409:
@@ -102,10 +102,10 @@
   return result;
 }
 
-StateClient::Got StateClient::get(const std::string& key, Seconds timeout) {
-  const Answer response = http_.get("/store/" + key, timeout);
-  Got result;
-  if (response.sent != Sent::kYes) return result;
+StateClient::GetResult StateClient::get(const std::string& key, Seconds timeout) {
+  const HttpResult response = http_.get("/store/" + key, timeout);
+  GetResult result;
+  if (response.delivery != Delivery::kAnswered) return result;
   if (response.status == 404) {
     result.answered = true;
     result.item.key = key;
@@ -119,12 +119,12 @@
   return result;
 }
 
-StateClient::Listed StateClient::list(const std::string& prefix, const std::string& after,
-                                      Seconds timeout) {
+StateClient::ListResult StateClient::list(const std::string& prefix, const std::string& after,
+                                          Seconds timeout) {
   std::string path = "/store?starts=" + prefix + "&page=" + kPageSize;
   if (!after.empty()) path += "&after=" + after;
-  const Answer response = http_.get(path, timeout, kMaxResponseBytes);
-  Listed result;
+  const HttpResult response = http_.get(path, timeout, kMaxResponseBytes);
+  ListResult result;
   if (!response.ok()) return result;
   const Json body = parse_object(response);
   if (!has_array(body, kItems)) return result;
@@ -133,7 +133,7 @@
     if (!item) return result;
     result.items.push_back(std::move(*item));
   }
-  result.more = body.contains(kMore) && body.at(kMore) == true;
+  result.has_more = body.contains(kMore) && body.at(kMore) == true;
   result.revision = parse_revision(body);
   result.answered = true;
   return result;
@@ -141,7 +141,7 @@
 
 std::optional<LeaseId> StateClient::create_lease(Seconds ttl, Seconds timeout) {
   const auto ttl_ms = static_cast<std::uint64_t>(ttl.count() * 1000);
-  const Answer response = renewals_.post("/leases", Json{{"ttl_ms", ttl_ms}}.dump(), timeout);
+  const HttpResult response = renewals_.post("/leases", Json{{"ttl_ms", ttl_ms}}.dump(), timeout);
   if (!response.ok()) return {};
   const Json body = parse_object(response);
   const auto id = body.find(wire::kLease);
@@ -149,25 +149,26 @@
   return LeaseId(id->get<std::uint64_t>());
 }
 
-StateClient::Renewed StateClient::renew_lease(LeaseId lease, Seconds timeout) {
-  const Answer response = renewals_.post(lease_path(lease) + "/renew", "{}", timeout);
-  if (response.ok()) return Renewed::kYes;
-  const bool is_gone = response.sent == Sent::kYes && response.status == 404;
-  return is_gone ? Renewed::kGone : Renewed::kUnknown;
+StateClient::RenewalOutcome StateClient::renew_lease(LeaseId lease, Seconds timeout) {
+  const HttpResult response = renewals_.post(lease_path(lease) + "/renew", "{}", timeout);
+  if (response.ok()) return RenewalOutcome::kYes;
+  const bool is_gone = response.delivery == Delivery::kAnswered && response.status == 404;
+  return is_gone ? RenewalOutcome::kGone : RenewalOutcome::kUnknown;
 }
 
 void StateClient::delete_lease(LeaseId lease, Seconds timeout) {
   renewals_.del(lease_path(lease), timeout);
 }
 
-StateClient::Watched StateClient::watch(const std::string& prefix, Revision after, Seconds wait) {
+StateClient::WatchResult StateClient::watch(const std::string& prefix, Revision after,
+                                            Seconds wait) {
   const std::string path = changes_path(prefix, after, wait);
   return parse_changes_response(watches_.get(path, wait + kWatchTimeoutMargin, max_changes_bytes_),
                                 after);
 }
 
-StateClient::Watched StateClient::changes(const std::string& prefix, Revision after,
-                                          Seconds timeout) {
+StateClient::WatchResult StateClient::changes(const std::string& prefix, Revision after,
+                                              Seconds timeout) {
   const std::string path = changes_path(prefix, after, Seconds(0));
   return parse_changes_response(http_.get(path, timeout, max_changes_bytes_), after);
 }
--- a/src/protocol/state_client.h
+++ b/src/protocol/state_client.h
@@ -31,59 +31,59 @@
     kMalformed,  // status 400: the lease has expired, or the request is invalid
   };
   // The result of a commit.
-  struct Committed {
+  struct CommitResult {
     Outcome outcome = Outcome::kUnknown;
     Revision revision;                // set for kDone and kConflict
     std::vector<std::string> failed;  // keys whose preconditions failed
   };
   // Commits a transaction.
-  Committed commit(const Transaction& transaction, Seconds timeout);
+  CommitResult commit(const Transaction& transaction, Seconds timeout);
 
   // The result of reading one key.
-  struct Got {
+  struct GetResult {
     bool answered = false;
     Item item;  // version 0: the key does not exist
   };
   // Reads one key.
-  Got get(const std::string& key, Seconds timeout);
+  GetResult get(const std::string& key, Seconds timeout);
 
   // One page of a list of items.
-  struct Listed {
+  struct ListResult {
     bool answered = false;
     std::vector<Item> items;
-    bool more = false;  // there are further pages
-    Revision revision;  // the revision at which the page was read
+    bool has_more = false;  // there are further pages
+    Revision revision;      // the revision at which the page was read
   };
   // Reads one page of the items whose keys start with `prefix` and sort after the key `after`.
-  Listed list(const std::string& prefix, const std::string& after, Seconds timeout);
+  ListResult list(const std::string& prefix, const std::string& after, Seconds timeout);
 
   // Creates a lease; nullopt if the state service refused it or did not respond.
   std::optional<LeaseId> create_lease(Seconds ttl, Seconds timeout);
   // Whether a lease was renewed: kGone means that it has expired or was deleted, kUnknown that
   // there was no clear response.
-  enum class Renewed { kYes, kGone, kUnknown };
+  enum class RenewalOutcome { kYes, kGone, kUnknown };
   // Renews a lease for its time to live.
-  Renewed renew_lease(LeaseId lease, Seconds timeout);
+  RenewalOutcome renew_lease(LeaseId lease, Seconds timeout);
   // Deletes a lease, and with it the keys under it. Whether it succeeded is not reported.
   void delete_lease(LeaseId lease, Seconds timeout);
 
   // The changes to the keys under a prefix after a revision.
-  struct Watched {
-    enum class What {
+  struct WatchResult {
+    enum class Outcome {
       kEvents,  // `events` holds all changes up to `revision`
       kTooOld,  // the changes are no longer stored or exceed the size limit: list the items instead
-      kNothing  // no valid response
-    } what = What::kNothing;
+      kNoResponse  // no valid response
+    } outcome = Outcome::kNoResponse;
     Revision revision;
     std::vector<Item> events;
     Revision after;  // the revision from which the changes were requested, exclusive
   };
   // Returns the changes after the revision `after`. If there are none yet, waits up to `wait` for
   // one.
-  Watched watch(const std::string& prefix, Revision after, Seconds wait);
+  WatchResult watch(const std::string& prefix, Revision after, Seconds wait);
   // Returns the changes after the revision `after` without waiting for new ones. Uses the
   // connections of the general calls rather than that of watch().
-  Watched changes(const std::string& prefix, Revision after, Seconds timeout);
+  WatchResult changes(const std::string& prefix, Revision after, Seconds timeout);
 
  private:
   const std::size_t max_changes_bytes_;
--- a/src/protocol/store_keys.h
+++ b/src/protocol/store_keys.h
@@ -39,38 +39,39 @@
 
 // Keys of single records.
 inline const std::string kViewKey = "s/view";
-inline const std::string kLeadKey = "s/lead";
+inline const std::string kLeaderKey = "s/lead";
 inline const std::string kFormatKey = "s/format";
 inline const std::string kCatalogueKey = "s/catalogue";
 inline const std::string kFleetKey = "s/fleet";
 
 // Prefixes of the keys of each kind of record.
-inline const std::string kAll = "s/";  // all records
-inline const std::string kJobs = "s/j/";
-inline const std::string kChunks = "s/t/";  // task records
-inline const std::string kDependencies = "s/n/";
-inline const std::string kFinals = "s/f/";  // tombstones
-inline const std::string kMembers = "s/m/";
-inline const std::string kTeams = "s/q/";   // keys that make concurrent starts conflict
-inline const std::string kClaims = "s/p/";  // ownership claims
+inline const std::string kAllPrefix = "s/";  // all records
+inline const std::string kJobPrefix = "s/j/";
+inline const std::string kTaskRecordPrefix = "s/t/";  // task records
+inline const std::string kDependencyListPrefix = "s/n/";
+inline const std::string kTombstonePrefix = "s/f/";  // tombstones
+inline const std::string kMemberPrefix = "s/m/";
+// Keys that make concurrent starts conflict.
+inline const std::string kStartConflictPrefix = "s/q/";
+inline const std::string kClaimPrefix = "s/p/";  // ownership claims
 
 // Returns the key of the job record.
 std::string job_key(const JobId& id);
 // Returns the key of the tombstone.
-std::string final_key(const JobId& id);
+std::string tombstone_key(const JobId& id);
 // Returns the key of the task record of a chunk.
-std::string chunk_key(const JobId& id, std::uint32_t chunk);
+std::string chunk_record_key(const JobId& id, std::uint32_t chunk);
 // Returns the key of the task record of a piece.
-std::string piece_key(const JobId& id, std::uint32_t piece);
+std::string piece_record_key(const JobId& id, std::uint32_t piece);
 // Returns the key of the record that names the set of dependency lists.
 std::string dependency_lists_key(const JobId& id);
 // Returns the key of one dependency list of a set.
 std::string dependency_list_key(const JobId& id, const std::string& set, std::size_t number);
 // Returns the key that makes concurrent starts for a team conflict. Characters that a key may not
 // contain are escaped. Teams whose names have the same first 80 bytes share a key.
-std::string team_key(const std::string& team);
+std::string team_start_key(const std::string& team);
 // Returns the key that makes concurrent starts of one job's tasks conflict.
-std::string row_key(const JobId& id);
+std::string job_start_key(const JobId& id);
 // Returns the key of the ownership claim on a machine.
 std::string claim_key(const MachineId& machine);
 // Returns the key of the member record.
@@ -83,10 +84,10 @@
   bool is_piece = false;
 };
 // Parses the key of a task record; nullopt if it is malformed. Requires that `key` starts with
-// kChunks.
-std::optional<TaskRecordKey> parse_chunk_key(const std::string& key);
+// kTaskRecordPrefix.
+std::optional<TaskRecordKey> parse_task_record_key(const std::string& key);
 
-// Returns the job to which a key under kDependencies belongs; nullopt for all other keys.
+// Returns the job to which a key under kDependencyListPrefix belongs; nullopt for all other keys.
 std::optional<JobId> job_of_dependency_key(const std::string& key);
 
 }  // namespace saddleslip::protocol
--- a/src/protocol/store_transaction.cpp
+++ b/src/protocol/store_transaction.cpp
@@ -30,11 +30,11 @@
   return value == object.end() ? nullptr : value->get_ptr<const std::string*>();
 }
 
-Json to_json(const Put& put) {
-  if (!put.value) return Json{{kRemove, put.key}};
-  Json write = {{kWrite, put.key}, {kValue, *put.value}};
-  if (put.lease) write[wire::kLease] = put.lease->get();
-  return write;
+Json to_json(const Write& write) {
+  if (!write.value) return Json{{kRemove, write.key}};
+  Json json = {{kWrite, write.key}, {kValue, *write.value}};
+  if (write.lease) json[wire::kLease] = write.lease->get();
+  return json;
 }
 
 }  // namespace
@@ -45,7 +45,7 @@
     preconditions.push_back({{kKey, key}, {wire::kVersion, version.get()}});
   }
   Json writes = Json::array();
-  for (const Put& put : transaction.writes) writes.push_back(to_json(put));
+  for (const Write& write : transaction.writes) writes.push_back(to_json(write));
   return Json{{wire::kPreconditions, std::move(preconditions)}, {kWrites, std::move(writes)}};
 }
 
--- a/src/protocol/store_transaction.h
+++ b/src/protocol/store_transaction.h
@@ -19,7 +19,7 @@
 };
 
 // A write of a transaction: sets or removes one key.
-struct Put {
+struct Write {
   std::string key;
   std::optional<Json> value;     // nullopt: remove the key
   std::optional<LeaseId> lease;  // if set, the key is removed when this lease ends
@@ -33,7 +33,7 @@
 // version, otherwise none does.
 struct Transaction {
   std::map<std::string, Version> preconditions;
-  std::vector<Put> writes;
+  std::vector<Write> writes;
 };
 
 // Encodes the transaction as the body of a commit request.
--- a/src/protocol/task_records.cpp
+++ b/src/protocol/task_records.cpp
@@ -117,7 +117,7 @@
 }
 
 Json to_json(const ChunkRecord& chunk, TaskNo first) {
-  return Json{{kNextAttempt, chunk.next.get()},
+  return Json{{kNextAttempt, chunk.next_attempt.get()},
               {kDoneRuns, encode_done_runs(chunk.done)},
               {kAssignedRuns, encode_assigned_runs(chunk.assigned, first)}};
 }
@@ -127,7 +127,7 @@
   chunk.done.assign(count, false);
   if (value.is_null()) return chunk;
   try {
-    chunk.next = Attempt(value.at(kNextAttempt).get<std::uint64_t>());
+    chunk.next_attempt = Attempt(value.at(kNextAttempt).get<std::uint64_t>());
     for (const Json& entry : value.at(kDoneRuns)) {
       const auto run = parse_run(entry, count);
       if (!run) return {};
--- a/src/protocol/task_records.h
+++ b/src/protocol/task_records.h
@@ -26,7 +26,7 @@
 // The task record of a chunk or a piece.
 struct ChunkRecord {
   // The next attempt number, which is higher than those of all attempts of this record's tasks.
-  Attempt next{1};
+  Attempt next_attempt{1};
   // Indexed by the number of the task minus the number of the first task in the record.
   std::vector<bool> done;
   std::map<TaskNo, Assignment> assigned;  // by task number
--- a/src/protocol/worker_client.cpp
+++ b/src/protocol/worker_client.cpp
@@ -7,8 +7,8 @@
 
 namespace saddleslip::protocol {
 
-using transport::Answer;
-using transport::Sent;
+using transport::Delivery;
+using transport::HttpResult;
 
 std::shared_ptr<transport::HttpClient> WorkerClient::connection(const std::string& address) {
   const std::lock_guard lock(mutex_);
@@ -25,7 +25,7 @@
           base::parse_address(address, "address of the agent"), 1);
       found = connections_.emplace(address, Connection{std::move(http), 0}).first;
     } catch (const base::BadSettings& error) {
-      spdlog::warn("cannot connect to an agent: error={}", error.what());
+      spdlog::warn("address in an agent's heartbeat cannot be used: error={}", error.what());
       return nullptr;
     }
   }
@@ -33,16 +33,18 @@
   return found->second.http;
 }
 
-WorkerClient::Answered WorkerClient::order(const std::string& address, FencingToken fencing_token,
-                                           AgentIncarnation agent_incarnation,
-                                           const std::vector<Command>& commands, Seconds timeout) {
+WorkerClient::CommandResult WorkerClient::send_commands(const std::string& address,
+                                                        FencingToken fencing_token,
+                                                        AgentIncarnation agent_incarnation,
+                                                        const std::vector<Command>& commands,
+                                                        Seconds timeout) {
   const auto http = connection(address);
   if (!http) return {};
-  const Answer response =
-      http->post("/orders", orders(fencing_token, agent_incarnation, commands), timeout);
-  Answered result;
-  result.sent = response.sent;
-  if (response.sent != Sent::kYes) return result;
+  const HttpResult response = http->post(
+      "/orders", encode_command_batch(fencing_token, agent_incarnation, commands), timeout);
+  CommandResult result;
+  result.delivery = response.delivery;
+  if (response.delivery != Delivery::kAnswered) return result;
   result.executed = response.status == 200;
   if (response.status == 200 || response.status == 409) {
     result.heartbeat = parse_heartbeat(response.body);
--- a/src/protocol/worker_client.h
+++ b/src/protocol/worker_client.h
@@ -23,17 +23,17 @@
   explicit WorkerClient(std::size_t max_connections) : max_connections_(max_connections) {}
 
   // The response of an agent to commands.
-  struct Answered {
-    transport::Sent sent = transport::Sent::kNo;
+  struct CommandResult {
+    transport::Delivery delivery = transport::Delivery::kNotSent;
     bool executed = false;  // the agent accepted the commands
     // The state of the machine after the commands, or the state for which the agent rejected them.
     std::optional<Heartbeat> heartbeat;
   };
   // Sends commands to the agent at `address`. The agent rejects all of them if its incarnation is
   // not `agent_incarnation` or if it has received a higher fencing token.
-  Answered order(const std::string& address, FencingToken fencing_token,
-                 AgentIncarnation agent_incarnation, const std::vector<Command>& commands,
-                 Seconds timeout);
+  CommandResult send_commands(const std::string& address, FencingToken fencing_token,
+                              AgentIncarnation agent_incarnation,
+                              const std::vector<Command>& commands, Seconds timeout);
 
  private:
   // The connection to one agent.
--- a/src/protocol/worker_commands.cpp
+++ b/src/protocol/worker_commands.cpp
@@ -37,20 +37,21 @@
 
 }  // namespace
 
-std::string heartbeat_response(FencingToken fencing_token, const std::vector<Command>& commands) {
+std::string encode_heartbeat_response(FencingToken fencing_token,
+                                      const std::vector<Command>& commands) {
   return Json{{wire::kFencingToken, fencing_token.get()}, {wire::kCommands, to_json(commands)}}
       .dump();
 }
 
-std::string orders(FencingToken fencing_token, AgentIncarnation agent_incarnation,
-                   const std::vector<Command>& commands) {
+std::string encode_command_batch(FencingToken fencing_token, AgentIncarnation agent_incarnation,
+                                 const std::vector<Command>& commands) {
   return Json{{wire::kFencingToken, fencing_token.get()},
               {wire::kAgentIncarnation, agent_incarnation.get()},
               {wire::kCommands, to_json(commands)}}
       .dump();
 }
 
-std::string redirect(const std::optional<MemberId>& owner) {
+std::string encode_redirect(const std::optional<MemberId>& owner) {
   return owner ? Json{{wire::kOwner, owner->get()}}.dump() : "{}";
 }
 
--- a/src/protocol/worker_commands.h
+++ b/src/protocol/worker_commands.h
@@ -23,15 +23,16 @@
 
 // Encodes the owner's response to a heartbeat, which renews the worker's lease and may carry
 // commands.
-std::string heartbeat_response(FencingToken fencing_token, const std::vector<Command>& commands);
+std::string encode_heartbeat_response(FencingToken fencing_token,
+                                      const std::vector<Command>& commands);
 
 // Encodes a batch of commands that is sent without waiting for a heartbeat. The agent executes it
 // only if its incarnation is `agent_incarnation`.
-std::string orders(FencingToken fencing_token, AgentIncarnation agent_incarnation,
-                   const std::vector<Command>& commands);
+std::string encode_command_batch(FencingToken fencing_token, AgentIncarnation agent_incarnation,
+                                 const std::vector<Command>& commands);
 
 // Encodes the response to a heartbeat of a machine that this controller does not own. `owner` is
 // the member that owns the machine, if known.
-std::string redirect(const std::optional<MemberId>& owner);
+std::string encode_redirect(const std::optional<MemberId>& owner);
 
 }  // namespace saddleslip::protocol
--- a/src/storage/job.cpp
+++ b/src/storage/job.cpp
@@ -28,7 +28,7 @@
   for (std::uint32_t number = 0; number < chunks.size(); ++number)
     keys.push_back(record.record_key(number));
   for (std::uint32_t number = 0; number < whole.size(); ++number)
-    keys.push_back(protocol::chunk_key(record.spec.id, number));
+    keys.push_back(protocol::chunk_record_key(record.spec.id, number));
   return keys;
 }
 
@@ -63,7 +63,7 @@
   const TaskNo offset = tasks.first - layout.tasks_of_chunk(chunk).first;
   const ChunkRecord& chunk_record = whole[chunk].record;
   ChunkRecord piece_record;
-  piece_record.next = chunk_record.next;
+  piece_record.next_attempt = chunk_record.next_attempt;
   piece_record.done.assign(chunk_record.done.begin() + offset,
                            chunk_record.done.begin() + offset + tasks.count);
   piece_record.assigned.insert(chunk_record.assigned.lower_bound(tasks.first),
--- a/src/storage/job.h
+++ b/src/storage/job.h
@@ -33,7 +33,7 @@
   // store, or another controller announced its cancellation.
   bool cancelled() const { return cancelled_on_record() || notify_cancelled; }
   // Returns since when the tasks could have started, in seconds since the epoch.
-  double startable_since() const { return std::max(record.submitted, unblocked_at); }
+  double startable_since() const { return std::max(record.submitted_at, unblocked_at); }
 
   // --- Tasks. A task number must be below the number of the job's tasks.
 
@@ -76,7 +76,7 @@
   void replace_chunk(std::size_t number, Chunk chunk, Time now);
   // Returns whether the job's record divides the chunks into pieces and this has not been done here
   // yet.
-  bool needs_dividing() const { return record.piece != 0 && whole.empty(); }
+  bool needs_dividing() const { return record.piece_size != 0 && whole.empty(); }
   // Moves the chunks to `whole` and creates empty task records for their pieces.
   // `piece_of_whole` returns the initial contents of each piece.
   void divide();
--- a/src/storage/record_layout.cpp
+++ b/src/storage/record_layout.cpp
@@ -13,12 +13,12 @@
 }
 
 std::uint32_t RecordLayout::chunk_count() const {
-  return (job_.spec.tasks + job_.chunk - 1) / job_.chunk;
+  return (job_.spec.tasks + job_.chunk_size - 1) / job_.chunk_size;
 }
 
 TaskRange RecordLayout::tasks_of_chunk(std::uint32_t chunk) const {
-  const TaskNo first = chunk * job_.chunk;
-  return {first, std::min(job_.chunk, job_.spec.tasks - first)};
+  const TaskNo first = chunk * job_.chunk_size;
+  return {first, std::min(job_.chunk_size, job_.spec.tasks - first)};
 }
 
 std::uint32_t RecordLayout::first_piece(std::uint32_t chunk) const {
--- a/src/storage/record_layout.h
+++ b/src/storage/record_layout.h
@@ -25,7 +25,7 @@
   explicit RecordLayout(const JobRecord& job) : job_(job) {}
 
   // Returns whether the chunks are divided into pieces.
-  bool is_divided() const { return job_.piece != 0; }
+  bool is_divided() const { return job_.piece_size != 0; }
 
   // Returns the number of task records in use, which are pieces if the chunks are divided.
   std::uint32_t record_count() const;
--- a/src/storage/state_cache.cpp
+++ b/src/storage/state_cache.cpp
@@ -8,11 +8,11 @@
 namespace saddleslip::storage {
 
 bool StateCache::apply(const Item& item, Time now) {
-  if (item.key.starts_with(protocol::kFinals)) {
+  if (item.key.starts_with(protocol::kTombstonePrefix)) {
     // Versions of final states are not tracked: they never change, and their number grows without
     // limit.
-    if (const auto state = protocol::parse_final(item.value))
-      remember_final(JobId(item.key.substr(protocol::kFinals.size())), *state);
+    if (const auto state = protocol::parse_final_state(item.value))
+      remember_final(JobId(item.key.substr(protocol::kTombstonePrefix.size())), *state);
     return true;
   }
   if (!versions_.is_newer(item.key, item.version)) return false;
@@ -27,7 +27,7 @@
 }
 
 void StateCache::apply(const protocol::Transaction& txn, Revision committed, Time now) {
-  for (const protocol::Put& write : txn.writes) {
+  for (const protocol::Write& write : txn.writes) {
     apply({write.key, write.value ? *write.value : protocol::Json(), Version(committed.get())},
           now);
   }
@@ -38,8 +38,8 @@
 // delivers the record again after the job. Otherwise the job would seem to have no task record, and
 // its tasks would be started twice.
 bool StateCache::precedes_job_record(const Item& item) {
-  if (!item.key.starts_with(protocol::kChunks) || item.value.is_null()) return false;
-  const auto key = protocol::parse_chunk_key(item.key);
+  if (!item.key.starts_with(protocol::kTaskRecordPrefix) || item.value.is_null()) return false;
+  const auto key = protocol::parse_task_record_key(item.key);
   const Job* owner = key ? job(key->job) : nullptr;
   if (!owner) {
     orphans_.add(item.key, item.version);
@@ -51,15 +51,15 @@
 }
 
 void StateCache::apply_value(const Item& item, Time now) {
-  if (item.key.starts_with(protocol::kJobs)) {
+  if (item.key.starts_with(protocol::kJobPrefix)) {
     apply_job(item, now);
-  } else if (item.key.starts_with(protocol::kChunks)) {
+  } else if (item.key.starts_with(protocol::kTaskRecordPrefix)) {
     apply_task_record(item, now);
-  } else if (item.key.starts_with(protocol::kDependencies)) {
+  } else if (item.key.starts_with(protocol::kDependencyListPrefix)) {
     apply_dependency_list(item);
-  } else if (item.key.starts_with(protocol::kMembers)) {
+  } else if (item.key.starts_with(protocol::kMemberPrefix)) {
     apply_member(item);
-  } else if (item.key.starts_with(protocol::kClaims)) {
+  } else if (item.key.starts_with(protocol::kClaimPrefix)) {
     apply_ownership_claim(item);
   } else {
     apply_system_record(item);
@@ -67,7 +67,7 @@
 }
 
 void StateCache::apply_member(const Item& item) {
-  const MemberId member(item.key.substr(protocol::kMembers.size()));
+  const MemberId member(item.key.substr(protocol::kMemberPrefix.size()));
   if (const auto record = protocol::parse_member(item.value)) {
     members_[member] = *record;
   } else {
@@ -76,7 +76,7 @@
 }
 
 void StateCache::apply_ownership_claim(const Item& item) {
-  const MachineId machine(item.key.substr(protocol::kClaims.size()));
+  const MachineId machine(item.key.substr(protocol::kClaimPrefix.size()));
   if (const auto claimant = protocol::parse_incarnation(item.value)) {
     claims_[machine] = *claimant;
   } else {
@@ -89,7 +89,7 @@
     view_ = protocol::parse_view(item.value);
   } else if (item.key == protocol::kFormatKey) {
     format_ = item.value.is_number_unsigned() ? item.value.get<std::uint64_t>() : 1;
-  } else if (item.key == protocol::kLeadKey) {
+  } else if (item.key == protocol::kLeaderKey) {
     leader_ = protocol::parse_incarnation(item.value);
   } else if (item.key == protocol::kCatalogueKey) {
     if (auto catalogue = protocol::parse_catalogue(item.value)) catalogue_ = std::move(*catalogue);
@@ -102,7 +102,7 @@
 
 void StateCache::apply_job(const Item& item, Time now) {
   ++job_changes_;
-  const JobId id(item.key.substr(protocol::kJobs.size()));
+  const JobId id(item.key.substr(protocol::kJobPrefix.size()));
   auto record = protocol::parse_job(item.value);
   if (!record) {
     if (!item.value.is_null()) spdlog::error("job record cannot be parsed: job={}", id.get());
@@ -198,7 +198,7 @@
     if (dependency_job && dependency_job->cancelled_on_record()) job.dependency_cancelled = true;
     if (final && final->status == JobStatus::kCancelled) job.dependency_cancelled = true;
     if (final && final->status == JobStatus::kDone) {
-      job.unblocked_at = std::max(job.unblocked_at, final->at);
+      job.unblocked_at = std::max(job.unblocked_at, final->recorded_at);
     } else {
       open.push_back(dependency);
     }
@@ -233,7 +233,7 @@
   }
   for (const JobId& dependent : dependency_graph_.mark_done(id)) {
     if (const auto entry = jobs_.find(dependent); entry != jobs_.end())
-      mark_dependency_done(entry->second, state.at);
+      mark_dependency_done(entry->second, state.recorded_at);
   }
 }
 
@@ -259,7 +259,7 @@
 // --- Task records
 
 void StateCache::apply_task_record(const Item& item, Time now) {
-  const auto key = protocol::parse_chunk_key(item.key);
+  const auto key = protocol::parse_task_record_key(item.key);
   if (!key) return;
   orphans_.remove(item.key);
   const auto entry = jobs_.find(key->job);
--- a/src/storage/state_cache.h
+++ b/src/storage/state_cache.h
@@ -125,7 +125,7 @@
   // Returns the record format that all controllers can read, as recorded in the store.
   std::uint64_t format() const { return format_; }
   // Returns the booting machines that the leader last recorded.
-  const std::vector<protocol::Booting>& booting() const { return booting_; }
+  const std::vector<protocol::BootingMachine>& booting() const { return booting_; }
 
  private:
   // Returns whether this is a task record that must not be applied before a record that it depends
@@ -195,7 +195,7 @@
   std::map<MemberId, protocol::Member> members_;
   std::map<MachineId, ControllerIncarnation> claims_;
   std::vector<MachineType> catalogue_;
-  std::vector<protocol::Booting> booting_;
+  std::vector<protocol::BootingMachine> booting_;
 };
 
 }  // namespace saddleslip::storage
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -46,8 +46,8 @@
   }
 
   // Sends one request and waits for the response until the deadline.
-  Answer call(const char* method, const std::string& path, const std::string& body,
-              base::Time deadline, std::size_t max_response_bytes) {
+  HttpResult call(const char* method, const std::string& path, const std::string& body,
+                  base::Time deadline, std::size_t max_response_bytes) {
     deadline_ = deadline;
     is_connected_ = socket_.is_open();
     httplib::Request request;
@@ -57,22 +57,22 @@
       request.body = body;
       request.set_header("Content-Type", "application/json");
     }
-    Answer answer;
+    HttpResult result;
     request.content_receiver = [&](const char* data, size_t size, uint64_t, uint64_t) {
-      answer.too_large = answer.body.size() + size > max_response_bytes;
-      if (!answer.too_large) answer.body.append(data, size);
-      return !answer.too_large;
+      result.too_large = result.body.size() + size > max_response_bytes;
+      if (!result.too_large) result.body.append(data, size);
+      return !result.too_large;
     };
     httplib::Response response;
     httplib::Error error = httplib::Error::Success;
     if (send(request, response, error)) {
-      answer.sent = Sent::kYes;
-      answer.status = response.status;
+      result.delivery = Delivery::kAnswered;
+      result.status = response.status;
     } else {
-      answer.sent = is_connected_ ? Sent::kMaybe : Sent::kNo;
-      if (answer.too_large) answer.body = {};
+      result.delivery = is_connected_ ? Delivery::kUnknown : Delivery::kNotSent;
+      if (result.too_large) result.body = {};
     }
-    return answer;
+    return result;
   }
 
  private:
@@ -109,26 +109,26 @@
     : address_(std::move(address)), max_connections_(max_connections) {}
 HttpClient::~HttpClient() = default;
 
-Answer HttpClient::get(const std::string& path, base::Seconds timeout,
-                       std::size_t max_response_bytes) {
+HttpResult HttpClient::get(const std::string& path, base::Seconds timeout,
+                           std::size_t max_response_bytes) {
   return call("GET", path, {}, timeout, max_response_bytes);
 }
-Answer HttpClient::post(const std::string& path, const std::string& body, base::Seconds timeout,
-                        std::size_t max_response_bytes) {
+HttpResult HttpClient::post(const std::string& path, const std::string& body, base::Seconds timeout,
+                            std::size_t max_response_bytes) {
   return call("POST", path, body, timeout, max_response_bytes);
 }
-Answer HttpClient::del(const std::string& path, base::Seconds timeout) {
+HttpResult HttpClient::del(const std::string& path, base::Seconds timeout) {
   return call("DELETE", path, {}, timeout, kMaxDeleteResponseBytes);
 }
 
-Answer HttpClient::call(const char* method, const std::string& path, const std::string& body,
-                        base::Seconds timeout, std::size_t max_response_bytes) {
+HttpResult HttpClient::call(const char* method, const std::string& path, const std::string& body,
+                            base::Seconds timeout, std::size_t max_response_bytes) {
   const base::Time deadline = base::after(base::SteadyClock::now(), timeout);
   std::unique_ptr<Connection> connection = acquire(deadline);
   if (!connection) return {};
-  Answer answer = connection->call(method, path, body, deadline, max_response_bytes);
+  HttpResult result = connection->call(method, path, body, deadline, max_response_bytes);
   release(std::move(connection));
-  return answer;
+  return result;
 }
 
 std::unique_ptr<HttpClient::Connection> HttpClient::acquire(base::Time deadline) {
--- a/src/transport/http_client.h
+++ b/src/transport/http_client.h
@@ -15,21 +15,21 @@
 namespace saddleslip::transport {
 
 // Whether a request was delivered to the server. A request that is not idempotent may be retried
-// only after kNo.
-enum class Sent {
-  kNo,     // not delivered, because there was no connection
-  kMaybe,  // unknown: the response is incomplete, and the server may execute the request even later
-  kYes,    // delivered, and the server responded
+// only after kNotSent.
+enum class Delivery {
+  kNotSent,   // not delivered, because there was no connection
+  kUnknown,   // the response is incomplete, and the server may execute the request even later
+  kAnswered,  // delivered, and the server responded
 };
 
 // The result of an HTTP call.
-struct Answer {
-  Sent sent = Sent::kNo;
+struct HttpResult {
+  Delivery delivery = Delivery::kNotSent;
   int status = 0;  // the HTTP status code, or 0 if the server did not respond
   std::string body;
   bool too_large = false;  // the response exceeded the caller's limit, and its body was discarded
   // Returns whether the server responded with status 200.
-  bool ok() const { return sent == Sent::kYes && status == 200; }
+  bool ok() const { return delivery == Delivery::kAnswered && status == 200; }
 };
 
 // An HTTP client for one server, with a bounded pool of persistent connections and a timeout for
@@ -37,8 +37,8 @@
 //
 // May be used by several threads at once. A call blocks until the response has arrived, the timeout
 // has passed or the connection has failed. It does not throw if the network or the server fails. If
-// all connections are in use, a call waits for one until its timeout, and returns Sent::kNo if none
-// becomes idle.
+// all connections are in use, a call waits for one until its timeout, and returns
+// Delivery::kNotSent if none becomes idle.
 class HttpClient {
  public:
   static constexpr std::size_t kDefaultMaxResponseBytes = 1 << 20;
@@ -52,21 +52,21 @@
   HttpClient& operator=(const HttpClient&) = delete;
 
   // Makes a GET request. Discards a response whose body is longer than `max_response_bytes`.
-  Answer get(const std::string& path, base::Seconds timeout,
-             std::size_t max_response_bytes = kDefaultMaxResponseBytes);
+  HttpResult get(const std::string& path, base::Seconds timeout,
+                 std::size_t max_response_bytes = kDefaultMaxResponseBytes);
   // Makes a POST request with a JSON body. Discards a response whose body is longer than
   // `max_response_bytes`.
-  Answer post(const std::string& path, const std::string& body, base::Seconds timeout,
-              std::size_t max_response_bytes = kDefaultMaxResponseBytes);
+  HttpResult post(const std::string& path, const std::string& body, base::Seconds timeout,
+                  std::size_t max_response_bytes = kDefaultMaxResponseBytes);
   // Makes a DELETE request.
-  Answer del(const std::string& path, base::Seconds timeout);
+  HttpResult del(const std::string& path, base::Seconds timeout);
   const base::Address& address() const { return address_; }
 
  private:
   class Connection;
   // Makes a request on a connection of the pool.
-  Answer call(const char* method, const std::string& path, const std::string& body,
-              base::Seconds timeout, std::size_t max_response_bytes);
+  HttpResult call(const char* method, const std::string& path, const std::string& body,
+                  base::Seconds timeout, std::size_t max_response_bytes);
   // Returns an idle connection, or a new one if the pool has fewer than max_connections_. Waits
   // until the deadline if neither is possible, and returns nullptr if no connection becomes idle.
   std::unique_ptr<Connection> acquire(base::Time deadline);
--- a/tests/assignment_index_test.cpp
+++ b/tests/assignment_index_test.cpp
@@ -20,7 +20,7 @@
   protocol::JobSpec spec;
   spec.id = JobId("run-000001");
   spec.team = "team";
-  spec.request.v = {2, 0, 1};
+  spec.request.amounts = {2, 0, 1};
   return spec;
 }
 
--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -23,7 +23,7 @@
     settings_.controller_zones = {"a"};
     MachineType small_type;
     small_type.name = "small";
-    small_type.size.v = {4, 0, 16};
+    small_type.size.amounts = {4, 0, 16};
     small_type.price = 0.4;
     small_type.spot_price = 0.2;
     small_type.boot = Seconds(10);
@@ -51,7 +51,7 @@
     record.spec.team = "t";
     record.spec.kind = protocol::Kind::kService;
     record.spec.tasks = 1;
-    record.spec.request.v = {2, 0, 1};
+    record.spec.request.amounts = {2, 0, 1};
     record.spec.image = "img";
     apply(protocol::job_key(record.spec.id), to_json(record));
     priorities_.update(fleet_.now);
--- a/tests/final_states_test.cpp
+++ b/tests/final_states_test.cpp
@@ -16,7 +16,7 @@
   const auto state = states.find(JobId("a"));
   ASSERT_TRUE(state);
   EXPECT_EQ(state->status, JobStatus::kDone);
-  EXPECT_EQ(state->at, 10);
+  EXPECT_EQ(state->recorded_at, 10);
 }
 
 TEST(FinalStates, OldestStateIsRemovedOverCapacity) {
--- a/tests/fleet_demand_test.cpp
+++ b/tests/fleet_demand_test.cpp
@@ -34,10 +34,10 @@
     record.spec.team = std::string("t");
     record.spec.kind = kind;
     record.spec.tasks = tasks;
-    record.spec.request.v = {2, 0, 1};
+    record.spec.request.amounts = {2, 0, 1};
     record.spec.image = "img";
     record.spec.estimate = Seconds(100);
-    record.submitted = 1000;
+    record.submitted_at = 1000;
     return record;
   }
   void add(const JobRecord& record, Time now) {
--- a/tests/fleet_machines_test.cpp
+++ b/tests/fleet_machines_test.cpp
@@ -30,9 +30,9 @@
     fleet_.now = base::after(fleet_.now, Seconds(seconds));
     fleet_.wall_now += seconds;
   }
-  void report(const MachineId& id, bool unsure = false) {
+  void report(const MachineId& id, bool has_unacknowledged_response = false) {
     status_.id = id;
-    status_.unsure = unsure;
+    status_.has_unacknowledged_response = has_unacknowledged_response;
     fleet_.partitions = {{kOther, {&status_}}};
   }
   std::size_t count_likely_to_boot() const {
@@ -100,7 +100,7 @@
   CloudMachine machine{kFirst, "small", "a", true, protocol::CloudState::kStarting, Seconds(20)};
   EXPECT_TRUE(booting_.adopt(machine, fleet_.wall_now));
   ASSERT_EQ(booting_.all().size(), 1u);
-  EXPECT_EQ(booting_.all()[0].rented, fleet_.wall_now - 20);
+  EXPECT_EQ(booting_.all()[0].rented_at, fleet_.wall_now - 20);
   machine.age = Seconds(90);
   EXPECT_FALSE(booting_.adopt(machine, fleet_.wall_now));
   machine = {kSecond, "small", "a", true, protocol::CloudState::kRunning, Seconds(20)};
--- a/tests/job_test.cpp
+++ b/tests/job_test.cpp
@@ -10,12 +10,12 @@
 const MachineId kMachine("i-1");
 
 // Returns the record of a job with 150 tasks in chunks of 100.
-JobRecord record(TaskNo piece = 0) {
+JobRecord record(TaskNo piece_size = 0) {
   JobRecord result;
   result.spec.id = JobId("run-000001");
   result.spec.tasks = 150;
-  result.chunk = 100;
-  result.piece = piece;
+  result.chunk_size = 100;
+  result.piece_size = piece_size;
   return result;
 }
 
@@ -84,8 +84,8 @@
   const Job job(record(40), Version(1), Time{});
   const auto keys = job.task_record_keys();
   ASSERT_EQ(keys.size(), 7u);
-  EXPECT_EQ(keys.front(), protocol::piece_key(job.record.spec.id, 0));
-  EXPECT_EQ(keys.back(), protocol::chunk_key(job.record.spec.id, 1));
+  EXPECT_EQ(keys.front(), protocol::piece_record_key(job.record.spec.id, 0));
+  EXPECT_EQ(keys.back(), protocol::chunk_record_key(job.record.spec.id, 1));
 }
 
 // Dependencies that were read from separate lists are not part of any job record, so an update must
--- a/tests/leadership_test.cpp
+++ b/tests/leadership_test.cpp
@@ -13,7 +13,7 @@
   }
   void store_leader(const protocol::ControllerIncarnation& leader) {
     const base::Version version(++last_version_);
-    cache_.apply({protocol::kLeadKey, to_json(leader), version}, start_);
+    cache_.apply({protocol::kLeaderKey, to_json(leader), version}, start_);
   }
   base::Time at(double seconds) const { return base::after(start_, base::Seconds(seconds)); }
 
--- a/tests/machine_fixture.h
+++ b/tests/machine_fixture.h
@@ -18,7 +18,7 @@
   MachineFixture() : cache_(settings_) {
     protocol::MachineType type;
     type.name = "large";
-    type.size.v = {16, 0, 64};
+    type.size.amounts = {16, 0, 64};
     type.cache_gb = 100;
     type.zones = {"a"};
     cache_.apply({protocol::kCatalogueKey, to_json(std::vector{type}), next_version()}, now_);
@@ -37,10 +37,10 @@
     spec.team = "t";
     spec.rank = rank;
     spec.tasks = 4;
-    spec.request.v = {4, 0, 1};
+    spec.request.amounts = {4, 0, 1};
     spec.image = "image-" + id.get();
     spec.image_gb = 1;
-    record.submitted = 1000;
+    record.submitted_at = 1000;
     record.cancelled = cancelled;
     cache_.apply({protocol::job_key(id), to_json(record), next_version()}, now_);
   }
@@ -48,10 +48,10 @@
   // Replaces the assignments of the job's tasks.
   void assign(const base::JobId& id, std::map<base::TaskNo, protocol::Assignment> assignments) {
     protocol::ChunkRecord chunk;
-    chunk.next = base::Attempt(100);
+    chunk.next_attempt = base::Attempt(100);
     chunk.done.assign(4, false);
     chunk.assigned = std::move(assignments);
-    cache_.apply({protocol::chunk_key(id, 0), to_json(chunk, 0), next_version()}, now_);
+    cache_.apply({protocol::chunk_record_key(id, 0), to_json(chunk, 0), next_version()}, now_);
   }
 
   static protocol::Assignment assignment(std::uint64_t attempt, std::uint64_t agent = 1) {
@@ -71,7 +71,7 @@
 
   static void report(protocol::Heartbeat& heartbeat, const base::TaskId& task,
                      std::uint64_t attempt, protocol::TaskState state,
-                     protocol::Cause cause = protocol::Cause::kNone) {
+                     protocol::EndCause cause = protocol::EndCause::kNone) {
     heartbeat.tasks[task].push_back({base::Attempt(attempt), state, cause});
   }
 
--- a/tests/machine_registry_test.cpp
+++ b/tests/machine_registry_test.cpp
@@ -10,7 +10,7 @@
 using base::MachineId;
 using base::MemberId;
 using base::TaskId;
-using protocol::Cause;
+using protocol::EndCause;
 using protocol::Heartbeat;
 using protocol::TaskState;
 
@@ -58,11 +58,11 @@
 
 TEST_F(MachineRegistryTest, ReleasedMachineIsIgnoredAndReportedToPeersAsGone) {
   record(heartbeat(1));
-  registry_.acknowledge(kPeer, changes(0).upto);
+  registry_.acknowledge(kPeer, changes(0).revision);
   EXPECT_TRUE(registry_.mark_released(kMachine, at(1)));
   EXPECT_FALSE(registry_.mark_released(kMachine, at(2)));
   EXPECT_FALSE(record(heartbeat(2), 2));
-  EXPECT_EQ(changes(2).left, std::vector{kMachine});
+  EXPECT_EQ(changes(2).departed_machines, std::vector{kMachine});
   registry_.expire_released(at(601));
   EXPECT_FALSE(record(heartbeat(2), 601));
   registry_.expire_released(at(602));
@@ -115,7 +115,7 @@
   EXPECT_EQ(registry_.at(kMachine).ran.at(task), at(1));
   EXPECT_TRUE(registry_.at(kMachine).has_image("image-run-000001"));
   auto ended = heartbeat(2);
-  report(ended, task, 3, TaskState::kEnded, Cause::kDone);
+  report(ended, task, 3, TaskState::kEnded, EndCause::kDone);
   record(ended, 4);
   EXPECT_TRUE(registry_.at(kMachine).ran.empty());
   EXPECT_EQ(registry_.at(kMachine).ran_before.at(task), base::Seconds(3));
@@ -128,7 +128,7 @@
   assign(kOther, {{0, assignment(5)}});
   auto current_heartbeat = heartbeat(1);
   report(current_heartbeat, {kJob, 1}, 4, TaskState::kEnded,
-         Cause::kDone);                                          // ended: uses no capacity
+         EndCause::kDone);                                       // ended: uses no capacity
   report(current_heartbeat, {kJob, 2}, 9, TaskState::kRunning);  // runs without an assignment
   record(current_heartbeat);
   EXPECT_EQ(capacity().assigned, 3U);
@@ -162,15 +162,15 @@
 TEST_F(MachineRegistryTest, PeerIsSentOnlyWhatHasChanged) {
   record(heartbeat(1, 10));
   const auto full = changes(0);
-  EXPECT_EQ(full.since, 0U);
+  EXPECT_EQ(full.base_revision, 0U);
   ASSERT_EQ(full.machines.size(), 1U);
   EXPECT_TRUE(full.machines[0].open);
-  registry_.acknowledge(kPeer, full.upto);
+  registry_.acknowledge(kPeer, full.revision);
   record(heartbeat(2, 10), 1);
   EXPECT_TRUE(changes(1).machines.empty());
   registry_.drain(kMachine);
   const auto delta = changes(1);
-  EXPECT_EQ(delta.since, full.upto);
+  EXPECT_EQ(delta.base_revision, full.revision);
   ASSERT_EQ(delta.machines.size(), 1U);
   EXPECT_FALSE(delta.machines[0].open);
 }
--- a/tests/makers.h
+++ b/tests/makers.h
@@ -35,7 +35,7 @@
 // Returns resources without GPUs.
 inline protocol::Resources make_resources(double cores, double memory_gb) {
   protocol::Resources resources;
-  resources.v = {cores, 0, memory_gb};
+  resources.amounts = {cores, 0, memory_gb};
   return resources;
 }
 
@@ -52,7 +52,7 @@
   record.spec.image = "img";
   record.spec.estimate = base::Seconds(20);
   record.spec.dependencies = std::move(dependencies);
-  record.submitted = 1000;
+  record.submitted_at = 1000;
   return record;
 }
 
--- a/tests/membership_proposals_test.cpp
+++ b/tests/membership_proposals_test.cpp
@@ -25,7 +25,7 @@
     store(protocol::kViewKey, to_json(View{Epoch(1), std::move(members), {}}));
   }
   void store_leader(const ControllerIncarnation& leader) {
-    store(protocol::kLeadKey, to_json(leader));
+    store(protocol::kLeaderKey, to_json(leader));
     leadership_.update(start_);
   }
   // Makes this process the leader of two members that reach each other, and stores all their
@@ -77,7 +77,7 @@
   store_member({self_.member, base::Incarnation(6)}, false);
   EXPECT_EQ(own_key_, proposed_key(1));
   store_member(self_, false);
-  EXPECT_EQ(protocol::kLeadKey, proposed_key(1));
+  EXPECT_EQ(protocol::kLeaderKey, proposed_key(1));
 }
 
 TEST_F(MembershipProposalsTest, OwnRecordSaysWhetherOthersAreReached) {
@@ -112,7 +112,7 @@
   store_leader(other_);
   EXPECT_EQ("", proposed_key(1));
   store_member({other_.member, base::Incarnation(18)}, false);
-  EXPECT_EQ(protocol::kLeadKey, proposed_key(1));
+  EXPECT_EQ(protocol::kLeaderKey, proposed_key(1));
 }
 
 TEST_F(MembershipProposalsTest, IsolatedMemberDoesNotTakeLeadership) {
@@ -121,7 +121,7 @@
   EXPECT_EQ("", proposed_key(1));
   // If no member reaches any other, any leader is better than none.
   store_member(other_, false);
-  EXPECT_EQ(protocol::kLeadKey, proposed_key(1));
+  EXPECT_EQ(protocol::kLeaderKey, proposed_key(1));
 }
 
 TEST_F(MembershipProposalsTest, IsolatedLeaderGivesUpLeadership) {
@@ -133,7 +133,7 @@
   EXPECT_EQ("", proposed_key(3));
   const auto transaction = proposals_.propose(at(5), lease_);
   ASSERT_TRUE(transaction);
-  EXPECT_EQ(protocol::kLeadKey, transaction->writes.front().key);
+  EXPECT_EQ(protocol::kLeaderKey, transaction->writes.front().key);
   EXPECT_FALSE(transaction->writes.front().value);  // removed
 }
 
@@ -164,7 +164,7 @@
   proposals_.exclude_lost_members(at(5));
   const auto transaction = view_proposal();
   ASSERT_TRUE(transaction);
-  EXPECT_TRUE(transaction->preconditions.contains(protocol::kLeadKey));
+  EXPECT_TRUE(transaction->preconditions.contains(protocol::kLeaderKey));
   EXPECT_EQ((std::vector{self_, other_}),
             protocol::parse_view(*transaction->writes.front().value)->members);
   contact_.record_reached(third_.member, at(6));
--- a/tests/offer_router_test.cpp
+++ b/tests/offer_router_test.cpp
@@ -22,7 +22,7 @@
   MachineStatus machine;
   machine.id = MachineId(id);
   machine.zone = "zone-a";
-  machine.free.v = {free_cores, 0, 100};
+  machine.free.amounts = {free_cores, 0, 100};
   return machine;
 }
 
@@ -118,7 +118,7 @@
   spec.kind = protocol::Kind::kGang;
   add_job(spec);
   EXPECT_TRUE(route(1).empty());
-  own_machine_.free.v[0] = 12;
+  own_machine_.free.amounts[0] = 12;
   EXPECT_EQ(route(1).size(), 2u);
 }
 
@@ -131,9 +131,9 @@
 }
 
 TEST_F(OfferRouterTest, UrgentTaskIsOfferedWhereItFitsByPreemption) {
-  own_machine_.free.v[0] = 0;
-  peer_machine_.free.v[0] = 0;
-  peer_machine_.preemptible.v = {4, 0, 1};
+  own_machine_.free.amounts[0] = 0;
+  peer_machine_.free.amounts[0] = 0;
+  peer_machine_.preemptible.amounts = {4, 0, 1};
   protocol::JobSpec spec = make_spec(kJob, 1, 4);
   spec.rank = protocol::Rank::kUrgent;
   add_job(spec);
--- a/tests/ownership_claims_test.cpp
+++ b/tests/ownership_claims_test.cpp
@@ -18,14 +18,14 @@
     cache_.apply({protocol::kViewKey, to_json(view), base::Version(epoch)}, start_);
     cache_.advance_to(base::Revision(epoch));
   }
-  // Applies a status of the owner that lists the machine, with its heartbeat late or in time.
-  void report_status(bool late, double seconds) {
+  // Applies a status of the owner that lists the machine, with its heartbeat overdue or in time.
+  void report_status(bool heartbeat_overdue, double seconds) {
     protocol::MachineStatus machine;
     machine.id = machine_;
-    machine.late = late;
+    machine.heartbeat_overdue = heartbeat_overdue;
     protocol::MemberStatus status;
     status.from = other_;
-    status.upto = 1;
+    status.revision = 1;
     status.machines = {machine};
     ASSERT_TRUE(peers_.update(status, at(seconds)));
   }
--- a/tests/ownership_transfers_test.cpp
+++ b/tests/ownership_transfers_test.cpp
@@ -16,16 +16,16 @@
     cache_.apply({protocol::kViewKey, to_json(view), base::Version(1)}, start_);
   }
   // Applies a status of the other member.
-  void report_peer(protocol::WorkerContact contact, std::vector<MachineId> claims, bool late,
-                   double seconds) {
+  void report_peer(protocol::WorkerContact contact, std::vector<MachineId> claims,
+                   bool heartbeat_overdue, double seconds) {
     protocol::MachineStatus machine;
     machine.id = machine_;
-    machine.late = late;
+    machine.heartbeat_overdue = heartbeat_overdue;
     protocol::MemberStatus status;
     status.from = other_;
-    status.upto = 1;
+    status.revision = 1;
     status.machines = {machine};
-    status.contact = contact;
+    status.worker_contact = contact;
     status.ownership_claims = std::move(claims);
     ASSERT_TRUE(peers_.update(status, at(seconds)));
   }
--- a/tests/parse_test.cpp
+++ b/tests/parse_test.cpp
@@ -110,7 +110,7 @@
 
 TEST(ChunkRecord, RoundTrips) {
   ChunkRecord chunk;
-  chunk.next = Attempt(7);
+  chunk.next_attempt = Attempt(7);
   chunk.done.assign(10, false);
   chunk.done[0] = chunk.done[1] = chunk.done[9] = true;
   const Assignment assignment{MachineId("i-1"), Attempt(6), AgentIncarnation(2)};
@@ -121,7 +121,7 @@
   ASSERT_TRUE(reparsed);
   EXPECT_EQ(reparsed->done, chunk.done);
   EXPECT_EQ(reparsed->assigned, chunk.assigned);
-  EXPECT_EQ(reparsed->next, chunk.next);
+  EXPECT_EQ(reparsed->next_attempt, chunk.next_attempt);
   // Malformed: a run that reaches beyond the end of the record, and a value that is not an object.
   EXPECT_FALSE(parse_chunk(Json{{"n", 1}, {"d", {{9, 2}}}, {"h", Json::array()}}, 0, 10));
   EXPECT_FALSE(parse_chunk(Json("x"), 0, 10));
--- a/tests/peer_registry_test.cpp
+++ b/tests/peer_registry_test.cpp
@@ -16,12 +16,13 @@
 const MemberId kMember("n1");
 const Time kNow(std::chrono::seconds(1000));
 
-// Returns a delta from revision `since` to `upto`, or a full status if `since` is 0.
-protocol::MemberStatus status(std::uint64_t incarnation, std::uint64_t since, std::uint64_t upto) {
+// Returns a delta from `base_revision` to `revision`, or a full status if `base_revision` is 0.
+protocol::MemberStatus status(std::uint64_t incarnation, std::uint64_t base_revision,
+                              std::uint64_t revision) {
   protocol::MemberStatus out;
   out.from = {kMember, base::Incarnation(incarnation)};
-  out.since = since;
-  out.upto = upto;
+  out.base_revision = base_revision;
+  out.revision = revision;
   return out;
 }
 
@@ -43,7 +44,7 @@
   EXPECT_FALSE(peers.update(status(7, 5, 8), kNow));  // the copy is at revision 6, not 5
   EXPECT_FALSE(
       peers.update(status(9, 6, 8), kNow));  // another incarnation numbers its own revisions
-  EXPECT_EQ(peers.at(kMember).upto, 6U);
+  EXPECT_EQ(peers.at(kMember).revision, 6U);
 }
 
 TEST(PeerRegistry, RemovedPeerMustSendItsFullStatus) {
@@ -61,7 +62,7 @@
   ASSERT_TRUE(peers.update(full, kNow));
   auto delta = status(7, 5, 8);
   delta.machines = {machine("changed", 2), machine("new", 0)};
-  delta.left = {MachineId("gone")};
+  delta.departed_machines = {MachineId("gone")};
   ASSERT_TRUE(peers.update(delta, kNow));
   const auto& machines = peers.at(kMember).machines;
   EXPECT_EQ(machines.size(), 3U);
@@ -85,7 +86,7 @@
 TEST(PeerRegistry, OldStatusesAreIgnored) {
   PeerRegistry peers;
   auto full = status(7, 0, 5);
-  full.has_state = true;
+  full.has_lease = true;
   full.crash_looping_jobs = {JobId("j")};
   ASSERT_TRUE(peers.update(full, kNow));
   EXPECT_TRUE(peers.any_has_lease(base::after(kNow, Seconds(2.4))));
--- a/tests/peer_test.cpp
+++ b/tests/peer_test.cpp
@@ -13,15 +13,19 @@
  protected:
   PeerStatusTest() : settings_(testing::make_settings({"n1"})), controller_(settings_) {}
 
-  // Returns whether the controller requests a full status when n1 sends the changes since `since`.
-  bool requests_full_status(std::uint64_t incarnation, std::uint64_t since, std::uint64_t upto) {
+  // Returns whether the controller requests a full status when n1 sends the changes since
+  // `base_revision`.
+  bool requests_full_status(std::uint64_t incarnation, std::uint64_t base_revision,
+                            std::uint64_t revision) {
     MemberStatus status;
     status.from = {peer_, base::Incarnation(incarnation)};
-    status.since = since;
-    status.upto = upto;
+    status.base_revision = base_revision;
+    status.revision = revision;
     return controller_.handle_peer_status(status, at_seconds(0)).again;
   }
-  std::uint64_t status_since() { return controller_.status(peer_, at_seconds(0)).since; }
+  std::uint64_t status_base_revision() {
+    return controller_.status(peer_, at_seconds(0)).base_revision;
+  }
 
   const base::Settings settings_;
   Controller controller_;
@@ -60,18 +64,18 @@
 }
 
 TEST_F(PeerStatusTest, PeerWithoutAcknowledgementIsSentAFullStatus) {
-  EXPECT_EQ(status_since(), 0u);
+  EXPECT_EQ(status_base_revision(), 0u);
 }
 
 TEST_F(PeerStatusTest, PeerIsSentTheChangesSinceItsAcknowledgedRevision) {
   controller_.status_acknowledged(peer_, 4);
-  EXPECT_EQ(status_since(), 4u);
+  EXPECT_EQ(status_base_revision(), 4u);
 }
 
 TEST_F(PeerStatusTest, PeerThatRequestsAFullStatusIsSentOne) {
   controller_.status_acknowledged(peer_, 4);
   controller_.status_acknowledged(peer_, 0);
-  EXPECT_EQ(status_since(), 0u);
+  EXPECT_EQ(status_base_revision(), 0u);
 }
 
 }  // namespace saddleslip::coordination
--- a/tests/record_layout_test.cpp
+++ b/tests/record_layout_test.cpp
@@ -7,12 +7,13 @@
 
 namespace {
 
-// Returns a job of 150 tasks in chunks of 100, which are divided into pieces if `piece` is not 0.
-JobRecord job_of_two_chunks(TaskNo piece) {
+// Returns a job of 150 tasks in chunks of 100, which are divided into pieces if `piece_size` is not
+// 0.
+JobRecord job_of_two_chunks(TaskNo piece_size) {
   JobRecord job;
   job.spec.tasks = 150;
-  job.chunk = 100;
-  job.piece = piece;
+  job.chunk_size = 100;
+  job.piece_size = piece_size;
   return job;
 }
 
--- a/tests/record_upkeep_test.cpp
+++ b/tests/record_upkeep_test.cpp
@@ -34,8 +34,8 @@
     record.spec.team = "t";
     record.spec.image = "img";
     record.spec.tasks = tasks;
-    record.spec.request.v = {1, 0, 1};
-    record.chunk = tasks;
+    record.spec.request.amounts = {1, 0, 1};
+    record.chunk_size = tasks;
     record.cancelled = cancelled;
     cache_.apply({protocol::job_key(id), to_json(record), next_version()}, Time{});
     cache_.advance_to(base::Revision(version_));
@@ -45,7 +45,7 @@
     protocol::ChunkRecord record;
     record.done = std::move(done);
     record.assigned = std::move(assigned);
-    cache_.apply({protocol::chunk_key(id, 0), to_json(record, 0), next_version()}, Time{});
+    cache_.apply({protocol::chunk_record_key(id, 0), to_json(record, 0), next_version()}, Time{});
   }
   Version next_version() { return Version(++version_); }
   void announce_format(std::uint64_t format) {
@@ -76,11 +76,11 @@
   const auto transaction = finalize();
   ASSERT_TRUE(transaction);
   EXPECT_EQ(transaction->preconditions.at(protocol::job_key(job_)), cache_.job(job_)->version);
-  EXPECT_TRUE(transaction->preconditions.contains(protocol::chunk_key(job_, 0)));
+  EXPECT_TRUE(transaction->preconditions.contains(protocol::chunk_record_key(job_, 0)));
   cache_.apply(*transaction, base::Revision(version_ + 1), Time{});
   EXPECT_EQ(cache_.job(job_), nullptr);
   EXPECT_EQ(cache_.final_state(job_)->status, JobStatus::kDone);
-  EXPECT_EQ(cache_.final_state(job_)->at, 1000);
+  EXPECT_EQ(cache_.final_state(job_)->recorded_at, 1000);
 }
 
 TEST_F(RecordMaintenance, JobWithUnfinishedTask_IsNotFinalized) {
@@ -118,8 +118,8 @@
   ASSERT_TRUE(transaction);
   EXPECT_EQ(transaction->preconditions.at(protocol::kViewKey), kView);
   cache_.apply(*transaction, base::Revision(version_ + 1), Time{});
-  const TaskNo piece = cache_.job(job_)->record.piece;
-  EXPECT_EQ(piece, protocol::chunk_size(200, 1, settings_.value_bytes));
+  const TaskNo piece_size = cache_.job(job_)->record.piece_size;
+  EXPECT_EQ(piece_size, protocol::chunk_size(200, 1, settings_.value_bytes));
   EXPECT_FALSE(split());
 }
 
--- a/tests/rule_checks_test.cpp
+++ b/tests/rule_checks_test.cpp
@@ -23,7 +23,7 @@
     job.spec.id = job_id_;
     job.spec.team = "t";
     job.spec.tasks = tasks;
-    job.spec.request.v = {1, 0, 1};
+    job.spec.request.amounts = {1, 0, 1};
     return cluster_.jobs.add(job);
   }
   TaskId task(TaskNo number) const { return {job_id_, number}; }
--- a/tests/scheduling_fixture.h
+++ b/tests/scheduling_fixture.h
@@ -20,7 +20,7 @@
     spec.team = "team";
     spec.rank = protocol::Rank::kStandard;
     spec.tasks = tasks;
-    spec.request.v = {cores, 0, 1};
+    spec.request.amounts = {cores, 0, 1};
     spec.image = "image";
     spec.estimate = base::Seconds(20);
     return spec;
@@ -28,7 +28,7 @@
   const storage::Job& add_job(const protocol::JobSpec& spec) {
     protocol::JobRecord record;
     record.spec = spec;
-    record.submitted = 1000;
+    record.submitted_at = 1000;
     cache_.apply({protocol::job_key(spec.id), to_json(record), base::Version(++revision_)}, now_);
     return *cache_.job(spec.id);
   }
--- a/tests/simulation/controller_loops.cpp
+++ b/tests/simulation/controller_loops.cpp
@@ -123,7 +123,7 @@
         to_json(status, clock_.now()).dump() + protocol::ids_to_json(reply.released).dump() +
             protocol::ids_to_json(reply.cordon).dump() + protocol::ids_to_json(reply.drain).dump());
   }
-  controller.status_acknowledged(peer, reply.again ? 0 : status.upto);
+  controller.status_acknowledged(peer, reply.again ? 0 : status.revision);
   if (reply.again) processes_[from].next_peer_sync_at = clock_.seconds();
   controller.peer_reached(peer, clock_.now());
   controller.mark_released(reply.released, clock_.now());
@@ -177,7 +177,7 @@
       refresh_records(controller_index, result.failed);
     } else if (result.outcome == Outcome::kUnknown) {
       std::vector<std::string> keys;
-      for (const protocol::Put& put : plan.txn.writes) keys.push_back(put.key);
+      for (const protocol::Write& write : plan.txn.writes) keys.push_back(write.key);
       refresh_records(controller_index, keys);
     }
   }
@@ -192,7 +192,8 @@
     if (trace_.is_open()) {
       trace_.write(clock_.seconds(), "order", controller_name(controller_index),
                    batch.machine.get(),
-                   protocol::orders(batch.fencing_token, batch.agent_incarnation, batch.commands));
+                   protocol::encode_command_batch(batch.fencing_token, batch.agent_incarnation,
+                                                  batch.commands));
     }
     for (const protocol::Command& command : batch.commands) {
       if (command.op == protocol::Command::Op::kRun)
--- a/tests/simulation/controller_store_access.cpp
+++ b/tests/simulation/controller_store_access.cpp
@@ -18,13 +18,14 @@
 // Returns whether the transaction writes the record of the common format. The previous version
 // never writes that record, and its member records have no `format` field.
 bool writes_format_record(const protocol::Transaction& transaction) {
-  return std::any_of(transaction.writes.begin(), transaction.writes.end(),
-                     [](const protocol::Put& put) { return put.key == protocol::kFormatKey; });
+  return std::any_of(
+      transaction.writes.begin(), transaction.writes.end(),
+      [](const protocol::Write& write) { return write.key == protocol::kFormatKey; });
 }
 
 protocol::Transaction without_format_field(protocol::Transaction transaction) {
-  for (protocol::Put& put : transaction.writes) {
-    if (put.key.starts_with(protocol::kMembers) && put.value) put.value->erase("format");
+  for (protocol::Write& write : transaction.writes) {
+    if (write.key.starts_with(protocol::kMemberPrefix) && write.value) write.value->erase("format");
   }
   return transaction;
 }
@@ -47,9 +48,9 @@
                   std::to_string(transaction.writes.size()) + " writes, " +
                   std::to_string(transaction.preconditions.size()) + " preconditions");
   }
-  for (const protocol::Put& put : transaction.writes) {
-    if (put.value && put.value->dump().size() > settings.value_bytes)
-      failures_.add("value exceeds the state service's size limit: key=" + put.key);
+  for (const protocol::Write& write : transaction.writes) {
+    if (write.value && write.value->dump().size() > settings.value_bytes)
+      failures_.add("value exceeds the state service's size limit: key=" + write.key);
   }
 }
 
@@ -59,26 +60,26 @@
   bool all_upgraded = true;
   for (std::size_t controller_index = 0; controller_index < processes_.size(); ++controller_index)
     all_upgraded = all_upgraded && !runs_previous_version(controller_index);
-  for (const protocol::Put& put : transaction.writes) {
+  for (const protocol::Write& write : transaction.writes) {
     const bool splits =
-        put.key.starts_with(protocol::kJobs) && put.value && put.value->contains("p");
+        write.key.starts_with(protocol::kJobPrefix) && write.value && write.value->contains("p");
     if (splits && !all_upgraded)
-      failures_.add("job record is split before all controllers are upgraded: key=" + put.key);
+      failures_.add("job record is split before all controllers are upgraded: key=" + write.key);
   }
 }
 
-StateClient::Committed SimulatedControllers::commit(std::size_t controller_index,
-                                                    const protocol::Transaction& transaction) {
+StateClient::CommitResult SimulatedControllers::commit(std::size_t controller_index,
+                                                       const protocol::Transaction& transaction) {
   check_limits(controller_index, transaction);
   check_record_format(transaction);
-  StateClient::Committed result = commit_without_trace(controller_index, transaction);
+  StateClient::CommitResult result = commit_without_trace(controller_index, transaction);
   trace_commit(controller_index, transaction, result);
   return result;
 }
 
-StateClient::Committed SimulatedControllers::commit_without_trace(
+StateClient::CommitResult SimulatedControllers::commit_without_trace(
     std::size_t controller_index, const protocol::Transaction& transaction) {
-  StateClient::Committed result;
+  StateClient::CommitResult result;
   if (runs_previous_version(controller_index) && writes_format_record(transaction)) {
     result.outcome = Outcome::kConflict;
     return result;
@@ -97,16 +98,16 @@
 
 void SimulatedControllers::trace_commit(std::size_t controller_index,
                                         const protocol::Transaction& transaction,
-                                        const StateClient::Committed& result) {
+                                        const StateClient::CommitResult& result) {
   if (!trace_.is_open()) return;
   std::ostringstream out;
   out << "commit " << controller_name(controller_index) << " outcome "
       << static_cast<int>(result.outcome) << " revision " << result.revision.get();
   for (const auto& [key, version] : transaction.preconditions)
     out << ' ' << key << '@' << version.get();
-  for (const protocol::Put& put : transaction.writes) {
-    out << ' ' << put.key << '=' << (put.value ? put.value->dump() : "removed");
-    if (put.lease) out << '~' << put.lease->get();
+  for (const protocol::Write& write : transaction.writes) {
+    out << ' ' << write.key << '=' << (write.value ? write.value->dump() : "removed");
+    if (write.lease) out << '~' << write.lease->get();
   }
   trace_.write(clock_.seconds(), out.str());
 }
@@ -131,7 +132,8 @@
 void SimulatedControllers::apply_records(std::size_t controller_index, bool only_chunks) {
   auto& cache = processes_[controller_index].controller->cache();
   for (const auto& [key, record] : state_.records()) {
-    if (key.starts_with(protocol::kFinals) || key.starts_with(protocol::kChunks) != only_chunks)
+    if (key.starts_with(protocol::kTombstonePrefix) ||
+        key.starts_with(protocol::kTaskRecordPrefix) != only_chunks)
       continue;
     cache.apply({key, record.value, base::Version(record.version)}, clock_.now());
   }
@@ -145,7 +147,7 @@
     if (change.revision <= cache.revision().get() || change.changed_at + lag_s > clock_.seconds())
       continue;
     if (cache.apply(change.item, clock_.now())) process.is_round_due = true;
-    if (change.item.key == protocol::kViewKey || change.item.key == protocol::kLeadKey)
+    if (change.item.key == protocol::kViewKey || change.item.key == protocol::kLeaderKey)
       process.is_renewal_due = true;
     revision = std::max(revision, change.revision);
   }
@@ -163,7 +165,8 @@
 void SimulatedControllers::refresh_records(std::size_t controller_index,
                                            const std::vector<std::string>& keys) {
   for (const std::string& key : keys) {
-    if (!key.starts_with(protocol::kJobs) && !key.starts_with(protocol::kChunks)) continue;
+    if (!key.starts_with(protocol::kJobPrefix) && !key.starts_with(protocol::kTaskRecordPrefix))
+      continue;
     const auto response = state_.get(controller_index, key);
     if (response.answered && response.item.version.get() != 0)
       processes_[controller_index].controller->cache().apply(response.item, clock_.now());
@@ -173,9 +176,9 @@
 void SimulatedControllers::read_unresolved_dependencies(std::size_t controller_index) {
   auto& cache = processes_[controller_index].controller->cache();
   for (const base::JobId& id : cache.unresolved_dependencies()) {
-    const auto response = state_.get(controller_index, protocol::final_key(id));
+    const auto response = state_.get(controller_index, protocol::tombstone_key(id));
     const auto state =
-        response.answered ? protocol::parse_final(response.item.value) : std::nullopt;
+        response.answered ? protocol::parse_final_state(response.item.value) : std::nullopt;
     if (state) cache.remember_final(id, *state);
   }
 }
--- a/tests/simulation/simulated_controllers.h
+++ b/tests/simulation/simulated_controllers.h
@@ -87,12 +87,12 @@
   // Reports a failure if a job record is split before all controllers are upgraded.
   void check_record_format(const protocol::Transaction& transaction) const;
   // Checks and commits a transaction, subject to the scenario's faults, and writes it to the trace.
-  protocol::StateClient::Committed commit(std::size_t controller_index,
-                                          const protocol::Transaction& transaction);
-  protocol::StateClient::Committed commit_without_trace(std::size_t controller_index,
-                                                        const protocol::Transaction& transaction);
+  protocol::StateClient::CommitResult commit(std::size_t controller_index,
+                                             const protocol::Transaction& transaction);
+  protocol::StateClient::CommitResult commit_without_trace(
+      std::size_t controller_index, const protocol::Transaction& transaction);
   void trace_commit(std::size_t controller_index, const protocol::Transaction& transaction,
-                    const protocol::StateClient::Committed& result);
+                    const protocol::StateClient::CommitResult& result);
   // Loads all records into the cache of a process that has just started; may take several steps.
   void load_records(std::size_t controller_index);
   // Applies the chunk records to the cache, or all other records except the jobs' final states.
--- a/tests/simulation/simulated_jobs.cpp
+++ b/tests/simulation/simulated_jobs.cpp
@@ -18,7 +18,7 @@
 bool SimulatedJobs::dependencies_are_done(const SimulatedJob& job) const {
   const auto is_done = [this](const JobId& id) {
     const SimulatedJob* dependency = find(id);
-    const auto* record = state_.find(protocol::final_key(id));
+    const auto* record = state_.find(protocol::tombstone_key(id));
     return dependency && dependency->done.size() == dependency->spec.tasks && record &&
            record->value["f"] == "d";
   };
--- a/tests/simulation/simulated_state_service.cpp
+++ b/tests/simulation/simulated_state_service.cpp
@@ -20,8 +20,9 @@
   return !down_ && !network_.is_cut(controller_name(controller), "state");
 }
 
-StateClient::Got SimulatedStateService::get(std::size_t controller, const std::string& key) const {
-  StateClient::Got response;
+StateClient::GetResult SimulatedStateService::get(std::size_t controller,
+                                                  const std::string& key) const {
+  StateClient::GetResult response;
   if (!is_reachable_from(controller)) return response;
   response.answered = true;
   response.item.key = key;
@@ -35,8 +36,8 @@
   return found == records_.end() ? nullptr : &found->second;
 }
 
-StateClient::Committed SimulatedStateService::apply(const protocol::Transaction& transaction) {
-  StateClient::Committed result;
+StateClient::CommitResult SimulatedStateService::apply(const protocol::Transaction& transaction) {
+  StateClient::CommitResult result;
   for (const auto& [key, version] : transaction.preconditions) {
     const Record* record = find(key);
     if ((record ? record->version : 0) != version.get()) result.failed.push_back(key);
@@ -44,15 +45,15 @@
   result.revision = base::Revision(revision_);
   result.outcome = StateClient::Outcome::kConflict;
   if (!result.failed.empty()) return result;
-  for (const auto& put : transaction.writes) {
-    if (put.lease && !leases_.contains(put.lease->get())) {
+  for (const auto& entry : transaction.writes) {
+    if (entry.lease && !leases_.contains(entry.lease->get())) {
       result.outcome = StateClient::Outcome::kMalformed;
       return result;
     }
   }
   ++revision_;
-  for (const auto& put : transaction.writes)
-    write(put.key, put.value ? *put.value : Json(), put.lease ? put.lease->get() : 0);
+  for (const auto& entry : transaction.writes)
+    write(entry.key, entry.value ? *entry.value : Json(), entry.lease ? entry.lease->get() : 0);
   result.revision = base::Revision(revision_);
   result.outcome = StateClient::Outcome::kDone;
   return result;
--- a/tests/simulation/simulated_state_service.h
+++ b/tests/simulation/simulated_state_service.h
@@ -47,7 +47,7 @@
 
   // Reads one record. The result is marked as unanswered if the controller cannot reach the
   // service.
-  protocol::StateClient::Got get(std::size_t controller, const std::string& key) const;
+  protocol::StateClient::GetResult get(std::size_t controller, const std::string& key) const;
   // Returns the record under this key, or null if there is none.
   const Record* find(const std::string& key) const;
   const std::map<std::string, Record>& records() const { return records_; }
@@ -55,7 +55,7 @@
   std::uint64_t revision() const { return revision_; }
 
   // Applies a transaction if its preconditions hold and its leases have not expired.
-  protocol::StateClient::Committed apply(const protocol::Transaction& transaction);
+  protocol::StateClient::CommitResult apply(const protocol::Transaction& transaction);
   // Writes a record without a transaction, for records that no controller would write.
   void put(const std::string& key, const protocol::Json& value);
 
--- a/tests/state_cache_test.cpp
+++ b/tests/state_cache_test.cpp
@@ -16,8 +16,8 @@
   job_record.spec.team = std::string(1, 't');
   job_record.spec.image = std::string(1, 'i');
   job_record.spec.tasks = tasks;
-  job_record.spec.request.v = {2, 0, 1};
-  job_record.chunk = 16;
+  job_record.spec.request.amounts = {2, 0, 1};
+  job_record.chunk_size = 16;
   return job_record;
 }
 
@@ -48,7 +48,7 @@
   ChunkRecord task_record;
   task_record.done.assign(4, false);
   task_record.assigned = {{0, {MachineId("i-1"), Attempt(1), base::AgentIncarnation(1)}}};
-  const Item record{protocol::chunk_key(job_record.spec.id, 0), to_json(task_record, 0),
+  const Item record{protocol::chunk_record_key(job_record.spec.id, 0), to_json(task_record, 0),
                     Version(7)};
   cache.apply(record, Time{});
   EXPECT_EQ(cache.orphans().size(), 1u);
@@ -70,8 +70,8 @@
     ChunkRecord task_record;
     task_record.done.assign(cache.job(job_record.spec.id)->chunk_size(number), false);
     task_record.assigned = std::move(assignment);
-    cache.apply({protocol::chunk_key(job_record.spec.id, number), to_json(task_record, number * 16),
-                 Version(version)},
+    cache.apply({protocol::chunk_record_key(job_record.spec.id, number),
+                 to_json(task_record, number * 16), Version(version)},
                 Time{});
   };
   const Assignment first_assignment{MachineId("i-1"), Attempt(1), base::AgentIncarnation(1)};
@@ -100,7 +100,7 @@
 // Hundreds of machines may boot at once, and the state service has refused a value over its size
 // limit. The record must therefore be cut to the limit.
 TEST(Records, BootingMachinesFitIntoTheValueLimit) {
-  std::vector<protocol::Booting> fleet;
+  std::vector<protocol::BootingMachine> fleet;
   fleet.reserve(3000);
   for (int i = 0; i < 3000; ++i) {
     const int rental = i / 50;
@@ -114,8 +114,8 @@
   // The latest machines are kept; the cloud's list shows the others.
   EXPECT_EQ(kept.back().id, fleet.back().id);
   EXPECT_EQ(kept.front().id, fleet[fleet.size() - kept.size()].id);
-  EXPECT_EQ(kept.front().rented, fleet[fleet.size() - kept.size()].rented);
-  const std::vector<protocol::Booting> smaller_fleet(fleet.begin(), fleet.begin() + 400);
+  EXPECT_EQ(kept.front().rented_at, fleet[fleet.size() - kept.size()].rented_at);
+  const std::vector<protocol::BootingMachine> smaller_fleet(fleet.begin(), fleet.begin() + 400);
   EXPECT_EQ(protocol::parse_fleet(to_json(smaller_fleet, 16u << 10)).size(), 400u);
 }
 
@@ -149,8 +149,8 @@
 // if `divided` is set.
 Item large_job(bool divided, std::uint64_t version) {
   protocol::JobRecord record = job("run-000077", 150);
-  record.chunk = 100;
-  record.piece = divided ? 40 : 0;
+  record.chunk_size = 100;
+  record.piece_size = divided ? 40 : 0;
   return item(record, version);
 }
 
@@ -159,7 +159,7 @@
 Item tasks_record(const std::string& key, TaskNo first, TaskNo count, std::uint64_t next,
                   const std::vector<TaskNo>& assignment, std::uint64_t version) {
   ChunkRecord record;
-  record.next = base::Attempt(next);
+  record.next_attempt = base::Attempt(next);
   record.done.assign(count, false);
   record.done[0] = true;
   for (const TaskNo task : assignment) {
@@ -176,8 +176,8 @@
   StateCache cache(settings);
   const JobId id("run-000077");
   cache.apply(large_job(false, 1), Time{});
-  cache.apply(tasks_record(protocol::chunk_key(id, 0), 0, 100, 5, {39, 40, 99}, 2), Time{});
-  cache.apply(tasks_record(protocol::chunk_key(id, 1), 100, 50, 6, {149}, 3), Time{});
+  cache.apply(tasks_record(protocol::chunk_record_key(id, 0), 0, 100, 5, {39, 40, 99}, 2), Time{});
+  cache.apply(tasks_record(protocol::chunk_record_key(id, 1), 100, 50, 6, {149}, 3), Time{});
   cache.apply(large_job(true, 4), Time{});
   const Job* job = cache.job(id);
   ASSERT_EQ(job->chunks.size(), 5u);  // pieces of 40 + 40 + 20 and 40 + 10 tasks
@@ -188,14 +188,14 @@
   EXPECT_EQ(job->assigned, 4u);
   EXPECT_EQ(job->done, 2u);
   EXPECT_TRUE(job->is_done(100));
-  EXPECT_EQ(job->chunks[1].record.next, base::Attempt(5));
-  EXPECT_EQ(job->chunks[4].record.next, base::Attempt(6));
+  EXPECT_EQ(job->chunks[1].record.next_attempt, base::Attempt(5));
+  EXPECT_EQ(job->chunks[4].record.next_attempt, base::Attempt(6));
   EXPECT_EQ(cache.assignments_on(MachineId("i-40")).size(), 1u);
   // The piece now has its own record. The other pieces are still derived from the record of their
   // chunk.
-  cache.apply(tasks_record(protocol::piece_key(id, 1), 40, 40, 7, {}, 5), Time{});
+  cache.apply(tasks_record(protocol::piece_record_key(id, 1), 40, 40, 7, {}, 5), Time{});
   EXPECT_TRUE(cache.assignments_on(MachineId("i-40")).empty());
-  cache.apply(tasks_record(protocol::chunk_key(id, 0), 0, 100, 5, {40}, 6), Time{});
+  cache.apply(tasks_record(protocol::chunk_record_key(id, 0), 0, 100, 5, {40}, 6), Time{});
   EXPECT_TRUE(cache.assignments_on(MachineId("i-40")).empty())
       << "the chunk's record is older than the piece's own record";
   EXPECT_TRUE(cache.assignments_on(MachineId("i-39")).empty());
@@ -213,7 +213,7 @@
   StateCache cache(settings);
   const JobId id("run-000077");
   cache.apply(large_job(false, 1), Time{});
-  const Item piece = tasks_record(protocol::piece_key(id, 0), 0, 40, 9, {3}, 6);
+  const Item piece = tasks_record(protocol::piece_record_key(id, 0), 0, 40, 9, {3}, 6);
   cache.apply(piece, Time{});
   EXPECT_EQ(cache.job(id)->assigned, 0u);
   cache.apply(large_job(true, 5), Time{});
--- a/tests/transport_test.cpp
+++ b/tests/transport_test.cpp
@@ -45,7 +45,7 @@
   HttpClient client({"127.0.0.1", server.port()}, 1);
   for (int i = 0; i < 20; ++i) {
     const auto response = client.post("/a", "{\"n\":" + std::to_string(i) + "}", base::Seconds(5));
-    ASSERT_EQ(response.sent, Sent::kYes);
+    ASSERT_EQ(response.delivery, Delivery::kAnswered);
     EXPECT_EQ(response.status, 201);
     EXPECT_EQ(response.body, "POST /a {\"n\":" + std::to_string(i) + "}");
     EXPECT_EQ(client.get("/b", base::Seconds(5)).body, "GET /b ");
@@ -88,7 +88,7 @@
       third({"127.0.0.1", server.port()}, 1);
   EXPECT_TRUE(first.get("/", base::Seconds(5)).ok());
   EXPECT_TRUE(second.get("/", base::Seconds(5)).ok());
-  EXPECT_NE(third.get("/", base::Seconds(5)).sent, Sent::kYes);
+  EXPECT_NE(third.get("/", base::Seconds(5)).delivery, Delivery::kAnswered);
   EXPECT_TRUE(first.get("/", base::Seconds(5)).ok());
 }
 
@@ -130,13 +130,13 @@
     port = server.port();
   }
   HttpClient client_without_server({"127.0.0.1", port}, 1);
-  EXPECT_EQ(client_without_server.get("/", base::Seconds(5)).sent, Sent::kNo);
+  EXPECT_EQ(client_without_server.get("/", base::Seconds(5)).delivery, Delivery::kNotSent);
   HttpServer large_reply_server(kAnyPort, {2}, [](const Request&) {
     return Reply{200, std::string(100000, 'x'), 0};
   });
   HttpClient client({"127.0.0.1", large_reply_server.port()}, 1);
   const auto truncated = client.get("/", base::Seconds(5), 1000);
-  EXPECT_EQ(truncated.sent, Sent::kMaybe);
+  EXPECT_EQ(truncated.delivery, Delivery::kUnknown);
   EXPECT_TRUE(truncated.too_large);
 }
 
@@ -148,11 +148,13 @@
   body.append(5000, ' ');
   HttpServer server(kAnyPort, {}, [&body](const Request&) { return Reply{200, body, 0}; });
   const base::Address server_address{"127.0.0.1", server.port()};
-  using What = protocol::StateClient::Watched::What;
+  using Outcome = protocol::StateClient::WatchResult::Outcome;
   protocol::StateClient small_limit(server_address, 1000), large_limit(server_address, 10000);
-  EXPECT_EQ(small_limit.changes("s/", base::Revision(1), base::Seconds(5)).what, What::kTooOld);
-  EXPECT_EQ(small_limit.watch("s/", base::Revision(1), base::Seconds(0)).what, What::kTooOld);
-  EXPECT_EQ(large_limit.changes("s/", base::Revision(1), base::Seconds(5)).what, What::kEvents);
+  EXPECT_EQ(small_limit.changes("s/", base::Revision(1), base::Seconds(5)).outcome,
+            Outcome::kTooOld);
+  EXPECT_EQ(small_limit.watch("s/", base::Revision(1), base::Seconds(0)).outcome, Outcome::kTooOld);
+  EXPECT_EQ(large_limit.changes("s/", base::Revision(1), base::Seconds(5)).outcome,
+            Outcome::kEvents);
 }
 
 }  // namespace saddleslip::transport
--- a/tests/user_api_test.cpp
+++ b/tests/user_api_test.cpp
@@ -25,7 +25,7 @@
   job_spec.job_class = "c";
   job_spec.team = "t";
   job_spec.tasks = 1;
-  job_spec.request.v = {1, 0, 1};
+  job_spec.request.amounts = {1, 0, 1};
   job_spec.image = "img";
   job_spec.dependencies = std::move(dependencies);
   return job_spec;
@@ -48,7 +48,7 @@
     spdlog::set_level(spdlog::level::off);
     protocol::MachineType type;
     type.name = "big";
-    type.size.v = {8, 0, 64};
+    type.size.amounts = {8, 0, 64};
     add_to_cache(protocol::kCatalogueKey, to_json(std::vector{type}));
   }
 
@@ -63,17 +63,17 @@
     add_to_cache(protocol::job_key(job_spec.id), to_json(record));
   }
   // Reads a key from the fake store.
-  StateClient::Got get(const std::string& key) {
+  StateClient::GetResult get(const std::string& key) {
     ++read_count_;
-    StateClient::Got response;
+    StateClient::GetResult response;
     response.answered = is_store_available_;
     const auto entry = store_.find(key);
     if (entry != store_.end()) response.item = {key, entry->second, base::Version(1)};
     return response;
   }
   // Commits to the fake store, and checks that the transaction is within its limits.
-  StateClient::Committed commit(const protocol::Transaction& transaction) {
-    StateClient::Committed result;
+  StateClient::CommitResult commit(const protocol::Transaction& transaction) {
+    StateClient::CommitResult result;
     if (!is_store_available_) {
       result.outcome = StateClient::Outcome::kRefused;
       return result;
@@ -132,14 +132,14 @@
 
 // The dependency ended so long ago that the cache no longer holds its final state.
 TEST_F(UserApiTest, SubmitWithDependencyFinalInStoreIsAccepted) {
-  store_[protocol::final_key(kDependency)] = Json{{"f", "d"}};
+  store_[protocol::tombstone_key(kDependency)] = Json{{"f", "d"}};
   const auto reply = submit(make_spec(kJob, {kDependency}));
   EXPECT_EQ(reply.status, 201);
   EXPECT_EQ(status_in(reply), "queued");
 }
 
 TEST_F(UserApiTest, SubmitWithCancelledDependencyIsAcceptedAndCancelled) {
-  store_[protocol::final_key(kDependency)] = Json{{"f", "w"}};
+  store_[protocol::tombstone_key(kDependency)] = Json{{"f", "w"}};
   const auto reply = submit(make_spec(kJob, {kDependency}));
   EXPECT_EQ(reply.status, 201);
   EXPECT_EQ(status_in(reply), "withdrawn");
@@ -150,7 +150,7 @@
 TEST_F(UserApiTest, RepeatedSubmitWithUnknownDependencyIsAccepted) {
   add_job_to_cache(make_spec(kJob, {}));
   EXPECT_EQ(submit(make_spec(kJob, {kDependency})).status, 200);
-  store_[protocol::final_key(kSecondJob)] = Json{{"f", "d"}};
+  store_[protocol::tombstone_key(kSecondJob)] = Json{{"f", "d"}};
   EXPECT_EQ(submit(make_spec(kSecondJob, {kDependency})).status, 200);
 }
 
@@ -160,7 +160,7 @@
 TEST_F(UserApiTest, StatusReadsFinalStateOfDependency) {
   add_job_to_cache(make_spec(kJob, {kDependency}));
   add_job_to_cache(make_spec(kSecondJob, {kJob}));
-  store_[protocol::final_key(kDependency)] = Json{{"f", "w"}};
+  store_[protocol::tombstone_key(kDependency)] = Json{{"f", "w"}};
   EXPECT_EQ(status_in(user_api_.status(kSecondJob)), "withdrawn");
 }
 
@@ -267,7 +267,7 @@
 }
 
 TEST_F(UserApiTest, CancelOfDoneJobReturnsDone) {
-  store_[protocol::final_key(kJob)] = Json{{"f", "d"}};
+  store_[protocol::tombstone_key(kJob)] = Json{{"f", "d"}};
   const auto reply = user_api_.cancel(kJob, base::Time{});
   EXPECT_EQ(reply.status, 200);
   EXPECT_EQ(status_in(reply), "done");
