--- a/bench/versions/records_tool.cpp
+++ b/bench/versions/records_tool.cpp
@@ -28,7 +28,7 @@
 constexpr double kTimeOfDay = 1'700'000'000.5;
 
 // Returns a specification in which most fields are set.
-protocol::JobSpec make_job_spec(const std::string& id, protocol::TaskNo tasks) {
+protocol::JobSpec make_job_spec(const std::string& id, protocol::TaskNumber tasks) {
   protocol::JobSpec spec;
   spec.id = base::JobId(id);
   spec.job_class = "train";
@@ -57,7 +57,8 @@
   context.time_of_day = kTimeOfDay;
   context.partitions = 3;
   context.value_bytes = 2048;
-  const auto transaction = coordination::acceptance(coordination::accepted_record(spec, context));
+  const auto transaction =
+      coordination::acceptance_transaction(coordination::new_job_record(spec, context));
 #endif
   return *transaction.writes.at(0).value;
 }
@@ -88,7 +89,7 @@
   cancelled.spec = make_job_spec("run-000003", 1);
   cancelled.cancelled = true;
   print(protocol::job_key(cancelled.spec.id), to_json(cancelled));
-  const protocol::TaskNo size = protocol::parse_job(record)->chunk_size;
+  const protocol::TaskNumber size = protocol::parse_job(record)->chunk_size;
   protocol::ChunkRecord chunk;
   chunk.next_attempt = base::Attempt(7);
   chunk.done.assign(size, false);
@@ -193,7 +194,7 @@
   }
   print(protocol::job_key(split.spec.id), to_json(split));
   const std::uint32_t number = split.chunk_of(140);
-  const protocol::TaskNo first = split.first_task(number);
+  const protocol::TaskNumber first = split.first_task(number);
   protocol::ChunkRecord piece;
   piece.done.assign(split.tasks_of(number), false);
   piece.done.back() = true;
@@ -275,8 +276,8 @@
 
 // Parses a value and encodes it again. Returns JSON null if it cannot be parsed. For a task record,
 // `first` is the number of its first task and `count` the number of its tasks.
-Json reencode(const std::string& key, const Json& value, protocol::TaskNo first,
-              protocol::TaskNo count) {
+Json reencode(const std::string& key, const Json& value, protocol::TaskNumber first,
+              protocol::TaskNumber count) {
   const auto encoded = [](const auto& parsed) { return parsed ? to_json(*parsed) : Json(); };
   if (key.starts_with(protocol::kJobPrefix)) return encoded(protocol::parse_job(value));
   if (key.starts_with(protocol::kTombstonePrefix))
@@ -315,7 +316,7 @@
     if (key.starts_with(protocol::kJobPrefix)) {
       if (const auto job = protocol::parse_job(value)) jobs[job->spec.id] = *job;
     }
-    protocol::TaskNo first = 0, count = 0;
+    protocol::TaskNumber first = 0, count = 0;
     if (const auto name = protocol::parse_task_record_key(key); name && jobs.contains(name->job)) {
       first = jobs.at(name->job).first_task(name->chunk);
       count = jobs.at(name->job).tasks_of(name->chunk);
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -72,7 +72,7 @@
   if (response.item.version.get() == 0) return Acceptance::kNeverAccepted;
   const auto final_state = protocol::parse_final_state(response.item.value);
   if (!final_state) return Acceptance::kUnknown;
-  with_lock([&](Controller& controller) { controller.cache().remember_final(id, *final_state); });
+  with_lock([&](Controller& controller) { controller.cache().add_final_state(id, *final_state); });
   return Acceptance::kAccepted;
 }
 
@@ -162,7 +162,8 @@
     check.was_accepted = cache.job(spec.id) || cache.final_state(spec.id);
     if (cache.catalogue().empty()) {
       check.refusal = retry_later_reply("the machine types are not known yet");
-    } else if (const auto reason = coordination::never_runs(spec, settings_, cache.catalogue())) {
+    } else if (const auto reason =
+                   coordination::rejection_reason(spec, settings_, cache.catalogue())) {
       check.refusal = error_reply(protocol::kHttpUnprocessable, *reason);
     }
     return check;
@@ -198,10 +199,10 @@
 protocol::JobRecord UserApi::new_record(const protocol::JobSpec& spec, bool dependency_cancelled) {
   coordination::AcceptanceContext context;
   context.time_of_day = store_.time_of_day();
-  context.partitions = static_cast<std::size_t>(std::max(1, settings_.size));
+  context.partitions = static_cast<std::size_t>(std::max(1, settings_.controller_count));
   context.value_bytes = settings_.value_bytes;
   context.dependency_cancelled = dependency_cancelled;
-  return coordination::accepted_record(spec, context);
+  return coordination::new_job_record(spec, context);
 }
 
 std::optional<Version> UserApi::commit_dependency_list_manifest(
@@ -239,7 +240,7 @@
     if (!written) return retry_later_reply("the state service did not take what the job needs");
     manifest_version = *written;
   }
-  const Transaction transaction = coordination::acceptance(record, manifest_version);
+  const Transaction transaction = coordination::acceptance_transaction(record, manifest_version);
   const auto commit_result = store_.commit(transaction);
   if (commit_result.outcome == Outcome::kRefused) {
     return retry_later_reply("the state service is over its limit or out of service");
@@ -254,7 +255,7 @@
   }
   with_lock([&](Controller& controller) {
     controller.cache().apply(transaction, commit_result.revision, now);
-    controller.accepted(id);
+    controller.add_submitted_job(id);
   });
   store_.request_scheduling_round();
   spdlog::debug("job accepted: job={}", id.get());
@@ -285,7 +286,8 @@
   const auto record = protocol::parse_job(response.item.value);
   if (!record) return retry_later_reply(kStateServiceSilent);
   if (record->cancelled) return job_status_reply(id, {JobStatus::kCancelled, {}, {}});
-  const Transaction transaction = coordination::cancellation(*record, response.item.version);
+  const Transaction transaction =
+      coordination::cancellation_transaction(*record, response.item.version);
   const auto commit_result = store_.commit(transaction);
   if (commit_result.outcome == Outcome::kRefused) return retry_later_reply(kStateServiceSilent);
   if (commit_result.outcome != Outcome::kDone) return {};
--- a/src/api/user_api.h
+++ b/src/api/user_api.h
@@ -70,7 +70,7 @@
   struct JobState {
     protocol::JobStatus status = protocol::JobStatus::kQueued;
     // The numbers of completed and of running tasks. Not set if the job is final.
-    std::optional<base::TaskNo> done_tasks, running_tasks;
+    std::optional<base::TaskNumber> done_tasks, running_tasks;
   };
   // The result of looking up a job in the cache and the store.
   struct LookupResult {
--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -55,12 +55,12 @@
 using LeaseId = StrongType<struct LeaseIdTag, std::uint64_t>;
 
 // The number of a task within its job, starting at 0.
-using TaskNo = std::uint32_t;
+using TaskNumber = std::uint32_t;
 
 // Identifies a task by its job and its number in the job.
 struct TaskId {
   JobId job;
-  TaskNo no = 0;
+  TaskNumber no = 0;
   auto operator<=>(const TaskId&) const = default;
 };
 
--- a/src/base/platform_settings.cpp
+++ b/src/base/platform_settings.cpp
@@ -179,7 +179,7 @@
   settings.state_rps = smaller_limit("rps", 200, 1);
   settings.state_write_rps = smaller_limit("write_rps", 60, 1);
   settings.value_bytes = static_cast<std::size_t>(smaller_limit("value_kb", 16, 1) * 1024);
-  settings.txn_ops = static_cast<std::size_t>(smaller_limit("txn_ops", 12, 4));
+  settings.max_transaction_writes = static_cast<std::size_t>(smaller_limit("txn_ops", 12, 4));
 }
 
 // Reads the limits of the cloud.
@@ -211,7 +211,7 @@
   read_endpoints(root, settings);
   const ObjectReader settings_object = root.nested_object("settings", "settings");
   const auto controllers = static_cast<double>(settings.peers.size() + 1);
-  settings.size = static_cast<int>(settings_object.number("size", controllers, 1));
+  settings.controller_count = static_cast<int>(settings_object.number("size", controllers, 1));
   read_zones(settings_object, settings);
   read_teams(settings_object, settings);
   read_objectives(settings_object, settings);
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -78,7 +78,7 @@
   Address listen;       // the address for users and workers
   Address peer_listen;  // the address for peers
   std::vector<Peer> peers;
-  int size = 1;                            // the planned number of controllers
+  int controller_count = 1;                // the planned number of controllers
   std::set<std::string> controller_zones;  // the zones of this controller and its peers
   // --- Other services
   Address cloud;
@@ -94,7 +94,7 @@
   // --- Limits of the state service: the smaller of the current and the announced value of each
   double state_rps = 200, state_write_rps = 60;  // requests and writes per second
   std::size_t value_bytes = 16u << 10;           // the maximum size of a value
-  std::size_t txn_ops = 12;                      // the maximum number of writes in a transaction
+  std::size_t max_transaction_writes = 12;       // the maximum number of writes in a transaction
   // --- The cloud
   double cloud_rps = 2;    // calls per second
   Seconds list_lag{10.0};  // the maximum age of the cloud's list of machines
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -111,7 +111,8 @@
 void Controller::mark_released(const std::vector<MachineId>& machines, Time now) {
   for (const MachineId& id : machines) {
     if (!machines_.mark_released(id, now)) continue;
-    unheard_owned_at_ = Time{};  // recompute the list, so that its tasks are recorded as ended now
+    // Recompute the list, so that its tasks are recorded as ended now.
+    owned_without_heartbeat_at_ = Time{};
     silent_machines_.erase(id);
     failures_.forget_machine(id);
   }
@@ -160,7 +161,7 @@
 MemberInstructions Controller::handle_peer_status(const MemberStatus& status, Time now) {
   MemberInstructions instructions;
   if (!peers_.update(status, now)) {
-    instructions.again = true;
+    instructions.needs_full_status = true;
     return instructions;
   }
   for (const MachineStatus& machine : status.machines) {
@@ -256,13 +257,13 @@
   const ReleaseRequests requests = fleet_release_requests(now);
   const auto crash_looping = [this, now](const JobId& id) { return is_crash_looping(id, now); };
   ScalingActions actions = autoscaler_.plan(fleet, requests, crash_looping);
-  drain(actions.own.drain);
-  cordon_idle(actions.own.cordon);
+  drain(actions.own_machine_requests.drain);
+  cordon_idle(actions.own_machine_requests.cordon);
   return actions;
 }
 
-void Controller::listed(const std::vector<protocol::CloudMachine>& machines, Time now,
-                        double wall_now) {
+void Controller::handle_machine_list(const std::vector<protocol::CloudMachine>& machines, Time now,
+                                     double wall_now) {
   if (!is_leader(now)) return;
   for (const protocol::CloudMachine& machine : machines) {
     if (!released_.contains(machine.id)) machines_.set_zone_if_unknown(machine.id, machine.zone);
@@ -270,13 +271,13 @@
   autoscaler_.review_list(machines, fleet_status(now, wall_now));
 }
 
-void Controller::rented(const MachineKind& kind, const std::vector<MachineId>& machines,
-                        double wall_now) {
+void Controller::record_rented_machines(const MachineKind& kind,
+                                        const std::vector<MachineId>& machines, double wall_now) {
   for (const MachineId& id : machines) machines_.set_zone(id, kind.zone);
   autoscaler_.record_rented(kind, machines, wall_now);
 }
 
-void Controller::released(const std::vector<MachineId>& machines, Time now) {
+void Controller::record_released_machines(const std::vector<MachineId>& machines, Time now) {
   autoscaler_.record_released(machines);
   mark_released(machines, now);
 }
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -42,7 +42,7 @@
 
 using base::AgentIncarnation;
 using base::TaskId;
-using base::TaskNo;
+using base::TaskNumber;
 using base::Version;
 using protocol::Command;
 using protocol::Heartbeat;
@@ -72,7 +72,7 @@
 // The result of one scheduling round: a transaction to commit, and the starts and completions that
 // take effect once it is committed.
 struct RoundPlan {
-  Transaction txn;
+  Transaction transaction;
   // An attempt that the transaction assigns to a machine.
   struct Start {
     TaskId task;
@@ -83,12 +83,12 @@
   struct Completion {
     TaskId task;
     MachineId machine;
-    std::string why;    // the cause, for the log
-    bool done = false;  // whether the task succeeded and is not started again
+    std::string reason;  // the cause, for the log
+    bool done = false;   // whether the task succeeded and is not started again
   };
   std::vector<Completion> completions;
-  bool more = false;  // changes are left over that did not fit into one transaction
-  bool empty() const { return txn.writes.empty(); }
+  bool has_more_changes = false;  // changes are left over that did not fit into one transaction
+  bool empty() const { return transaction.writes.empty(); }
 };
 
 // How much of the state service's write rate a round may use.
@@ -106,7 +106,7 @@
   std::vector<MachineId> drain;   // to be cordoned and emptied by moving services, then released
   // The status was a delta to a revision that this controller does not have: a full status is
   // needed.
-  bool again = false;
+  bool needs_full_status = false;
 };
 
 // Owns the state of one controller and combines its parts: membership, heartbeats, scheduling
@@ -162,7 +162,9 @@
   // Marks that a command batch was not answered. Until its next heartbeat the machine gets commands
   // in heartbeat responses only: with dozens of dead machines, waiting for each one's timeout
   // delayed the commands to all others.
-  void commands_lost(const MachineId& machine) { machines_.mark_commands_lost(machine); }
+  void handle_undelivered_commands(const MachineId& machine) {
+    machines_.mark_commands_lost(machine);
+  }
   // Marks that the cloud has released these machines: their tasks have ended.
   void mark_released(const std::vector<MachineId>& machines, Time now);
   // Cordons those of these machines that have no assigned tasks.
@@ -171,7 +173,7 @@
   void drain(const std::vector<MachineId>& machines);
 
   // Sets which wall-clock time (seconds since 1970) corresponds to `now`.
-  void tell_time(Time now, double wall_now) { priorities_.set_time_of_day(now, wall_now); }
+  void set_time_of_day(Time now, double wall_now) { priorities_.set_time_of_day(now, wall_now); }
 
   // Records another controller's notification that the job's cancellation is committed. The watch
   // may not deliver it: if the state service refuses this controller alone, its authority lasts for
@@ -186,21 +188,22 @@
   void add_offers(const protocol::Offers& offers, Time now) { offer_pool_.add(offers, now); }
   // Registers a job whose submission this controller accepted: this controller makes the job's
   // first offers, since the job's home may be down.
-  void accepted(const JobId& job) { offer_router_.add_submitted_job(job); }
+  void add_submitted_job(const JobId& job) { offer_router_.add_submitted_job(job); }
   // Marks that offers could not be delivered to a member: it gets no offers until its next full
   // status.
-  void offers_lost(const MemberId& member, const std::vector<protocol::Offers>& offers);
+  void handle_undelivered_offers(const MemberId& member,
+                                 const std::vector<protocol::Offers>& offers);
   // Distributes the waiting tasks of this member's jobs among the members by the free capacity of
   // their machines. Returns the offers by member.
-  std::map<MemberId, protocol::Offers> route(Time now);
+  std::map<MemberId, protocol::Offers> route_waiting_tasks(Time now);
   // Runs one scheduling round: collects completions, places waiting tasks on machines, and chooses
   // tasks to preempt. Returns the transaction to commit, with the starts and completions that it
   // records.
-  RoundPlan plan(Time now, WriteBudget write_budget);
+  RoundPlan plan_round(Time now, WriteBudget write_budget);
   // Applies a plan that was committed at this version. Returns the start commands to send at once.
-  std::vector<CommandBatch> committed(const RoundPlan& plan, Version version, Time now);
+  std::vector<CommandBatch> apply_committed_plan(const RoundPlan& plan, Version version, Time now);
   // Returns the kill commands to send at once instead of with the next heartbeat responses.
-  std::vector<CommandBatch> stops(Time now);
+  std::vector<CommandBatch> kill_commands_due(Time now);
   // Returns a transaction that finalizes one ended job whose home is this member; none if there is
   // none.
   std::optional<Transaction> finalize_one_job(Time now);
@@ -217,28 +220,34 @@
   // Applies a peer's status and returns the instructions to send in reply.
   MemberInstructions handle_peer_status(const MemberStatus& status, Time now);
   // Records that the peer has applied the status up to this revision; 0 requests a full status.
-  void status_acknowledged(const MemberId& peer, std::uint64_t revision) {
+  void acknowledge_status(const MemberId& peer, std::uint64_t revision) {
     machines_.acknowledge(peer, revision);
   }
   // Records that a call to the member was answered.
-  void peer_reached(const MemberId& member, Time now) { peer_contact_.record_reached(member, now); }
+  void record_peer_reached(const MemberId& member, Time now) {
+    peer_contact_.record_reached(member, now);
+  }
   // Returns whether a peer reported a few seconds ago that it holds a lease in the state service.
-  bool peers_have_state(Time now) const { return peers_.any_has_lease(now); }
+  bool any_peer_has_lease(Time now) const { return peers_.any_has_lease(now); }
 
   // --- fleet, for the leader
   // Returns the leader's scaling actions; none if this process is not the leader. Drains and
   // cordons of this member's own machines are carried out before it returns.
   ScalingActions plan_scaling(Time now, double wall_now);
   // Handles the cloud's list of rented machines.
-  void listed(const std::vector<protocol::CloudMachine>& machines, Time now, double wall_now);
+  void handle_machine_list(const std::vector<protocol::CloudMachine>& machines, Time now,
+                           double wall_now);
   // Records that the cloud had fewer machines of this kind than were requested.
-  void refused(const MachineKind& kind, Time now) { autoscaler_.record_out_of_capacity(kind, now); }
+  void record_out_of_capacity(const MachineKind& kind, Time now) {
+    autoscaler_.record_out_of_capacity(kind, now);
+  }
   // Records that the cloud has rented these machines to the cluster.
-  void rented(const MachineKind& kind, const std::vector<MachineId>& machines, double wall_now);
+  void record_rented_machines(const MachineKind& kind, const std::vector<MachineId>& machines,
+                              double wall_now);
   // Returns the transaction that records which machines are booting, for the next leader.
   std::optional<Transaction> fleet_record() const { return autoscaler_.booting_record(); }
   // Records that the cloud has released these machines.
-  void released(const std::vector<MachineId>& machines, Time now);
+  void record_released_machines(const std::vector<MachineId>& machines, Time now);
 
  private:
   // The machines by the member that owns them; each member's share is called its partition.
@@ -265,7 +274,7 @@
   Time listening_since() const { return contact_monitor_.listening_since(); }
   // Returns whether this controller receives the heartbeats of the machines that it owns.
   protocol::WorkerContact worker_contact(Time now) const;
-  void watch_contact(Time now) { contact_monitor_.update_counts(count_overdue(now), now); }
+  void update_worker_contact(Time now) { contact_monitor_.update_counts(count_overdue(now), now); }
   OverdueCounts count_overdue(Time now) const;
   bool is_overdue(const Machine& machine, Time now) const;
   // Returns the machines that this controller owns and whose heartbeats are overdue or never
@@ -282,9 +291,10 @@
   // A job that was offered to this member, with those of its tasks that wait for a machine here.
   struct WaitingJob {
     const Job* job;
-    std::vector<TaskNo> tasks;
-    std::map<std::string, TaskNo> zones;  // assigned tasks by zone, if one_zone or spread is set
-    bool zones_known = true;              // false if the zone of an assigned task is unknown
+    std::vector<TaskNumber> tasks;
+    // The number of assigned tasks by zone, if one_zone or spread is set.
+    std::map<std::string, TaskNumber> zones;
+    bool zones_known = true;  // false if the zone of an assigned task is unknown
   };
   // The machines that accept new tasks, with their bins for packing. `scale` holds the largest
   // capacity of a machine in each resource, by which the packing normalizes.
@@ -303,8 +313,8 @@
       RecordBatch& batch, RoundPlan& plan);
   // Handles records above the size limit, which may be rewritten only once enough of their tasks
   // have ended: drops completions that must wait for more, and returns those to record together.
-  std::set<TaskId> settle_large_records(std::vector<RoundPlan::Completion>& completions,
-                                        const RecordBatch& batch) const;
+  std::set<TaskId> filter_large_record_completions(std::vector<RoundPlan::Completion>& completions,
+                                                   const RecordBatch& batch) const;
   // Records deferred completions whose record is written anyway, or all of them while writes are
   // plentiful.
   void record_deferred_completions(std::vector<RoundPlan::Completion> completions,
@@ -313,31 +323,32 @@
   // Returns the offered jobs that have tasks waiting and may start them in this round.
   std::vector<WaitingJob> waiting_jobs(WriteBudget write_budget, Time now,
                                        const RecordBatch& batch);
-  // Fills in the zones of the job's assigned tasks.
-  void find_zones(WaitingJob& waiting_job) const;
+  // Counts the job's assigned tasks by zone.
+  void count_tasks_by_zone(WaitingJob& waiting_job) const;
   OpenMachines open_machines(Time now);
   // Returns the jobs' order by due time if the waiting tasks exceed the free capacity; otherwise
   // all zeros.
-  std::vector<int> order_by_due(const std::vector<WaitingJob>& waiting,
-                                const std::vector<Bin>& bins, Time now) const;
+  std::vector<int> order_by_due_time(const std::vector<WaitingJob>& waiting,
+                                     const std::vector<Bin>& bins, Time now) const;
   // Places waiting tasks on machines and adds the starts to the plan.
-  void place(std::vector<WaitingJob>& waiting, Time now, RoundPlan& plan);
+  void place_tasks(std::vector<WaitingJob>& waiting, Time now, RoundPlan& plan);
   // Returns whether another task of the job may start on the machine. `planned`: the resources that
   // this round already gives to the job's team.
   bool may_start(const WaitingJob& waiting_job, const Heartbeat& heartbeat,
                  const Resources& planned) const;
-  // Returns how well the machine suits the job: lower is better, negative means never.
-  int preference(const protocol::JobSpec& spec, const Machine& machine,
-                 std::optional<Seconds> start_within, bool displaces, Time now) const;
+  // Returns the packing pass in which the machine is tried for the job: lower passes first,
+  // negative means never.
+  int packing_pass(const protocol::JobSpec& spec, const Machine& machine,
+                   std::optional<Seconds> start_within, bool prefers_preemption, Time now) const;
   // Adds the plan's starts to the batch and drops those that the batch cannot take.
   static void record_starts(RecordBatch& batch, RoundPlan& plan);
   // Reserves machines or preempts lower-ranked tasks for the tasks that were not placed.
   void free_capacity(const std::vector<WaitingJob>& waiting, const RoundPlan& plan, Time now);
   // Collects the attempts that have certainly ended on the machines of this member.
   void collect_completions(Time now, std::vector<RoundPlan::Completion>& completions);
-  // Collects the attempts that have certainly ended on one machine. `m` is null if the machine has
-  // not sent a heartbeat to this controller.
-  void collect_completions_on(const MachineId& machine, Machine* m, Time now,
+  // Collects the attempts that have certainly ended on one machine. `machine` is null if the
+  // machine has not sent a heartbeat to this controller.
+  void collect_completions_on(const MachineId& id, Machine* machine, Time now,
                               std::vector<RoundPlan::Completion>& completions);
   // Returns whether the completion can be recorded later, together with others of the same record.
   bool can_defer(const RoundPlan::Completion& completion, const std::set<TaskId>& ended, Time now);
@@ -345,37 +356,37 @@
   void evaluate_failures(Time now);
   // Returns whether a task of the job has run long enough here to show that the job is sound.
   // Machines on which one of its tasks failed lately do not count.
-  bool runs_for_long(const Job& job, Time now) const;
+  bool has_stable_run(const Job& job, Time now) const;
   // Returns whether the job fails on every machine, as seen by this controller or reported by a
   // peer.
-  bool is_crash_looping(const JobId& job, Time now) const;
+  bool is_crash_looping(const JobId& id, Time now) const;
   // Returns how long the ended attempt ran, as observed by this controller; 0 if it is unknown.
   Seconds run_before_end(const RoundPlan::Completion& completion) const;
   // Feeds the run time of an ended attempt into the run time estimates.
   void learn_run_time(const RoundPlan::Completion& completion);
   // Runs the periodic checks of a round: drains, silent machines, failed attempts, worker contact.
-  void housekeeping(Time now);
-  // How long a machine may send no heartbeats (`unheard`), or send heartbeats that show that no
-  // response arrives (`unanswered`), before it counts as silent.
+  void run_periodic_checks(Time now);
+  // How long a machine may send no heartbeats (`without_heartbeat`), or send heartbeats that show
+  // that no response arrives (`without_response`), before it counts as silent.
   struct SilenceLimits {
-    Seconds unheard, unanswered;
+    Seconds without_heartbeat, without_response;
   };
   // The silent machines of this member, and how many of its machines have overdue heartbeats.
-  struct SilenceCensus {
+  struct SilenceCounts {
     std::set<MachineId> silent;
     std::size_t owned = 0, overdue = 0;
   };
   SilenceLimits silence_limits() const;
   // Requests the release of empty cordoned machines, and moves services off draining machines.
   void progress_drains(Time now);
-  SilenceCensus take_silence_census(Time now);
+  SilenceCounts count_silent_machines(Time now);
   // Returns false while or shortly after many machines are silent at once: then the network is
   // probably at fault, and the machines must not be released.
-  bool may_release_silent(const SilenceCensus& census, Time now);
+  bool may_release_silent(const SilenceCounts& counts, Time now);
   // Updates the set of silent machines whose release is requested.
-  void update_silent_machines(const SilenceCensus& census, Time now);
+  void update_silent_machines(const SilenceCounts& counts, Time now);
   // Stops one service on a draining machine if another machine can take it now.
-  void move_service_away(Machine& machine, const Partitions& known, Time now);
+  void move_service_away(Machine& machine, const Partitions& known_partitions, Time now);
   // Returns the autoscaler's input: the machines of all members that reported within the last
   // minute.
   FleetStatus fleet_status(Time now, double wall_now);
@@ -388,7 +399,7 @@
   void reserve_capacity(const Job& job, Time now);
   // Returns the machines that have recorded assignments, are owned by this member, and have sent it
   // no heartbeat since it became the owner.
-  const std::vector<MachineId>& unheard_owned(Time now);
+  const std::vector<MachineId>& owned_without_heartbeat(Time now);
   // Returns the time that the machine needs to fetch the job's image; 0 if the image is there.
   Seconds fetch_time(const Machine& machine, const protocol::JobSpec& spec) const;
   // Returns the machines of this member and of each peer whose last status is at most `max_age`
@@ -431,8 +442,9 @@
   OfferPool offer_pool_{settings_};
   FailureTracker failures_;
   OfferRouter offer_router_{settings_, cache_, priorities_, failures_};
-  std::vector<MachineId> unheard_owned_;  // the cached result of unheard_owned()
-  Time unheard_owned_at_{};               // when it was computed
+  // The cached result of owned_without_heartbeat().
+  std::vector<MachineId> owned_without_heartbeat_;
+  Time owned_without_heartbeat_at_{};  // when it was computed
 
   Autoscaler autoscaler_;
 };
--- a/src/coordination/fleet/autoscaler.cpp
+++ b/src/coordination/fleet/autoscaler.cpp
@@ -44,7 +44,7 @@
   if (input.may_drain) input.movable_services = demand_.movable_services();
   actions.plan = plan_scaling(input);
   if (!actions.plan.scale_out.empty()) last_unplaced_work_at_ = fleet.now;
-  actions.own = request_from_owners(actions.plan, fleet);
+  actions.own_machine_requests = request_from_owners(actions.plan, fleet);
   return actions;
 }
 
--- a/src/coordination/fleet/autoscaler.h
+++ b/src/coordination/fleet/autoscaler.h
@@ -24,9 +24,9 @@
 
 // The actions that one run of the autoscaler asks its owner to carry out.
 struct ScalingActions {
-  ScalingPlan plan;                // `plan.scale_out` lists the machines to rent
-  std::vector<MachineId> release;  // machines to release in the cloud
-  MachineRequests own;             // requests for machines that this member owns
+  ScalingPlan plan;                      // `plan.scale_out` lists the machines to rent
+  std::vector<MachineId> release;        // machines to release in the cloud
+  MachineRequests own_machine_requests;  // requests for machines that this member owns
 };
 
 // Plans the size of the fleet while this member is the leader. The settings, the state cache and
--- a/src/coordination/fleet/demand_estimator.cpp
+++ b/src/coordination/fleet/demand_estimator.cpp
@@ -50,7 +50,7 @@
     demand.count = count;
     demand.tier = priorities_.tier(job);
     demand.spec = &spec;
-    demand.spot_only = priorities_.is_spare_time(job);
+    demand.spot_only = priorities_.is_best_effort(job);
     demands.push_back(demand);
     if (demand.spot_only && priorities_.starving_tasks(job, now)) {
       // The job has waited too long for spare capacity: request one on-demand machine for one of
@@ -65,7 +65,7 @@
 
 std::map<MachineId, std::vector<const JobSpec*>> DemandEstimator::movable_services() const {
   std::map<MachineId, std::vector<const JobSpec*>> services_by_machine;
-  for (const auto& [machine, tasks] : cache_.assigned()) {
+  for (const auto& [machine, tasks] : cache_.assignments_by_machine()) {
     for (const auto& [task, assignment] : tasks) {
       const Job* job = cache_.job(task.job);
       if (job && job->record.spec.kind == Kind::kService && !job->cancelled()) {
@@ -102,7 +102,7 @@
 
 double DemandEstimator::due_time(const Job& job, Time now) const {
   const JobSpec& spec = job.record.spec;
-  const double due = priorities_.due(job, now);
+  const double due = priorities_.due_time(job, now);
   const auto start_within = priorities_.start_within(spec);
   if (!start_within) return due;
   // All tasks should start within the time that the objectives give, while that can still be met.
--- a/src/coordination/fleet/scaling_plan.cpp
+++ b/src/coordination/fleet/scaling_plan.cpp
@@ -132,7 +132,7 @@
   ScalingPlan plan_;
   std::vector<Host> hosts_;
   std::vector<Bin> bins_;
-  std::vector<Group> groups_;               // one for each entry of the demand, at the same index
+  std::vector<PackingGroup> groups_;        // one for each entry of the demand, at the same index
   std::vector<std::size_t> group_by_tier_;  // indices of groups, the most urgent tier first
   // The largest size of any machine type in each dimension, for packing.
   Resources scale_;
@@ -188,15 +188,15 @@
 void ScalingPlanner::pack_demand() {
   groups_.reserve(input_.demand.size());
   for (const Demand& demand : input_.demand) {
-    Group group;
+    PackingGroup group;
     group.request = demand.request;
     group.count = demand.count;
     group.tier = demand.tier;
-    group.allowed = [this, &demand](std::size_t bin) {
+    group.may_place = [this, &demand](std::size_t bin) {
       const MachineKind& kind = hosts_[bin].kind;
       return !demand.spec || may_run(*demand.spec, kind.type, kind.zone, kind.spot);
     };
-    group.placed = [this](std::size_t bin) { hosts_[bin].is_needed = true; };
+    group.on_placed = [this](std::size_t bin) { hosts_[bin].is_needed = true; };
     groups_.push_back(std::move(group));
   }
   pack(groups_, bins_, scale_);
@@ -281,8 +281,8 @@
   hosts_[host].is_needed = true;
   Resources& free = bins_[host].free;
   for (const std::size_t index : group_by_tier_) {
-    Group& group = groups_[index];
-    while (group.count > 0 && free.fits(group.request) && group.allowed(host)) {
+    PackingGroup& group = groups_[index];
+    while (group.count > 0 && free.fits(group.request) && group.may_place(host)) {
       free -= group.request;
       --group.count;
     }
--- a/src/coordination/fleet/service_arrivals.cpp
+++ b/src/coordination/fleet/service_arrivals.cpp
@@ -22,7 +22,7 @@
     if (spec.kind != protocol::Kind::kService || !counted_.insert(id).second) continue;
     ClassArrivals& arrivals = arrivals_[spec.job_class];
     arrivals.latest_spec = spec;
-    arrivals.recent.push_back({job.seen, spec.tasks});
+    arrivals.recent.push_back({job.first_seen_at, spec.tasks});
   }
   std::erase_if(counted_, [&](const base::JobId& id) { return !cache.job(id); });
   for (auto& [job_class, arrivals] : arrivals_) {
--- a/src/coordination/fleet/service_arrivals.h
+++ b/src/coordination/fleet/service_arrivals.h
@@ -36,7 +36,7 @@
   // The tasks of one service that arrived.
   struct Arrival {
     Time at{};
-    base::TaskNo tasks = 0;
+    base::TaskNumber tasks = 0;
   };
   // The recent arrivals of one job class.
   struct ClassArrivals {
--- a/src/coordination/machines/attempt_tracker.cpp
+++ b/src/coordination/machines/attempt_tracker.cpp
@@ -18,7 +18,7 @@
   const protocol::Heartbeat& heartbeat = machine.last_heartbeat;
   for (const auto& [task, assignment] : cache_.assignments_on(heartbeat.machine)) {
     const storage::Job* job = cache_.job(task.job);
-    const bool is_unwanted = job && (job->cancelled() || machine.evict.contains(task));
+    const bool is_unwanted = job && (job->cancelled() || machine.tasks_to_evict.contains(task));
     if (is_unwanted && assignment.agent_incarnation == heartbeat.agent_incarnation &&
         !heartbeat.tasks.contains(task)) {
       never_started_[task] = assignment.attempt;
--- a/src/coordination/machines/capacity_calculator.cpp
+++ b/src/coordination/machines/capacity_calculator.cpp
@@ -19,12 +19,12 @@
   MachineCapacity& capacity = machine.capacity;
   if (!capacity.known || capacity.agent_incarnation != machine.last_heartbeat.agent_incarnation ||
       capacity.sequence != machine.last_heartbeat.sequence ||
-      capacity.evicted != machine.evict.size()) {
+      capacity.evicted != machine.tasks_to_evict.size()) {
     return false;
   }
-  if (capacity.checked == cache_.last_stamp()) return true;
-  if (capacity.stamp != cache_.stamp(machine.last_heartbeat.machine)) return false;
-  capacity.checked = cache_.last_stamp();
+  if (capacity.last_stamp_checked == cache_.last_assignment_stamp()) return true;
+  if (capacity.stamp != cache_.assignment_stamp(machine.last_heartbeat.machine)) return false;
+  capacity.last_stamp_checked = cache_.last_assignment_stamp();
   return true;
 }
 
@@ -32,15 +32,15 @@
   MachineCapacity capacity;
   const auto* type = cache_.type(machine.last_heartbeat.type);
   capacity.known = type != nullptr;
-  capacity.checked = cache_.last_stamp();
-  capacity.stamp = cache_.stamp(machine.last_heartbeat.machine);
+  capacity.last_stamp_checked = cache_.last_assignment_stamp();
+  capacity.stamp = cache_.assignment_stamp(machine.last_heartbeat.machine);
   capacity.agent_incarnation = machine.last_heartbeat.agent_incarnation;
   capacity.sequence = machine.last_heartbeat.sequence;
-  capacity.evicted = machine.evict.size();
+  capacity.evicted = machine.tasks_to_evict.size();
   if (type) capacity.free = type->size;
   add_assignments(machine, capacity);
   add_unassigned_attempts(machine, capacity);
-  capacity.stops = !kills_due(machine, cache_).empty();
+  capacity.has_kills_due = !kills_due(machine, cache_).empty();
   return capacity;
 }
 
@@ -67,7 +67,8 @@
     }
     capacity.free -= spec.request;
     const bool can_be_preempted = priorities_.rank(*job) >= protocol::Rank::kStandard;
-    if (can_be_preempted && !machine.evict.contains(task)) capacity.preemptible += spec.request;
+    if (can_be_preempted && !machine.tasks_to_evict.contains(task))
+      capacity.preemptible += spec.request;
   }
 }
 
--- a/src/coordination/machines/commands_due.cpp
+++ b/src/coordination/machines/commands_due.cpp
@@ -49,7 +49,7 @@
                 const StateCache& cache, std::vector<Command>& commands) {
   for (const auto& [task, assignment] : assignments) {
     if (assignment.agent_incarnation != machine.last_heartbeat.agent_incarnation ||
-        machine.evict.contains(task)) {
+        machine.tasks_to_evict.contains(task)) {
       continue;
     }
     const storage::Job* job = cache.job(task.job);
@@ -68,7 +68,7 @@
     for (const ReportedAttempt& reported : attempts) {
       if (reported.state == TaskState::kEnded) continue;
       const bool is_wanted = job && !job->cancelled() && is_assigned(assignments, task, reported);
-      if (is_wanted && !machine.evict.contains(task)) continue;
+      if (is_wanted && !machine.tasks_to_evict.contains(task)) continue;
       const bool saves_checkpoint = is_wanted && job->record.spec.checkpoint.count() > 0;
       if (saves_checkpoint && reported.state == TaskState::kSaving) continue;
       const Seconds grace =
--- a/src/coordination/machines/machine_registry.cpp
+++ b/src/coordination/machines/machine_registry.cpp
@@ -92,7 +92,7 @@
   record_images(machine);
   record_run_times(machine, now);
   if (is_busy(machine)) machine.idle_since = now;
-  std::erase_if(machine.evict, [&](const TaskId& task) {
+  std::erase_if(machine.tasks_to_evict, [&](const TaskId& task) {
     return !cache_.assignments_on(heartbeat.machine).contains(task);
   });
   return &machine;
@@ -113,8 +113,8 @@
 
 void MachineRegistry::record_reclaim_notice(Machine& machine, Time now) {
   const auto& notice = machine.last_heartbeat.time_to_preemption;
-  if (!notice || machine.taken_at) return;
-  machine.taken_at = base::after(now, *notice);
+  if (!notice || machine.reclaim_at) return;
+  machine.reclaim_at = base::after(now, *notice);
   machine.cordoned = true;
   spdlog::info("cloud will reclaim the machine: machine={} seconds_left={:.1f}",
                machine.last_heartbeat.machine.get(), notice->count());
@@ -133,7 +133,7 @@
         machine.pulling.insert(spec.image);
       } else if (reported.state == TaskState::kRunning ||
                  reported.cause == protocol::EndCause::kDone) {
-        machine.used_image(spec.image, spec.image_gb, type->cache_gb);
+        machine.record_image_use(spec.image, spec.image_gb, type->cache_gb);
       }
     }
   }
@@ -145,8 +145,8 @@
   for (const auto& [task, attempts] : heartbeat.tasks) {
     for (const auto& reported : attempts) {
       if (reported.state != TaskState::kRunning) continue;
-      const auto before = machine.ran.find(task);
-      const bool has_just_begun = before == machine.ran.end();
+      const auto before = machine.running_since.find(task);
+      const bool has_just_begun = before == machine.running_since.end();
       running[task] = has_just_begun ? now : before->second;
       if (has_just_begun) {
         spdlog::debug("task is running: task={}/{} machine={}", task.job.get(), task.no,
@@ -154,12 +154,12 @@
       }
     }
   }
-  for (const auto& [task, since] : machine.ran) {
-    if (!running.contains(task)) machine.ran_before[task] = base::between(since, now);
+  for (const auto& [task, since] : machine.running_since) {
+    if (!running.contains(task)) machine.ended_run_times[task] = base::between(since, now);
   }
-  std::erase_if(machine.ran_before,
+  std::erase_if(machine.ended_run_times,
                 [&](const auto& entry) { return !heartbeat.tasks.contains(entry.first); });
-  machine.ran = std::move(running);
+  machine.running_since = std::move(running);
 }
 
 bool MachineRegistry::is_busy(const Machine& machine) const {
@@ -182,7 +182,7 @@
   machine.last_answered_at = now;
   const auto token =
       machine.token_for_response(settings_.worker_lease * kTokenRenewalLeaseShare, now);
-  const auto commands = commands_due(machine, capacity_.of(machine).stops, cache_);
+  const auto commands = commands_due(machine, capacity_.of(machine).has_kills_due, cache_);
   return protocol::encode_heartbeat_response(token, commands);
 }
 
@@ -223,7 +223,7 @@
 void MachineRegistry::expire_released(Time now) {
   std::erase_if(released_, [&](const auto& entry) {
     return base::between(entry.second, now) > kReleasedRetention &&
-           !cache_.assigned().contains(entry.first);
+           !cache_.assignments_by_machine().contains(entry.first);
   });
 }
 
@@ -249,7 +249,8 @@
   condition.is_silent = !is_schedulable(machine, now);
   // A late heartbeat does not make the machine unschedulable yet. Together with heartbeats that
   // arrive at other controllers it shows that the machine cannot reach this one.
-  condition.heartbeat_overdue = since_heartbeat > settings_.heartbeat_interval * storage::kOverdue;
+  condition.heartbeat_overdue =
+      since_heartbeat > settings_.heartbeat_interval * storage::kHeartbeatOverdueIntervals;
   condition.awaits_confirmation = !machine.cordoned && !machine.is_confirmed() &&
                                   !machine.is_half_open() && has_recent_heartbeat(machine, now);
   condition.has_unacknowledged_response =
--- a/src/coordination/membership/membership_proposals.cpp
+++ b/src/coordination/membership/membership_proposals.cpp
@@ -75,7 +75,7 @@
     transaction.writes.push_back({protocol::kViewKey, to_json(*next), {}});
   }
   for (const auto& [machine, incarnation] : inputs_.cache.ownership_claims()) {
-    if (transaction.writes.size() + 1 >= inputs_.settings.txn_ops) break;
+    if (transaction.writes.size() + 1 >= inputs_.settings.max_transaction_writes) break;
     const std::string key = protocol::claim_key(machine);
     require_unchanged(key, transaction);
     transaction.writes.push_back({key, {}, {}});
@@ -98,7 +98,7 @@
   for (const base::MachineId& machine : machines) {
     const std::string key = protocol::claim_key(machine);
     if (inputs_.cache.version(key).get() != 0) continue;
-    if (transaction.writes.size() >= inputs_.settings.txn_ops) break;
+    if (transaction.writes.size() >= inputs_.settings.max_transaction_writes) break;
     transaction.preconditions[key] = base::Version(0);
     transaction.writes.push_back({key, to_json(inputs_.authority.self()), {}});
     spdlog::info("machine can't reach its owner, claimed: machine={}", machine.get());
@@ -172,7 +172,8 @@
 // that it reads that format. An absent controller may come back with the previous program version.
 std::optional<Transaction> MembershipProposals::upgrade_format() const {
   if (inputs_.cache.format() >= protocol::kFormat) return {};
-  const std::size_t max_preconditions = inputs_.settings.txn_ops * protocol::kPreconditionsPerWrite;
+  const std::size_t max_preconditions =
+      inputs_.settings.max_transaction_writes * protocol::kPreconditionsPerWrite;
   Transaction transaction;
   require_unchanged(protocol::kFormatKey, transaction);
   const auto reads_format = [&](const base::MemberId& id) {
--- a/src/coordination/membership/ownership_transfers.cpp
+++ b/src/coordination/membership/ownership_transfers.cpp
@@ -91,7 +91,7 @@
     if (status.heartbeat_overdue) silent.push_back(machine);
   }
   // Machines that have recorded assignments but have never sent a heartbeat to the member.
-  for (const auto& [machine, assignments] : inputs_.cache.assigned()) {
+  for (const auto& [machine, assignments] : inputs_.cache.assignments_by_machine()) {
     const ControllerIncarnation* owner = inputs_.ownership.owner(machine);
     if (owner && *owner == member && !peer.machines.contains(machine)) silent.push_back(machine);
   }
--- a/src/coordination/membership/reachability.cpp
+++ b/src/coordination/membership/reachability.cpp
@@ -52,7 +52,7 @@
   for (const auto& [id, machine] : machines_) {
     if (is_overdue(machine, now)) silent.push_back(id);
   }
-  for (const auto& [id, assignments] : cache_.assigned()) {
+  for (const auto& [id, assignments] : cache_.assignments_by_machine()) {
     if (owns(id) && !machines_.contains(id)) silent.push_back(id);
   }
   return silent;
--- a/src/coordination/records/admission.cpp
+++ b/src/coordination/records/admission.cpp
@@ -7,7 +7,7 @@
 namespace saddleslip::coordination {
 
 using base::JobId;
-using base::TaskNo;
+using base::TaskNumber;
 using protocol::Kind;
 using protocol::Transaction;
 
@@ -18,8 +18,9 @@
 
 }  // namespace
 
-std::optional<std::string> never_runs(const protocol::JobSpec& spec, const base::Settings& settings,
-                                      const std::vector<protocol::MachineType>& catalogue) {
+std::optional<std::string> rejection_reason(const protocol::JobSpec& spec,
+                                            const base::Settings& settings,
+                                            const std::vector<protocol::MachineType>& catalogue) {
   const auto team_entry = settings.teams.find(spec.team);
   if (team_entry == settings.teams.end()) return "unknown team " + spec.team;
   const bool fits = std::any_of(catalogue.begin(), catalogue.end(), [&](const auto& machine_type) {
@@ -41,8 +42,8 @@
   return {};
 }
 
-protocol::JobRecord accepted_record(const protocol::JobSpec& spec,
-                                    const AcceptanceContext& context) {
+protocol::JobRecord new_job_record(const protocol::JobSpec& spec,
+                                   const AcceptanceContext& context) {
   protocol::JobRecord record;
   record.spec = spec;
   record.submitted_at = context.time_of_day;
@@ -57,7 +58,7 @@
   return record;
 }
 
-Transaction acceptance(const protocol::JobRecord& record, base::Version lists) {
+Transaction acceptance_transaction(const protocol::JobRecord& record, base::Version lists) {
   const JobId& id = record.spec.id;
   Transaction transaction;
   // The job must have neither a live record nor a final state. The preconditions make a retried
@@ -76,7 +77,7 @@
   std::vector<Transaction> transactions;
   const JobId& id = record.spec.id;
   const std::size_t lists_per_transaction =
-      std::min<std::size_t>(settings.txn_ops, kMaxListsPerTransaction);
+      std::min<std::size_t>(settings.max_transaction_writes, kMaxListsPerTransaction);
   const std::vector<protocol::Json> values =
       protocol::split_dependencies(record.spec.dependencies, settings.value_bytes);
   for (std::size_t i = 0; i < values.size(); ++i) {
@@ -90,7 +91,7 @@
   return transactions;
 }
 
-Transaction cancellation(const protocol::JobRecord& job, base::Version version) {
+Transaction cancellation_transaction(const protocol::JobRecord& job, base::Version version) {
   protocol::JobRecord cancelled_record = job;
   cancelled_record.cancelled = true;
   Transaction transaction;
--- a/src/coordination/records/admission.h
+++ b/src/coordination/records/admission.h
@@ -14,8 +14,9 @@
 
 // Returns why the job can never run, as the error text of a 422 response, or nothing if it can run:
 // some machine type must fit a task, and the team's quota must hold the job.
-std::optional<std::string> never_runs(const protocol::JobSpec& spec, const base::Settings& settings,
-                                      const std::vector<protocol::MachineType>& catalogue);
+std::optional<std::string> rejection_reason(const protocol::JobSpec& spec,
+                                            const base::Settings& settings,
+                                            const std::vector<protocol::MachineType>& catalogue);
 
 // The inputs to a job's record that do not come from its user.
 struct AcceptanceContext {
@@ -26,11 +27,11 @@
 };
 // Returns the record of a newly accepted job. Its dependencies are stored in separate lists if the
 // record would not fit into one value of the store.
-protocol::JobRecord accepted_record(const protocol::JobSpec& spec,
-                                    const AcceptanceContext& context);
+protocol::JobRecord new_job_record(const protocol::JobSpec& spec, const AcceptanceContext& context);
 // Returns the transaction that accepts the job. `lists` is the version of the key that names the
 // job's dependency lists, and is used only if the job has such lists.
-protocol::Transaction acceptance(const protocol::JobRecord& record, base::Version lists = {});
+protocol::Transaction acceptance_transaction(const protocol::JobRecord& record,
+                                             base::Version lists = {});
 // Returns the transactions that write the job's dependency lists, each within the store's limits.
 // All of them must be committed before the job's record, so that an accepted job always has all its
 // dependencies.
@@ -39,6 +40,7 @@
                                                           const base::Settings& settings);
 // Returns the transaction that marks the job as cancelled. It fails if the job's record is no
 // longer at this version.
-protocol::Transaction cancellation(const protocol::JobRecord& job, base::Version version);
+protocol::Transaction cancellation_transaction(const protocol::JobRecord& job,
+                                               base::Version version);
 
 }  // namespace saddleslip::coordination
--- a/src/coordination/records/finalization.cpp
+++ b/src/coordination/records/finalization.cpp
@@ -35,8 +35,9 @@
 // these removals were a third of all writes. Preconditions over the limit can be omitted safely,
 // since a completed task stays completed and tasks start only under the version of the job's
 // record.
-void guard_task_records(Transaction& transaction, const storage::Job& job, std::size_t txn_ops) {
-  const std::size_t max_preconditions = txn_ops * protocol::kPreconditionsPerWrite;
+void guard_task_records(Transaction& transaction, const storage::Job& job,
+                        std::size_t max_transaction_writes) {
+  const std::size_t max_preconditions = max_transaction_writes * protocol::kPreconditionsPerWrite;
   for (std::size_t number = 0; number < job.chunks.size(); ++number) {
     if (transaction.preconditions.size() >= max_preconditions) return;
     const protocol::Version version = job.chunks[number].version;
@@ -55,7 +56,7 @@
     if (!home_controller || *home_controller != self || !cache.is_settled(job)) continue;
     Transaction transaction;
     add_finalization(transaction, job, time_of_day);
-    guard_task_records(transaction, job, settings.txn_ops);
+    guard_task_records(transaction, job, settings.max_transaction_writes);
     return transaction;
   }
   return {};
--- a/src/coordination/records/finalization.h
+++ b/src/coordination/records/finalization.h
@@ -21,9 +21,9 @@
                       double time_of_day);
 
 // Adds preconditions that the job's task records are unchanged since the state cache read them, up
-// to the number of preconditions allowed in a transaction of `txn_ops` writes.
+// to the number of preconditions allowed in a transaction of `max_transaction_writes` writes.
 void guard_task_records(protocol::Transaction& transaction, const storage::Job& job,
-                        std::size_t txn_ops);
+                        std::size_t max_transaction_writes);
 
 // Returns the transaction that finalizes the first finished job whose home controller is `self`, or
 // nothing if there is no such job or no view.
--- a/src/coordination/records/garbage_collection.cpp
+++ b/src/coordination/records/garbage_collection.cpp
@@ -22,7 +22,7 @@
   if (!cache.view()) return {};
   Transaction transaction;
   for (const auto& [key, version] : cache.orphans()) {
-    if (transaction.writes.size() >= settings.txn_ops) break;
+    if (transaction.writes.size() >= settings.max_transaction_writes) break;
     // The key is hashed like a job id, which distributes the work over the members.
     const ControllerIncarnation* home_controller = home_of(*cache.view(), JobId(key));
     if (!home_controller || *home_controller != self) continue;
--- a/src/coordination/records/maintenance.cpp
+++ b/src/coordination/records/maintenance.cpp
@@ -33,17 +33,17 @@
 
 }  // namespace
 
-const std::vector<MachineId>& Controller::unheard_owned(Time now) {
-  if (base::between(unheard_owned_at_, now) < kOwnedWithoutHeartbeatMaxAge &&
-      unheard_owned_at_ > view_installed_at_) {
-    return unheard_owned_;
+const std::vector<MachineId>& Controller::owned_without_heartbeat(Time now) {
+  if (base::between(owned_without_heartbeat_at_, now) < kOwnedWithoutHeartbeatMaxAge &&
+      owned_without_heartbeat_at_ > view_installed_at_) {
+    return owned_without_heartbeat_;
   }
-  unheard_owned_at_ = now;
-  unheard_owned_.clear();
-  for (const auto& [id, tasks] : cache_.assigned()) {
-    if (!machines_.contains(id) && owns(id)) unheard_owned_.push_back(id);
+  owned_without_heartbeat_at_ = now;
+  owned_without_heartbeat_.clear();
+  for (const auto& [id, tasks] : cache_.assignments_by_machine()) {
+    if (!machines_.contains(id) && owns(id)) owned_without_heartbeat_.push_back(id);
   }
-  return unheard_owned_;
+  return owned_without_heartbeat_;
 }
 
 // Stops one service on a machine that is being drained, if another machine has room for it and
@@ -53,12 +53,12 @@
   // Moves one service at a time, and none that started so recently that its user would not count it
   // as started.
   const bool is_moving =
-      std::any_of(machine.evict.begin(), machine.evict.end(),
+      std::any_of(machine.tasks_to_evict.begin(), machine.tasks_to_evict.end(),
                   [&](const TaskId& task) { return cache_.assignments_on(id).contains(task); });
   if (is_moving) return;
-  for (const auto& [task, since] : machine.ran) {
+  for (const auto& [task, since] : machine.running_since) {
     const Job* job = cache_.job(task.job);
-    if (!job || job->record.spec.kind != Kind::kService || machine.evict.contains(task) ||
+    if (!job || job->record.spec.kind != Kind::kService || machine.tasks_to_evict.contains(task) ||
         base::between(since, now) < kMinRunTimeBeforeMove) {
       continue;
     }
@@ -78,7 +78,7 @@
     if (!fits) continue;
     spdlog::info("service is moved to another machine: task={}/{} machine={}", task.job.get(),
                  task.no, id.get());
-    machine.evict.insert(task);
+    machine.tasks_to_evict.insert(task);
     return;
   }
 }
@@ -111,39 +111,42 @@
   }
 }
 
-Controller::SilenceCensus Controller::take_silence_census(Time now) {
+Controller::SilenceCounts Controller::count_silent_machines(Time now) {
   const SilenceLimits limits = silence_limits();
   const Seconds interval = settings_.heartbeat_interval;
-  SilenceCensus census;
-  census.owned = machines_.size();
+  SilenceCounts counts;
+  counts.owned = machines_.size();
   for (auto& [id, machine] : machines_) {
-    const bool is_past_notice = machine.taken_at && now > *machine.taken_at;
+    const bool is_past_notice = machine.reclaim_at && now > *machine.reclaim_at;
     // While this controller had no authority, agents tried other controllers, so that time does not
     // count as silence.
     const Seconds silence_duration =
         base::between(std::max(machine.last_heartbeat_at, listening_since()), now);
-    const bool is_silent = silence_duration > (is_past_notice ? interval * 2.0 : limits.unheard);
+    const bool is_silent =
+        silence_duration > (is_past_notice ? interval * 2.0 : limits.without_heartbeat);
     // A half-open machine: its heartbeats arrive but responses do not reach it, or the heartbeats
     // are late copies from a dead machine.
     const bool is_half_open = machine.is_half_open() &&
                               base::between(std::max(*machine.half_open_since, listening_since()),
-                                            now) > limits.unanswered;
-    if (is_silent || is_half_open) census.silent.insert(id);
-    if (is_silent || is_half_open || silence_duration > interval * storage::kOverdue)
-      ++census.overdue;
+                                            now) > limits.without_response;
+    if (is_silent || is_half_open) counts.silent.insert(id);
+    if (is_silent || is_half_open ||
+        silence_duration > interval * storage::kHeartbeatOverdueIntervals)
+      ++counts.overdue;
   }
-  for (const MachineId& id : unheard_owned(now)) {
+  for (const MachineId& id : owned_without_heartbeat(now)) {
     if (machines_.contains(id) || released_.contains(id) || cache_.assignments_on(id).empty())
       continue;
-    ++census.owned;
+    ++counts.owned;
     const Time since = owned_since_.try_emplace(id, now).first->second;
     const Seconds silence_duration = base::between(std::max(since, listening_since()), now);
     // Agents whose controller has ended need some time to find their new owner.
     const Seconds owner_search_limit = interval + kOwnerSearchTime;
-    if (silence_duration > std::max(limits.unheard, owner_search_limit)) census.silent.insert(id);
-    if (silence_duration > owner_search_limit) ++census.overdue;
+    if (silence_duration > std::max(limits.without_heartbeat, owner_search_limit))
+      counts.silent.insert(id);
+    if (silence_duration > owner_search_limit) ++counts.overdue;
   }
-  return census;
+  return counts;
 }
 
 // A single silent machine is most likely dead, and releasing it proves it soonest. When many become
@@ -151,18 +154,18 @@
 // different times. Overdue machines are counted too, because the machines of a zone that is cut off
 // do not become silent at the same time: the first fifth of them must not be released before the
 // others are noticed.
-bool Controller::may_release_silent(const SilenceCensus& census, Time now) {
+bool Controller::may_release_silent(const SilenceCounts& counts, Time now) {
   const std::size_t expected_silent =
-      std::max<std::size_t>(1, census.owned / kMachinesPerExpectedSilent);
-  if (census.overdue > expected_silent) many_silent_at_ = now;
+      std::max<std::size_t>(1, counts.owned / kMachinesPerExpectedSilent);
+  if (counts.overdue > expected_silent) many_silent_at_ = now;
   return !many_silent_at_ || base::between(*many_silent_at_, now) >
                                  settings_.worker_lease * 0.5 + settings_.heartbeat_interval * 4.0;
 }
 
-void Controller::update_silent_machines(const SilenceCensus& census, Time now) {
-  const bool may_release = may_release_silent(census, now);
+void Controller::update_silent_machines(const SilenceCounts& counts, Time now) {
+  const bool may_release = may_release_silent(counts, now);
   std::set<MachineId> next_silent;
-  for (const MachineId& id : census.silent) {
+  for (const MachineId& id : counts.silent) {
     const auto found = machines_.find(id);
     const Time since = found == machines_.end()        ? owned_since_[id]
                        : found->second.half_open_since ? *found->second.half_open_since
@@ -177,11 +180,11 @@
   silent_machines_ = std::move(next_silent);
 }
 
-void Controller::housekeeping(Time now) {
+void Controller::run_periodic_checks(Time now) {
   progress_drains(now);
-  update_silent_machines(take_silence_census(now), now);
+  update_silent_machines(count_silent_machines(now), now);
   evaluate_failures(now);
-  watch_contact(now);
+  update_worker_contact(now);
   attempts_.forget_finished_jobs();
 }
 
--- a/src/coordination/records/record_splitting.cpp
+++ b/src/coordination/records/record_splitting.cpp
@@ -4,14 +4,14 @@
 
 namespace saddleslip::coordination {
 
-using base::TaskNo;
+using base::TaskNumber;
 using protocol::JobRecord;
 using protocol::Transaction;
 
 namespace {
 
 // Returns how many of the job's tasks fit into one value of the store.
-TaskNo tasks_per_value(const JobRecord& record, const base::Settings& settings) {
+TaskNumber tasks_per_value(const JobRecord& record, const base::Settings& settings) {
   return protocol::chunk_size(record.chunk_size, 1, settings.value_bytes);
 }
 
@@ -33,7 +33,7 @@
 bool needs_splitting(const storage::Job& job, const base::Settings& settings) {
   const JobRecord& record = job.record;
   if (record.piece_size != 0) return false;
-  const TaskNo fit = tasks_per_value(record, settings);
+  const TaskNumber fit = tasks_per_value(record, settings);
   return record.chunk_size > fit && record.spec.tasks > fit;
 }
 
--- a/src/coordination/scheduling/completions.cpp
+++ b/src/coordination/scheduling/completions.cpp
@@ -38,7 +38,7 @@
   std::set<TaskId> reported;
   if (machine) {
     for (const auto& ended : capacity(*machine).ended_attempts) {
-      completions.push_back({ended.task, id, ended.why, ended.done});
+      completions.push_back({ended.task, id, ended.reason, ended.done});
       if (lease_expired) reported.insert(ended.task);
     }
   }
@@ -55,7 +55,7 @@
 void Controller::collect_completions(Time now, std::vector<RoundPlan::Completion>& completions) {
   // This controller owns every machine in the registry: installing a view removes all others.
   for (auto& [id, machine] : machines_) collect_completions_on(id, &machine, now, completions);
-  for (const MachineId& id : unheard_owned(now)) {
+  for (const MachineId& id : owned_without_heartbeat(now)) {
     if (!machines_.contains(id) && owns(id)) collect_completions_on(id, nullptr, now, completions);
   }
 }
@@ -95,8 +95,8 @@
 // were written under a larger limit. Such a record can be rewritten only once enough of its tasks
 // have ended, with all these completions in one write. Removes the completions that must wait for
 // more of them; returns the tasks whose completions must be recorded together.
-std::set<TaskId> Controller::settle_large_records(std::vector<RoundPlan::Completion>& completions,
-                                                  const RecordBatch& batch) const {
+std::set<TaskId> Controller::filter_large_record_completions(
+    std::vector<RoundPlan::Completion>& completions, const RecordBatch& batch) const {
   struct LargeRecord {
     const Job* job = nullptr;
     std::vector<RecordBatch::TaskCompletion> completions;
@@ -138,7 +138,7 @@
   std::set<TaskId> ended;
   for (const RoundPlan::Completion& completion : completions) ended.insert(completion.task);
   attempts_.keep_completions(ended);
-  const std::set<TaskId> together = settle_large_records(completions, batch);
+  const std::set<TaskId> together = filter_large_record_completions(completions, batch);
   // After a crash there may be more completions than one transaction holds: higher tiers come
   // first.
   std::map<int, std::vector<RoundPlan::Completion>> due;  // by tier
@@ -182,8 +182,8 @@
 Seconds Controller::run_before_end(const RoundPlan::Completion& completion) const {
   const auto machine = machines_.find(completion.machine);
   if (machine == machines_.end()) return Seconds(0);
-  const auto ran = machine->second.ran_before.find(completion.task);
-  return ran == machine->second.ran_before.end() ? Seconds(0) : ran->second;
+  const auto ran = machine->second.ended_run_times.find(completion.task);
+  return ran == machine->second.ended_run_times.end() ? Seconds(0) : ran->second;
 }
 
 void Controller::learn_run_time(const RoundPlan::Completion& completion) {
@@ -191,7 +191,7 @@
   const Job* job = cache_.job(completion.task.job);
   if (machine == machines_.end() || !job) return;
   priorities_.learn_run_time(job->record.spec, run_before_end(completion));
-  machine->second.ran_before.erase(completion.task);
+  machine->second.ended_run_times.erase(completion.task);
 }
 
 }  // namespace saddleslip::coordination
--- a/src/coordination/scheduling/failure_evaluation.cpp
+++ b/src/coordination/scheduling/failure_evaluation.cpp
@@ -15,13 +15,13 @@
 
 }  // namespace
 
-bool Controller::runs_for_long(const Job& job, Time now) const {
+bool Controller::has_stable_run(const Job& job, Time now) const {
   const JobId& id = job.record.spec.id;
   const Seconds known_good_run_time = failures_.known_good_run_time(id);
   return std::any_of(machines_.begin(), machines_.end(), [&](const auto& entry) {
     const Machine& machine = entry.second;
-    const auto first_task = machine.ran.lower_bound(TaskId{id, 0});
-    return first_task != machine.ran.end() && first_task->first.job == id &&
+    const auto first_task = machine.running_since.lower_bound(TaskId{id, 0});
+    return first_task != machine.running_since.end() && first_task->first.job == id &&
            base::between(first_task->second, now) > known_good_run_time &&
            !failures_.must_avoid(id, entry.first, now);
   });
@@ -31,7 +31,7 @@
   for (const JobId& id : failures_.unproven_jobs()) {
     const Job* job = cache_.job(id);
     const bool completed = job ? job->done > 0 : is_done(cache_.final_state(id));
-    if (completed || (job && runs_for_long(*job, now))) {
+    if (completed || (job && has_stable_run(*job, now))) {
       failures_.mark_known_good(id);
     } else if (!job || job->cancelled()) {
       failures_.forget_job(id);
@@ -40,8 +40,7 @@
   for (auto& [id, machine] : machines_) {
     if (machine.cordoned || !failures_.is_faulty(id)) continue;
     machine.cordoned = true;
-    spdlog::warn("cordoned machine={}: task failures indicate that the machine is faulty",
-                 id.get());
+    spdlog::warn("cordoned machine={}: it fails tasks of jobs that run elsewhere", id.get());
   }
 }
 
--- a/src/coordination/scheduling/job_priorities.cpp
+++ b/src/coordination/scheduling/job_priorities.cpp
@@ -72,11 +72,11 @@
   // The number of unfinished dependencies of each job that are not in `order` yet.
   std::map<base::JobId, std::size_t> live_dependencies;
   std::vector<const Job*> order;
-  for (const auto& [dependency, dependents] : dependency_graph.waited_for()) {
+  for (const auto& [dependency, dependents] : dependency_graph.dependents_by_dependency()) {
     const Job* job = cache_.job(dependency);
     if (job && !job->blocked) order.push_back(job);
   }
-  for (const auto& [id, dependencies] : dependency_graph.waiting()) {
+  for (const auto& [id, dependencies] : dependency_graph.dependencies_by_waiting_job()) {
     live_dependencies[id] = static_cast<std::size_t>(std::count_if(
         dependencies.begin(), dependencies.end(),
         [this](const auto& dependency) { return cache_.job(dependency) != nullptr; }));
@@ -158,7 +158,7 @@
   return rank(job) <= Rank::kUrgent;
 }
 
-double JobPriorities::due(const Job& job, Time now) const {
+double JobPriorities::due_time(const Job& job, Time now) const {
   const auto inherited = inherited_.find(job.record.spec.id);
   if (inherited != inherited_.end()) return inherited->second.due;
   return own_due_time(job, time_of_day(now) + run_time(job.record.spec).count());
@@ -197,7 +197,7 @@
   return job.record.spec.rank <= Rank::kUrgent || is_guaranteed(job);
 }
 
-bool JobPriorities::is_spare_time(const Job& job) const {
+bool JobPriorities::is_best_effort(const Job& job) const {
   const auto& spec = job.record.spec;
   const auto inherited = inherited_.find(spec.id);
   if (inherited != inherited_.end() && inherited->second.due < kNoDeadlineDue) return false;
--- a/src/coordination/scheduling/job_priorities.h
+++ b/src/coordination/scheduling/job_priorities.h
@@ -42,7 +42,7 @@
   // met, then the earliest later deadline of the service-level objectives that can be met. Jobs
   // without a deadline are due in the far future. A job with dependents is due early enough for
   // these to complete in time.
-  double due(const storage::Job& job, base::Time now) const;
+  double due_time(const storage::Job& job, base::Time now) const;
   // Returns the maximum wait before the start of a job of this class, if a service-level objective
   // sets one.
   std::optional<base::Seconds> start_within(const protocol::JobSpec& spec) const;
@@ -51,7 +51,7 @@
   bool may_preempt(const storage::Job& job) const;
   // Returns whether the job has the lowest rank and no deadline or objective, so that it runs only
   // on capacity that no other job uses.
-  bool is_spare_time(const storage::Job& job) const;
+  bool is_best_effort(const storage::Job& job) const;
   // If the job is starving, that is, has waited for longer than the limit in the settings, returns
   // how many of its tasks are placed before all other jobs. Returns nullopt if it is not starving.
   std::optional<std::size_t> starving_tasks(const storage::Job& job, base::Time now) const;
--- a/src/coordination/scheduling/offer_pool.h
+++ b/src/coordination/scheduling/offer_pool.h
@@ -13,8 +13,8 @@
 
 // A range of consecutive task numbers of one job.
 struct TaskRange {
-  base::TaskNo first = 0;
-  base::TaskNo count = 0;
+  base::TaskNumber first = 0;
+  base::TaskNumber count = 0;
 };
 
 // One offer of a job's tasks. Several offers in the pool may contain the same task.
--- a/src/coordination/scheduling/offer_router.cpp
+++ b/src/coordination/scheduling/offer_router.cpp
@@ -12,7 +12,7 @@
 using base::JobId;
 using base::Seconds;
 using base::TaskId;
-using base::TaskNo;
+using base::TaskNumber;
 using base::Time;
 using protocol::MachineStatus;
 using protocol::Resources;
@@ -34,7 +34,7 @@
 constexpr std::size_t kMinTasksOffered = 8;
 constexpr int kStarvingTier = -1;  // before the tiers of all other jobs
 
-void append_task(protocol::Offers& offers, const JobId& job, TaskNo task) {
+void append_task(protocol::Offers& offers, const JobId& job, TaskNumber task) {
   if (offers.offers.empty() || offers.offers.back().job != job) offers.offers.push_back({job, {}});
   auto& ranges = offers.offers.back().ranges;
   if (!ranges.empty() && ranges.back().first + ranges.back().second == task) {
@@ -73,7 +73,7 @@
   const Job* job = nullptr;
   bool may_preempt = false;
   std::vector<PartitionFit> fits;  // by partition
-  std::vector<TaskNo> tasks;       // tasks of the job to be offered
+  std::vector<TaskNumber> tasks;   // tasks of the job to be offered
   std::size_t next_index = 0;      // index in `tasks` of the first one that was not offered yet
 
   const protocol::JobSpec& spec() const { return job->record.spec; }
@@ -88,7 +88,7 @@
 void OfferRouter::forget_offers(const protocol::Offers& undelivered) {
   for (const protocol::Offer& offer : undelivered.offers) {
     for (const auto& [first, count] : offer.ranges) {
-      for (TaskNo i = 0; i < count; ++i) offered_at_.erase({offer.job, first + i});
+      for (TaskNumber i = 0; i < count; ++i) offered_at_.erase({offer.job, first + i});
     }
   }
 }
@@ -117,7 +117,7 @@
     if (job.pending() == 0 || !failures_.may_retry(id, now)) continue;
     const protocol::ControllerIncarnation* home = home_of(*cache_.view(), id);
     const bool is_home = home && *home == self;
-    const bool is_new = base::between(job.seen, now) < kFirstOffersDuration;
+    const bool is_new = base::between(job.first_seen_at, now) < kFirstOffersDuration;
     const bool is_routed_here =
         submitted_here_.contains(id) ? is_home || is_new : is_home && !is_new;
     if (is_routed_here) jobs.push_back(&job);
@@ -151,7 +151,7 @@
   order.reserve(jobs.size());
   for (const Job* job : jobs) {
     const int tier = starving_tasks(*job, input) ? kStarvingTier : priorities_.tier(*job);
-    order.push_back({tier, priorities_.due(*job, input.now), job->startable_since(), job});
+    order.push_back({tier, priorities_.due_time(*job, input.now), job->startable_since(), job});
   }
   std::stable_sort(order.begin(), order.end());
   for (std::size_t i = 0; i < order.size(); ++i) jobs[i] = order[i].job;
@@ -192,14 +192,14 @@
       pass.partitions[partition].fit(pass.spec(), settings_.controller_zones, pass.may_preempt);
 }
 
-std::vector<TaskNo> OfferRouter::tasks_to_offer(const Job& job, std::size_t max_tasks,
-                                                Time now) const {
+std::vector<TaskNumber> OfferRouter::tasks_to_offer(const Job& job, std::size_t max_tasks,
+                                                    Time now) const {
   const JobId& id = job.record.spec.id;
-  std::vector<TaskNo> tasks;
+  std::vector<TaskNumber> tasks;
   for (std::size_t chunk = 0; chunk < job.chunks.size() && tasks.size() < max_tasks; ++chunk) {
     const auto& record = job.chunks[chunk].record;
-    const TaskNo first = job.chunk_first(chunk);
-    for (TaskNo i = 0; i < job.chunk_size(chunk) && tasks.size() < max_tasks; ++i) {
+    const TaskNumber first = job.chunk_first(chunk);
+    for (TaskNumber i = 0; i < job.chunk_size(chunk) && tasks.size() < max_tasks; ++i) {
       if (record.done[i] || record.assigned.contains(first + i) ||
           is_offered({id, first + i}, now)) {
         continue;
--- a/src/coordination/scheduling/offer_router.h
+++ b/src/coordination/scheduling/offer_router.h
@@ -76,8 +76,8 @@
   void sort_by_precedence(std::vector<const storage::Job*>& jobs, const RoutingInput& input) const;
   RoutingPass begin_pass(const std::vector<const storage::Job*>& jobs,
                          const RoutingInput& input) const;
-  std::vector<base::TaskNo> tasks_to_offer(const storage::Job& job, std::size_t max_tasks,
-                                           base::Time now) const;
+  std::vector<base::TaskNumber> tasks_to_offer(const storage::Job& job, std::size_t max_tasks,
+                                               base::Time now) const;
   void update_fit(RoutingPass& pass, std::size_t partition) const;
   std::optional<std::size_t> best_partition(const RoutingPass& pass) const;
 
--- a/src/coordination/scheduling/packing.cpp
+++ b/src/coordination/scheduling/packing.cpp
@@ -41,7 +41,7 @@
   }
 };
 
-void pack_pass(std::vector<Group>& groups, std::vector<Bin>& bins, const Resources& scale,
+void pack_pass(std::vector<PackingGroup>& groups, std::vector<Bin>& bins, const Resources& scale,
                std::vector<BinCandidate>& candidates, std::vector<Placement>& placements) {
   std::vector<std::uint32_t> generations(candidates.size(), 0);
   std::priority_queue<QueueEntry> queue;
@@ -70,15 +70,15 @@
     const QueueEntry top = queue.top();
     queue.pop();
     if (top.generation != generations[top.candidate]) continue;
-    Group& group = groups[top.group];
+    PackingGroup& group = groups[top.group];
     // Placements in other bins may have exhausted the group, its zone or its team's quota since
     // scoring.
-    const bool may_place = group.count > 0 && (!group.allowed || group.allowed(top.bin));
-    if (may_place) {
+    const bool can_place = group.count > 0 && (!group.may_place || group.may_place(top.bin));
+    if (can_place) {
       placements.push_back({top.group, top.bin, top.score});
       --group.count;
       bins[top.bin].free -= group.request;
-      if (group.placed) group.placed(top.bin);
+      if (group.on_placed) group.on_placed(top.bin);
     } else {
       std::erase(candidates[top.candidate].groups, top.group);
     }
@@ -88,7 +88,7 @@
 
 // Returns, for each resource, the smallest request of these groups. No group fits a bin with less
 // free capacity.
-Resources minimum_request(const std::vector<Group>& groups,
+Resources minimum_request(const std::vector<PackingGroup>& groups,
                           const std::vector<std::size_t>& tier_groups) {
   Resources minimum = groups[tier_groups.front()].request;
   for (const std::size_t group : tier_groups) {
@@ -101,7 +101,7 @@
 
 // Returns the bins in which tasks of these groups may be placed, by pass.
 std::map<int, std::vector<BinCandidate>> candidates_by_pass(
-    const std::vector<Group>& groups, const std::vector<std::size_t>& tier_groups,
+    const std::vector<PackingGroup>& groups, const std::vector<std::size_t>& tier_groups,
     const std::vector<Bin>& bins) {
   const Resources minimum = minimum_request(groups, tier_groups);
   std::map<int, std::vector<BinCandidate>> passes;
@@ -109,7 +109,7 @@
     if (!bins[bin].free.fits(minimum)) continue;
     for (const std::size_t group : tier_groups) {
       if (!bins[bin].free.fits(groups[group].request)) continue;
-      const int pass = groups[group].pass ? groups[group].pass(bin) : 0;
+      const int pass = groups[group].pass_for_bin ? groups[group].pass_for_bin(bin) : 0;
       if (pass < 0) continue;
       auto& candidates = passes[pass];
       if (candidates.empty() || candidates.back().bin != bin) candidates.push_back({bin, {}});
@@ -121,7 +121,7 @@
 
 }  // namespace
 
-std::vector<Placement> pack(std::vector<Group>& groups, std::vector<Bin>& bins,
+std::vector<Placement> pack(std::vector<PackingGroup>& groups, std::vector<Bin>& bins,
                             const Resources& scale) {
   std::vector<Placement> placements;
   std::map<int, std::vector<std::size_t>> tiers;
--- a/src/coordination/scheduling/packing.h
+++ b/src/coordination/scheduling/packing.h
@@ -14,20 +14,20 @@
 using protocol::Resources;
 
 // Waiting tasks with the same resource request, precedence and placement constraints.
-struct Group {
+struct PackingGroup {
   Resources request;
   std::size_t count = 0;
   int tier = 0;  // groups of lower tiers are packed first
   // Returns the pass over the tier in which a bin is tried for this group: lower passes first, bins
   // with a negative pass never. Called once for each bin with enough capacity, so the result must
   // not change during packing. If unset, all bins are in pass 0.
-  std::function<int(std::size_t bin)> pass;
+  std::function<int(std::size_t bin)> pass_for_bin;
   // Returns whether one more task of the group may be placed in the bin; called before each
   // placement. A rejected bin stays rejected until packing ends, since capacity, quotas and zones
   // only fill up. If unset, every placement is allowed.
-  std::function<bool(std::size_t bin)> allowed;
+  std::function<bool(std::size_t bin)> may_place;
   // Called after each placement of a task of the group. May be unset.
-  std::function<void(std::size_t bin)> placed;
+  std::function<void(std::size_t bin)> on_placed;
 };
 
 // A machine's free capacity, less the requests of the tasks placed there.
@@ -51,7 +51,7 @@
 // capacity of any machine that sends heartbeats. Within a tier and pass, the pair of group and bin
 // with the highest score is placed first; ties go to the bin with the lower index, then to the
 // group with the lower index. After each placement only the changed bin is scored again.
-std::vector<Placement> pack(std::vector<Group>& groups, std::vector<Bin>& bins,
+std::vector<Placement> pack(std::vector<PackingGroup>& groups, std::vector<Bin>& bins,
                             const Resources& scale);
 
 }  // namespace saddleslip::coordination
--- a/src/coordination/scheduling/preemption_planner.cpp
+++ b/src/coordination/scheduling/preemption_planner.cpp
@@ -31,7 +31,7 @@
 std::map<std::string, double> PreemptionPlanner::stopping_cores() const {
   std::map<std::string, double> cores;
   for (const auto& [id, machine] : std::as_const(machines_)) {
-    for (const TaskId& task : machine.evict) {
+    for (const TaskId& task : machine.tasks_to_evict) {
       const Job* job = cache_.job(task.job);
       if (job && job->assignment(task.no)) {
         cores[job->record.spec.team] += job->record.spec.request.cores();
@@ -54,7 +54,7 @@
 Resources PreemptionPlanner::stopping_resources(const Machine& machine) const {
   Resources resources;
   const auto& assignments = cache_.assignments_on(machine.last_heartbeat.machine);
-  for (const TaskId& task : machine.evict) {
+  for (const TaskId& task : machine.tasks_to_evict) {
     const auto assignment = assignments.find(task);
     const Job* job = cache_.job(task.job);
     if (job && assignment != assignments.end() &&
@@ -127,13 +127,14 @@
   std::vector<Victim> victims;
   for (const auto& [task, assignment] : cache_.assignments_on(machine.last_heartbeat.machine)) {
     const Job* job = cache_.job(task.job);
-    if (!job || job->cancelled() || machine.evict.contains(task) ||
+    if (!job || job->cancelled() || machine.tasks_to_evict.contains(task) ||
         machine.reported_ended(task, assignment) || !may_preempt(preemptor, *job)) {
       continue;
     }
-    const auto started_at = machine.ran.find(task);
-    const Seconds work_lost =
-        started_at == machine.ran.end() ? Seconds(0) : base::between(started_at->second, now);
+    const auto started_at = machine.running_since.find(task);
+    const Seconds work_lost = started_at == machine.running_since.end()
+                                  ? Seconds(0)
+                                  : base::between(started_at->second, now);
     victims.push_back({task, job->record.spec.request, work_lost});
   }
   std::sort(victims.begin(), victims.end(),
@@ -202,7 +203,7 @@
   for (const TaskId& victim : plan.tasks) {
     spdlog::info("task preempted: task={}/{} machine={} for_job={}", victim.job.get(), victim.no,
                  id.get(), spec.id.get());
-    machine.evict.insert(victim);
+    machine.tasks_to_evict.insert(victim);
     const Job* job = cache_.job(victim.job);
     if (job) {
       preemptor.stopping_cores[job->record.spec.team] += job->record.spec.request.cores();
--- a/src/coordination/scheduling/record_batch.cpp
+++ b/src/coordination/scheduling/record_batch.cpp
@@ -7,7 +7,7 @@
 using base::Attempt;
 using base::JobId;
 using base::TaskId;
-using base::TaskNo;
+using base::TaskNumber;
 using base::Version;
 using protocol::Assignment;
 using protocol::Transaction;
@@ -30,36 +30,36 @@
   return (spec.one_zone || spec.spread) && job.chunks.size() > 1;
 }
 
-TaskNo index_in_record(const Job& job, TaskNo task) {
+TaskNumber index_in_record(const Job& job, TaskNumber task) {
   return task - job.record.first_task(job.record.chunk_of(task));
 }
 
 }  // namespace
 
-const RecordBatch::RecordEdit* RecordBatch::find_edit(const Job& job, TaskNo task) const {
+const RecordBatch::RecordEdit* RecordBatch::find_edit(const Job& job, TaskNumber task) const {
   const auto entry = edits_.find({job.record.spec.id, job.record.chunk_of(task)});
   return entry == edits_.end() ? nullptr : &entry->second;
 }
 
-bool RecordBatch::is_assigned(const Job& job, TaskNo task) const {
+bool RecordBatch::is_assigned(const Job& job, TaskNumber task) const {
   const RecordEdit* edit = find_edit(job, task);
   return edit ? edit->record.assigned.contains(task) : job.assignment(task) != nullptr;
 }
 
-bool RecordBatch::is_done(const Job& job, TaskNo task) const {
+bool RecordBatch::is_done(const Job& job, TaskNumber task) const {
   const RecordEdit* edit = find_edit(job, task);
   return edit ? edit->record.done[index_in_record(job, task)] : job.is_done(task);
 }
 
-bool RecordBatch::writes_record_of(const Job& job, TaskNo task) const {
+bool RecordBatch::writes_record_of(const Job& job, TaskNumber task) const {
   return find_edit(job, task) != nullptr;
 }
 
-RecordBatch::RecordEdit* RecordBatch::find_or_add_edit(const Job& job, TaskNo task) {
+RecordBatch::RecordEdit* RecordBatch::find_or_add_edit(const Job& job, TaskNumber task) {
   const std::uint32_t chunk = job.record.chunk_of(task);
   const ChunkId id{job.record.spec.id, chunk};
   if (const auto entry = edits_.find(id); entry != edits_.end()) return &entry->second;
-  const bool operations_exhausted = write_count() + 1 > settings_.txn_ops;
+  const bool operations_exhausted = write_count() + 1 > settings_.max_transaction_writes;
   if (!operations_exhausted)
     estimated_bytes_ += kRecordBytes + job.chunks[chunk].record.assigned.size() * kAssignmentBytes;
   if (operations_exhausted || (estimated_bytes_ > kMaxBytes && !edits_.empty())) {
@@ -91,7 +91,7 @@
   std::size_t new_writes = writes_record_of(*job, task.no) ? 0 : 1;
   if (!team_key.empty() && !team_keys_.contains(team_key)) ++new_writes;
   if (!job_key.empty() && !job_keys_.contains(job_key)) ++new_writes;
-  if (write_count() + new_writes > settings_.txn_ops) {
+  if (write_count() + new_writes > settings_.max_transaction_writes) {
     is_full_ = true;
     return {};
   }
@@ -108,7 +108,7 @@
 // Returns whether the task's record, with one more assignment, stays within the state service's
 // limit on the size of a value. A record that was written under a larger limit accepts starts again
 // once enough of its tasks have ended.
-bool RecordBatch::record_fits_start(const Job& job, TaskNo task,
+bool RecordBatch::record_fits_start(const Job& job, TaskNumber task,
                                     const Assignment& assignment) const {
   const RecordEdit* edit = find_edit(job, task);
   const auto& record = edit ? edit->record : job.chunks[job.record.chunk_of(task)].record;
@@ -128,7 +128,7 @@
 
 std::set<JobId> RecordBatch::finalized_jobs() const {
   struct Counts {
-    TaskNo done = 0, assigned = 0;
+    TaskNumber done = 0, assigned = 0;
   };
   std::map<JobId, Counts> after;  // including the changes of this batch
   for (const auto& [id, edit] : edits_) {
@@ -136,8 +136,8 @@
         after.try_emplace(id.job, Counts{edit.job->done, edit.job->assigned}).first->second;
     const auto& before = edit.job->chunks[id.chunk].record;
     counts.done += edit.record.done_count() - before.done_count();
-    counts.assigned += static_cast<TaskNo>(edit.record.assigned.size()) -
-                       static_cast<TaskNo>(before.assigned.size());
+    counts.assigned += static_cast<TaskNumber>(edit.record.assigned.size()) -
+                       static_cast<TaskNumber>(before.assigned.size());
   }
   std::size_t total_writes = write_count();
   std::set<JobId> finalized;
@@ -145,7 +145,7 @@
     const Job& job = *cache_.job(id);
     const bool is_over = job.cancelled_on_record() || counts.done >= job.record.spec.tasks;
     if (counts.assigned > 0 || !is_over || !cache_.is_settled(job)) continue;
-    if (total_writes + kWritesPerFinalization > settings_.txn_ops) continue;
+    if (total_writes + kWritesPerFinalization > settings_.max_transaction_writes) continue;
     total_writes += kWritesPerFinalization;
     finalized.insert(id);
   }
@@ -173,7 +173,7 @@
   for (const JobId& id : finalized) add_finalization(transaction, *cache_.job(id), time_of_day);
   // Added last: these use only the preconditions that the transaction's limit leaves over.
   for (const JobId& id : finalized)
-    guard_task_records(transaction, *cache_.job(id), settings_.txn_ops);
+    guard_task_records(transaction, *cache_.job(id), settings_.max_transaction_writes);
   return transaction;
 }
 
--- a/src/coordination/scheduling/record_batch.h
+++ b/src/coordination/scheduling/record_batch.h
@@ -21,15 +21,15 @@
       : settings_(settings), cache_(cache) {}
 
   // Returns whether the task is assigned to a machine, including the changes in this batch.
-  bool is_assigned(const storage::Job& job, base::TaskNo task) const;
+  bool is_assigned(const storage::Job& job, base::TaskNumber task) const;
   // Returns whether the task is done, including the changes in this batch.
-  bool is_done(const storage::Job& job, base::TaskNo task) const;
+  bool is_done(const storage::Job& job, base::TaskNumber task) const;
   // Returns whether the batch already writes the record that holds this task.
-  bool writes_record_of(const storage::Job& job, base::TaskNo task) const;
+  bool writes_record_of(const storage::Job& job, base::TaskNumber task) const;
 
   // The end of an attempt: the task is done, or must be started again.
   struct TaskCompletion {
-    base::TaskNo task = 0;
+    base::TaskNumber task = 0;
     bool done = false;
   };
   // Returns whether the task record, with these completions, stays within the state service's limit
@@ -66,10 +66,10 @@
     bool has_starts = false;
   };
 
-  const RecordEdit* find_edit(const storage::Job& job, base::TaskNo task) const;
-  RecordEdit* find_or_add_edit(const storage::Job& job, base::TaskNo task);
+  const RecordEdit* find_edit(const storage::Job& job, base::TaskNumber task) const;
+  RecordEdit* find_or_add_edit(const storage::Job& job, base::TaskNumber task);
   std::size_t write_count() const { return edits_.size() + team_keys_.size() + job_keys_.size(); }
-  bool record_fits_start(const storage::Job& job, base::TaskNo task,
+  bool record_fits_start(const storage::Job& job, base::TaskNumber task,
                          const protocol::Assignment& assignment) const;
   std::set<base::JobId> finalized_jobs() const;
   static void guard_whole_chunk(protocol::Transaction& transaction, const storage::Job& job,
--- a/src/coordination/scheduling/scheduling_round.cpp
+++ b/src/coordination/scheduling/scheduling_round.cpp
@@ -68,12 +68,13 @@
   return Seconds(spec.image_gb / type->fetch_gb_per_s * concurrent_fetches);
 }
 
-void Controller::offers_lost(const MemberId& member, const std::vector<protocol::Offers>& offers) {
+void Controller::handle_undelivered_offers(const MemberId& member,
+                                           const std::vector<protocol::Offers>& offers) {
   peers_.forget(member);
   for (const protocol::Offers& undelivered : offers) offer_router_.forget_offers(undelivered);
 }
 
-std::map<MemberId, protocol::Offers> Controller::route(Time now) {
+std::map<MemberId, protocol::Offers> Controller::route_waiting_tasks(Time now) {
   if (!has_authority(now)) return {};
   offer_router_.expire(now);
   const std::vector<const Job*> jobs = offer_router_.jobs_to_route(self_, now);
@@ -91,12 +92,12 @@
   return priorities_.starving_tasks(job, now);
 }
 
-RoundPlan Controller::plan(Time now, WriteBudget write_budget) {
+RoundPlan Controller::plan_round(Time now, WriteBudget write_budget) {
   detect_pause(now);
   RoundPlan plan;
   contact_monitor_.update_authority(has_authority(now), now);
   if (!has_authority(now)) return plan;
-  housekeeping(now);
+  run_periodic_checks(now);
   priorities_.update(now);
 
   RecordBatch batch(settings_, cache_);
@@ -105,12 +106,13 @@
   std::vector<RoundPlan::Completion> deferred =
       record_completions(std::move(completions), write_budget, now, batch, plan);
   std::vector<WaitingJob> waiting = waiting_jobs(write_budget, now, batch);
-  place(waiting, now, plan);
+  place_tasks(waiting, now, plan);
   record_starts(batch, plan);
   record_deferred_completions(std::move(deferred), write_budget, now, batch, plan);
   free_capacity(waiting, plan, now);
-  plan.more = batch.is_full();
-  if (!batch.empty()) plan.txn = batch.build(self_, installed_view_, priorities_.time_of_day(now));
+  plan.has_more_changes = batch.is_full();
+  if (!batch.empty())
+    plan.transaction = batch.build(self_, installed_view_, priorities_.time_of_day(now));
   return plan;
 }
 
@@ -128,7 +130,7 @@
     if (is_new) waiting.push_back({job, {}, {}, true});
     WaitingJob& waiting_job = waiting[entry->second];
     for (const auto& [first, count] : offer.ranges) {
-      for (TaskNo task = first; task - first < count && task < job->record.spec.tasks; ++task) {
+      for (TaskNumber task = first; task - first < count && task < job->record.spec.tasks; ++task) {
         if (!batch.is_assigned(*job, task) && !batch.is_done(*job, task))
           waiting_job.tasks.push_back(task);
       }
@@ -138,12 +140,12 @@
                             waiting_job.tasks.end());
   }
   std::erase_if(waiting, [](const WaitingJob& waiting_job) { return waiting_job.tasks.empty(); });
-  for (WaitingJob& waiting_job : waiting) find_zones(waiting_job);
+  for (WaitingJob& waiting_job : waiting) count_tasks_by_zone(waiting_job);
   return waiting;
 }
 
 // Counts the assigned tasks by zone for a job that must keep to one zone or spread over zones.
-void Controller::find_zones(WaitingJob& waiting_job) const {
+void Controller::count_tasks_by_zone(WaitingJob& waiting_job) const {
   const auto& spec = waiting_job.job->record.spec;
   if (!spec.one_zone && !spec.spread) return;
   for (const auto& chunk : waiting_job.job->chunks) {
@@ -174,8 +176,8 @@
 // Returns each job's position within its tier. If the waiting tasks request more than the free
 // capacity, jobs are placed in the order of their due times; otherwise all positions are 0 and the
 // packing score alone decides.
-std::vector<int> Controller::order_by_due(const std::vector<WaitingJob>& waiting,
-                                          const std::vector<Bin>& bins, Time now) const {
+std::vector<int> Controller::order_by_due_time(const std::vector<WaitingJob>& waiting,
+                                               const std::vector<Bin>& bins, Time now) const {
   std::vector<int> order(waiting.size(), 0);
   Resources requested, free;
   for (const WaitingJob& waiting_job : waiting) {
@@ -186,19 +188,19 @@
   if (free.fits(requested)) return order;
   std::vector<std::pair<double, std::size_t>> by_due;
   for (std::size_t i = 0; i < waiting.size(); ++i) {
-    by_due.emplace_back(priorities_.due(*waiting[i].job, now), i);
+    by_due.emplace_back(priorities_.due_time(*waiting[i].job, now), i);
   }
   std::sort(by_due.begin(), by_due.end());
   for (std::size_t i = 0; i < by_due.size(); ++i) order[by_due[i].second] = static_cast<int>(i);
   return order;
 }
 
-void Controller::place(std::vector<WaitingJob>& waiting, Time now, RoundPlan& plan) {
+void Controller::place_tasks(std::vector<WaitingJob>& waiting, Time now, RoundPlan& plan) {
   OpenMachines open = open_machines(now);
-  const std::vector<int> due_order = order_by_due(waiting, open.bins, now);
+  const std::vector<int> due_order = order_by_due_time(waiting, open.bins, now);
   const int tier_stride = static_cast<int>(waiting.size()) + 1;
   std::map<std::string, Resources> planned;  // requests of the planned starts, by team
-  std::vector<Group> groups;
+  std::vector<PackingGroup> groups;
   for (std::size_t i = 0; i < waiting.size(); ++i) {
     WaitingJob& waiting_job = waiting[i];
     const auto& spec = waiting_job.job->record.spec;
@@ -206,19 +208,19 @@
     if (starving && waiting_job.tasks.size() > *starving) waiting_job.tasks.resize(*starving);
     // One task is enough to find out whether a crash-looping job still fails.
     if (spec.kind != Kind::kGang && is_crash_looping(spec.id, now)) waiting_job.tasks.resize(1);
-    Group group;
+    PackingGroup group;
     group.request = spec.request;
     group.count = waiting_job.tasks.size();
     group.tier = (starving ? -1 : priorities_.tier(*waiting_job.job)) * tier_stride + due_order[i];
-    group.allowed = [&, this](std::size_t bin) {
+    group.may_place = [&, this](std::size_t bin) {
       return may_start(waiting_job, open.machines[bin]->last_heartbeat, planned[spec.team]);
     };
-    group.placed = [&](std::size_t bin) {
+    group.on_placed = [&](std::size_t bin) {
       const Heartbeat& heartbeat = open.machines[bin]->last_heartbeat;
-      const auto task =
-          std::find_if(waiting_job.tasks.begin(), waiting_job.tasks.end(), [&](TaskNo candidate) {
-            return !heartbeat.tasks.contains(TaskId{spec.id, candidate});
-          });
+      const auto task = std::find_if(waiting_job.tasks.begin(), waiting_job.tasks.end(),
+                                     [&](TaskNumber candidate) {
+                                       return !heartbeat.tasks.contains(TaskId{spec.id, candidate});
+                                     });
       plan.starts.push_back(
           {{spec.id, *task}, {heartbeat.machine, {}, heartbeat.agent_incarnation}});
       waiting_job.tasks.erase(task);
@@ -227,8 +229,8 @@
     };
     const auto start_within = priorities_.start_within(spec);
     const bool prefers_preemption = preemption_.prefers_preemption(*waiting_job.job, now);
-    group.pass = [&, this, start_within, prefers_preemption](std::size_t bin) {
-      return preference(spec, *open.machines[bin], start_within, prefers_preemption, now);
+    group.pass_for_bin = [&, this, start_within, prefers_preemption](std::size_t bin) {
+      return packing_pass(spec, *open.machines[bin], start_within, prefers_preemption, now);
     };
     groups.push_back(std::move(group));
   }
@@ -262,7 +264,7 @@
     }
   }
   // The agent rejects a task as busy while it still reports an earlier attempt of that task.
-  return std::any_of(waiting_job.tasks.begin(), waiting_job.tasks.end(), [&](TaskNo task) {
+  return std::any_of(waiting_job.tasks.begin(), waiting_job.tasks.end(), [&](TaskNumber task) {
     return !heartbeat.tasks.contains(TaskId{spec.id, task});
   });
 }
@@ -272,9 +274,9 @@
 // other steps of a start. Services prefer zones that have a controller, because a network partition
 // between zones makes all machines of the other zones unreachable; other jobs prefer the zones
 // without one, to leave that capacity to services.
-int Controller::preference(const protocol::JobSpec& spec, const Machine& machine,
-                           std::optional<Seconds> start_within, bool prefers_preemption,
-                           Time now) const {
+int Controller::packing_pass(const protocol::JobSpec& spec, const Machine& machine,
+                             std::optional<Seconds> start_within, bool prefers_preemption,
+                             Time now) const {
   if (!may_run(spec, machine.last_heartbeat.type, machine.last_heartbeat.zone,
                machine.last_heartbeat.spot))
     return -1;
@@ -321,21 +323,22 @@
   preemption_.preempt(unplaced, now);
 }
 
-std::vector<CommandBatch> Controller::committed(const RoundPlan& plan, Version version, Time now) {
+std::vector<CommandBatch> Controller::apply_committed_plan(const RoundPlan& plan, Version version,
+                                                           Time now) {
   std::vector<CommandBatch> batches;
   for (const RoundPlan::Completion& completion : plan.completions) {
     // Before apply(), which removes a job together with its last completion.
     if (completion.done) learn_run_time(completion);
   }
-  cache_.apply(plan.txn, base::Revision(version.get()), now);
+  cache_.apply(plan.transaction, base::Revision(version.get()), now);
   for (const RoundPlan::Completion& completion : plan.completions) {
     attempts_.forget(completion.task);
     spdlog::debug("attempt ended: task={}/{} machine={} reason={}", completion.task.job.get(),
-                  completion.task.no, completion.machine.get(), completion.why);
+                  completion.task.no, completion.machine.get(), completion.reason);
     if (completion.done) {
       failures_.record_success(completion.machine);
       failures_.mark_known_good(completion.task.job);
-    } else if (completion.why == protocol::to_string(EndCause::kError)) {
+    } else if (completion.reason == protocol::to_string(EndCause::kError)) {
       failures_.record_failure(completion.task.job, completion.machine, run_before_end(completion),
                                now);
     }
@@ -364,18 +367,18 @@
     // Each batch that starts tasks has a fencing token of its own: once the agent has reported a
     // higher token, it no longer executes a delayed copy of this batch.
     machine.fencing_token = FencingToken(machine.fencing_token.get() + 1);
-    machine.fence_floor = machine.fencing_token;
+    machine.required_fencing_token = machine.fencing_token;
     if (!machine.commands_lost) batches.push_back(std::move(batch));
   }
   return batches;
 }
 
-std::vector<CommandBatch> Controller::stops(Time now) {
+std::vector<CommandBatch> Controller::kill_commands_due(Time now) {
   std::vector<CommandBatch> batches;
   if (!has_authority(now)) return batches;
   attempts_.expire_kills(now);
   for (const auto& [id, machine] : machines_) {
-    if (!capacity(machine).stops || machine.commands_lost || !is_schedulable(machine, now))
+    if (!capacity(machine).has_kills_due || machine.commands_lost || !is_schedulable(machine, now))
       continue;
     CommandBatch batch{id,
                        machine.last_heartbeat.address,
--- a/src/daemon/command_sender.cpp
+++ b/src/daemon/command_sender.cpp
@@ -52,7 +52,7 @@
   if (response.delivery != transport::Delivery::kAnswered) {
     spdlog::info("no response to command batch: machine={}", batch.machine.get());
     shared_controller.with_lock(
-        [&](Controller& controller) { controller.commands_lost(batch.machine); });
+        [&](Controller& controller) { controller.handle_undelivered_commands(batch.machine); });
     return;
   }
   shared_controller.with_lock([&](Controller& controller) {
--- a/src/daemon/fleet_loop.cpp
+++ b/src/daemon/fleet_loop.cpp
@@ -105,7 +105,7 @@
   const auto machines = cloud_client_.list();
   if (!machines) return;
   context_.controller.with_lock([&](Controller& controller) {
-    controller.listed(*machines, SteadyClock::now(), base::wall_seconds());
+    controller.handle_machine_list(*machines, SteadyClock::now(), base::wall_seconds());
   });
 }
 
@@ -116,8 +116,9 @@
     return;
   }
   spdlog::info("machines released: machines={}", join_ids(machines));
-  context_.controller.with_lock(
-      [&](Controller& controller) { controller.released(machines, SteadyClock::now()); });
+  context_.controller.with_lock([&](Controller& controller) {
+    controller.record_released_machines(machines, SteadyClock::now());
+  });
   context_.wakeups.scheduling.notify();
 }
 
@@ -171,17 +172,18 @@
       spdlog::info("machines rented: requested={} count={} type={} zone={} spot={}", request.count,
                    response.machines.size(), kind.type, kind.zone, kind.spot);
       context_.controller.with_lock([&](Controller& controller) {
-        controller.rented(kind, response.machines, base::wall_seconds());
+        controller.record_rented_machines(kind, response.machines, base::wall_seconds());
         if (static_cast<int>(response.machines.size()) < request.count) {
-          controller.refused(kind, SteadyClock::now());
+          controller.record_out_of_capacity(kind, SteadyClock::now());
         }
       });
       return RentalOutcome::kRented;
     case Outcome::kNoCapacity:
       spdlog::info("no capacity requested={} type={} zone={} spot={}", request.count, kind.type,
                    kind.zone, kind.spot);
-      context_.controller.with_lock(
-          [&](Controller& controller) { controller.refused(kind, SteadyClock::now()); });
+      context_.controller.with_lock([&](Controller& controller) {
+        controller.record_out_of_capacity(kind, SteadyClock::now());
+      });
       return RentalOutcome::kNoCapacity;
     case Outcome::kUnknown:
       unresolved_request_ = request;
--- a/src/daemon/http_routes.cpp
+++ b/src/daemon/http_routes.cpp
@@ -93,7 +93,7 @@
         // in an outage of the state service no controller is better than another, and removal from
         // the load balancer would outlast the outage. A controller that alone cannot reach the
         // service is not ready.
-        return controller.has_lease(now) || (was_ready && !controller.peers_have_state(now));
+        return controller.has_lease(now) || (was_ready && !controller.any_peer_has_lease(now));
       });
   if (!is_ready) return error_reply(503, "not ready", 1);
   was_ready_ = true;
--- a/src/daemon/lease_renewer.cpp
+++ b/src/daemon/lease_renewer.cpp
@@ -47,7 +47,7 @@
       continue;
     }
     context_.controller.with_lock([](Controller& controller) {
-      controller.tell_time(SteadyClock::now(), base::wall_seconds());
+      controller.set_time_of_day(SteadyClock::now(), base::wall_seconds());
     });
     if (!renew_lease()) continue;
     if (commit_membership_change()) continue;
--- a/src/daemon/peer_request_handler.cpp
+++ b/src/daemon/peer_request_handler.cpp
@@ -29,8 +29,8 @@
     context_.wakeups.lease_renewal.notify();
   }
   return {200,
-          protocol::encode_peer_reply(
-              {instructions.released, instructions.cordon, instructions.drain, instructions.again}),
+          protocol::encode_peer_reply({instructions.released, instructions.cordon,
+                                       instructions.drain, instructions.needs_full_status}),
           0};
 }
 
--- a/src/daemon/peer_sync.cpp
+++ b/src/daemon/peer_sync.cpp
@@ -68,8 +68,9 @@
   const auto response = http_.post(protocol::kPeerStatusPath, body, kPeerTimeout);
   if (!response.ok()) {
     if (!message.offers.empty()) {
-      context_.controller.with_lock(
-          [&](Controller& controller) { controller.offers_lost(member_, message.offers); });
+      context_.controller.with_lock([&](Controller& controller) {
+        controller.handle_undelivered_offers(member_, message.offers);
+      });
       context_.wakeups.scheduling.notify();
     }
     return false;
@@ -92,8 +93,8 @@
 void PeerSync::handle_reply(const PeerReply& reply, std::uint64_t status_revision) {
   if (reply.needs_full_status) wakeup_.notify();
   context_.controller.with_lock([&](Controller& controller) {
-    controller.peer_reached(member_, SteadyClock::now());
-    controller.status_acknowledged(member_, reply.needs_full_status ? 0 : status_revision);
+    controller.record_peer_reached(member_, SteadyClock::now());
+    controller.acknowledge_status(member_, reply.needs_full_status ? 0 : status_revision);
     controller.mark_released(reply.released, SteadyClock::now());
     controller.cordon_idle(reply.cordon);
     controller.drain(reply.drain);
--- a/src/daemon/scheduling_loop.cpp
+++ b/src/daemon/scheduling_loop.cpp
@@ -59,8 +59,9 @@
   const WriteBudget write_budget = await_write_budget(stop);
   const Time started_at = SteadyClock::now();
   route_offers();
-  const RoundPlan plan = context_.controller.with_lock(
-      [&](Controller& controller) { return controller.plan(SteadyClock::now(), write_budget); });
+  const RoundPlan plan = context_.controller.with_lock([&](Controller& controller) {
+    return controller.plan_round(SteadyClock::now(), write_budget);
+  });
   average_planning_time_ =
       average_planning_time_ * (1 - kLatestPlanningTimeWeight) +
       base::between(started_at, SteadyClock::now()) * kLatestPlanningTimeWeight;
@@ -70,7 +71,7 @@
   const bool is_committed = start_commands.has_value();
   Commands commands = std::move(start_commands).value_or(Commands{});
   auto stop_commands = context_.controller.with_lock(
-      [](Controller& controller) { return controller.stops(SteadyClock::now()); });
+      [](Controller& controller) { return controller.kill_commands_due(SteadyClock::now()); });
   std::move(stop_commands.begin(), stop_commands.end(), std::back_inserter(commands));
   command_sender_.enqueue(std::move(commands));
 
@@ -78,13 +79,13 @@
   // commit failed. Events that arrive meanwhile start the next round.
   if (plan.empty()) return false;
   if (!is_committed) sleep_for(kMinRoundGap, stop);
-  return !is_committed || plan.more;
+  return !is_committed || plan.has_more_changes;
 }
 
 void SchedulingLoop::route_offers() {
   auto routed = context_.controller.with_lock([](Controller& controller) {
     controller.install_view(SteadyClock::now());
-    auto offers = controller.route(SteadyClock::now());
+    auto offers = controller.route_waiting_tasks(SteadyClock::now());
     const auto own = offers.find(controller.self().member);
     if (own != offers.end()) {
       controller.add_offers(own->second, SteadyClock::now());
@@ -101,13 +102,13 @@
 std::optional<SchedulingLoop::Commands> SchedulingLoop::commit_plan(const RoundPlan& plan,
                                                                     const std::stop_token& stop) {
   using Outcome = StateClient::Outcome;
-  const auto commit_result = state_client_.commit(plan.txn, kCommitTimeout);
-  write_limiter_.charge(plan.txn.writes.size());
+  const auto commit_result = state_client_.commit(plan.transaction, kCommitTimeout);
+  write_limiter_.charge(plan.transaction.writes.size());
   switch (commit_result.outcome) {
     case Outcome::kDone:
       return context_.controller.with_lock([&](Controller& controller) {
-        return controller.committed(plan, base::Version(commit_result.revision.get()),
-                                    SteadyClock::now());
+        return controller.apply_committed_plan(plan, base::Version(commit_result.revision.get()),
+                                               SteadyClock::now());
       });
     case Outcome::kConflict:
       replicator_.refresh(commit_result.failed);
@@ -116,7 +117,7 @@
       // The commit may have been applied, or may still be. The next commit of these keys requires
       // the versions that are read now, so the preconditions let only one of the two succeed.
       std::vector<std::string> keys;
-      for (const auto& write : plan.txn.writes) keys.push_back(write.key);
+      for (const auto& write : plan.transaction.writes) keys.push_back(write.key);
       replicator_.refresh(keys);
       return {};
     }
@@ -164,7 +165,7 @@
     const auto state = protocol::parse_final_state(response.item.value);
     if (!state) continue;
     context_.controller.with_lock(
-        [&](Controller& controller) { controller.cache().remember_final(id, *state); });
+        [&](Controller& controller) { controller.cache().add_final_state(id, *state); });
   }
 }
 
--- a/src/daemon/state_replicator.cpp
+++ b/src/daemon/state_replicator.cpp
@@ -91,10 +91,10 @@
 bool StateReplicator::list_all(const std::string& prefix, std::vector<Item>& items,
                                Revision& revision) {
   std::string after;
-  for (bool is_first = true;; is_first = false) {
+  for (bool is_first_page = true;; is_first_page = false) {
     auto page = state_client_.list(prefix, after, kListTimeout);
     if (!page.answered) return false;
-    if (is_first) revision = page.revision;
+    if (is_first_page) revision = page.revision;
     if (page.items.empty()) return true;
     after = page.items.back().key;
     std::move(page.items.begin(), page.items.end(), std::back_inserter(items));
@@ -127,8 +127,8 @@
     return true;
   });
   if (!is_current) return false;
-  const bool is_first = !is_loaded_.exchange(true);
-  if (is_first || has_membership_changed) context_.wakeups.lease_renewal.notify();
+  const bool is_first_load = !is_loaded_.exchange(true);
+  if (is_first_load || has_membership_changed) context_.wakeups.lease_renewal.notify();
   if (has_changed) context_.wakeups.scheduling.notify();
   return true;
 }
--- a/src/protocol/base_types.h
+++ b/src/protocol/base_types.h
@@ -23,7 +23,7 @@
 using base::Seconds;
 using base::Sequence;
 using base::TaskId;
-using base::TaskNo;
+using base::TaskNumber;
 using base::Time;
 using base::Version;
 
--- a/src/protocol/heartbeat.cpp
+++ b/src/protocol/heartbeat.cpp
@@ -22,10 +22,10 @@
   if (slash == std::string::npos || slash == 0) return {};
   const std::size_t digits = text.size() - slash - 1;
   if (digits == 0 || digits > kMaxTaskDigits) return {};
-  TaskNo number = 0;
+  TaskNumber number = 0;
   for (std::size_t i = slash + 1; i < text.size(); ++i) {
     if (text[i] < '0' || text[i] > '9') return {};
-    number = number * 10 + static_cast<TaskNo>(text[i] - '0');
+    number = number * 10 + static_cast<TaskNumber>(text[i] - '0');
   }
   return TaskId{JobId(text.substr(0, slash)), number};
 }
--- a/src/protocol/job_record.cpp
+++ b/src/protocol/job_record.cpp
@@ -25,11 +25,11 @@
 
 // Reads a number of tasks from 1 to `max` into `size`; leaves `size` unchanged if the field is
 // missing. Returns false if the field is malformed.
-bool read_task_count(const Json& value, const char* field, TaskNo max, TaskNo& size) {
+bool read_task_count(const Json& value, const char* field, TaskNumber max, TaskNumber& size) {
   const auto entry = value.find(field);
   if (entry == value.end()) return true;
   if (!entry->is_number_unsigned() || *entry < 1u || *entry > max) return false;
-  size = entry->get<TaskNo>();
+  size = entry->get<TaskNumber>();
   return true;
 }
 
@@ -39,8 +39,8 @@
   return piece_size == 0 ? 1 : (chunk_size + piece_size - 1) / piece_size;
 }
 
-std::uint32_t JobRecord::chunk_of(TaskNo task) const {
-  const TaskNo piece_in_chunk = piece_size == 0 ? 0 : task % chunk_size / piece_size;
+std::uint32_t JobRecord::chunk_of(TaskNumber task) const {
+  const TaskNumber piece_in_chunk = piece_size == 0 ? 0 : task % chunk_size / piece_size;
   return task / chunk_size * pieces_of_chunk() + piece_in_chunk;
 }
 
@@ -48,13 +48,13 @@
   return chunk_of(spec.tasks - 1) + std::size_t{1};
 }
 
-TaskNo JobRecord::first_task(std::uint32_t number) const {
+TaskNumber JobRecord::first_task(std::uint32_t number) const {
   return number / pieces_of_chunk() * chunk_size + number % pieces_of_chunk() * piece_size;
 }
 
-TaskNo JobRecord::tasks_of(std::uint32_t number) const {
-  const TaskNo first = first_task(number);
-  const TaskNo remaining = std::min(chunk_size - first % chunk_size, spec.tasks - first);
+TaskNumber JobRecord::tasks_of(std::uint32_t number) const {
+  const TaskNumber first = first_task(number);
+  const TaskNumber remaining = std::min(chunk_size - first % chunk_size, spec.tasks - first);
   return piece_size == 0 ? remaining : std::min(piece_size, remaining);
 }
 
--- a/src/protocol/job_record.h
+++ b/src/protocol/job_record.h
@@ -31,19 +31,19 @@
   // job.
   double submitted_at = 0;
   bool cancelled = false;
-  TaskNo chunk_size = kMaxChunkTasks;  // tasks per chunk
-  TaskNo piece_size = 0;               // tasks per piece; 0: the chunks are not split
+  TaskNumber chunk_size = kMaxChunkTasks;  // tasks per chunk
+  TaskNumber piece_size = 0;               // tasks per piece; 0: the chunks are not split
 
   // Returns the number of task records per chunk: 1 if the chunks are not split.
   std::uint32_t pieces_of_chunk() const;
   // Returns the number of the task record that holds the task.
-  std::uint32_t chunk_of(TaskNo task) const;
+  std::uint32_t chunk_of(TaskNumber task) const;
   // Returns the number of task records. Requires a job with at least one task.
   std::size_t chunks() const;
   // Returns the number of the first task in the task record `number`.
-  TaskNo first_task(std::uint32_t number) const;
+  TaskNumber first_task(std::uint32_t number) const;
   // Returns how many tasks the task record `number` holds.
-  TaskNo tasks_of(std::uint32_t number) const;
+  TaskNumber tasks_of(std::uint32_t number) const;
   // Returns the key of the task record `number` in the state service.
   std::string record_key(std::uint32_t number) const;
 };
--- a/src/protocol/job_spec.cpp
+++ b/src/protocol/job_spec.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr TaskNo kMaxTasks = 100'000;
+constexpr TaskNumber kMaxTasks = 100'000;
 constexpr std::size_t kMaxTypes = 1000;
 
 // Names in submissions, in the order of the enums. A service is called a daemon there.
@@ -151,7 +151,7 @@
   spec.kind = read_enum<Kind>(reader, wire::kJobKind, kKindNames, "must be array, gang or daemon");
   spec.rank =
       read_enum<Rank>(reader, "rank", kRankNames, "must be critical, urgent, standard or idle");
-  spec.tasks = static_cast<TaskNo>(reader.read_integer(wire::kTaskCount, 1, kMaxTasks));
+  spec.tasks = static_cast<TaskNumber>(reader.read_integer(wire::kTaskCount, 1, kMaxTasks));
   spec.request.amounts = {reader.read_amount("cores", 0), reader.read_amount("gpus", 0),
                           reader.read_amount("memory_gb", 0)};
   read_placement(reader, spec);
--- a/src/protocol/job_spec.h
+++ b/src/protocol/job_spec.h
@@ -29,7 +29,7 @@
   std::string team;
   Kind kind = Kind::kArray;
   Rank rank = Rank::kStandard;
-  TaskNo tasks = 0;
+  TaskNumber tasks = 0;
   Resources request;                              // resources of each task
   std::optional<std::vector<std::string>> types;  // allowed machine types; nullopt: all
   std::optional<std::string> zone;                // required zone; nullopt: any
--- a/src/protocol/peer_status.cpp
+++ b/src/protocol/peer_status.cpp
@@ -157,7 +157,7 @@
     offers.epoch = Epoch(body.at(kEpoch).get<std::uint64_t>());
     for (const Json& entry : body.at(kOffers)) {
       offers.offers.push_back({JobId(entry.at(0).get<std::string>()),
-                               entry.at(1).get<std::vector<std::pair<TaskNo, TaskNo>>>()});
+                               entry.at(1).get<std::vector<std::pair<TaskNumber, TaskNumber>>>()});
     }
     return offers;
   } catch (const Json::exception&) {
--- a/src/protocol/peer_status.h
+++ b/src/protocol/peer_status.h
@@ -77,7 +77,7 @@
 // An offer to run tasks of a job for which the sender's own machines lack capacity.
 struct Offer {
   JobId job;
-  std::vector<std::pair<TaskNo, TaskNo>> ranges;  // first task and number of tasks
+  std::vector<std::pair<TaskNumber, TaskNumber>> ranges;  // first task and number of tasks
 };
 
 // Offers that a member makes under one membership view.
--- a/src/protocol/task_records.cpp
+++ b/src/protocol/task_records.cpp
@@ -29,14 +29,14 @@
 
 // A run of adjacent tasks in a record. The offset counts from the first task of the record.
 struct Run {
-  TaskNo offset = 0;
-  TaskNo count = 0;
+  TaskNumber offset = 0;
+  TaskNumber count = 0;
 };
 
 // Parses a run in a record of `tasks` tasks; nullopt if it reaches beyond the end of the record.
 // Throws Json::exception if the value is not a run.
-std::optional<Run> parse_run(const Json& value, TaskNo tasks) {
-  const Run run{value.at(0).get<TaskNo>(), value.at(1).get<TaskNo>()};
+std::optional<Run> parse_run(const Json& value, TaskNumber tasks) {
+  const Run run{value.at(0).get<TaskNumber>(), value.at(1).get<TaskNumber>()};
   if (run.offset > tasks || run.count > tasks - run.offset) return {};
   return run;
 }
@@ -58,11 +58,11 @@
 }
 
 // Encodes the assignments as runs of adjacent tasks with the same assignment.
-Json encode_assigned_runs(const std::map<TaskNo, Assignment>& assigned, TaskNo first) {
+Json encode_assigned_runs(const std::map<TaskNumber, Assignment>& assigned, TaskNumber first) {
   Json runs = Json::array();
   for (auto task = assigned.begin(); task != assigned.end();) {
     const auto& [number, assignment] = *task;
-    TaskNo count = 1;
+    TaskNumber count = 1;
     auto next = std::next(task);
     while (next != assigned.end() && next->first == number + count && next->second == assignment) {
       ++count;
@@ -83,18 +83,18 @@
 
 }  // namespace
 
-TaskNo ChunkRecord::done_count() const {
-  return static_cast<TaskNo>(std::count(done.begin(), done.end(), true));
+TaskNumber ChunkRecord::done_count() const {
+  return static_cast<TaskNumber>(std::count(done.begin(), done.end(), true));
 }
 
-TaskNo chunk_size(TaskNo tasks, std::size_t partitions, std::size_t max_bytes) {
-  constexpr TaskNo kMinChunkTasks = 16;
+TaskNumber chunk_size(TaskNumber tasks, std::size_t partitions, std::size_t max_bytes) {
+  constexpr TaskNumber kMinChunkTasks = 16;
   const std::size_t available_bytes = max_bytes > kFrameBytes ? max_bytes - kFrameBytes : 0;
   const std::size_t fitting_tasks = available_bytes / kExpectedAssignmentBytes;
   const auto max_chunk_tasks =
-      static_cast<TaskNo>(std::clamp<std::size_t>(fitting_tasks, 1, kMaxChunkTasks));
-  const auto record_count = static_cast<TaskNo>(std::max<std::size_t>(1, partitions));
-  const TaskNo preferred_tasks = (tasks + record_count - 1) / record_count;
+      static_cast<TaskNumber>(std::clamp<std::size_t>(fitting_tasks, 1, kMaxChunkTasks));
+  const auto record_count = static_cast<TaskNumber>(std::max<std::size_t>(1, partitions));
+  const TaskNumber preferred_tasks = (tasks + record_count - 1) / record_count;
   return std::clamp(preferred_tasks, std::min(kMinChunkTasks, max_chunk_tasks), max_chunk_tasks);
 }
 
@@ -116,13 +116,13 @@
   return bytes;
 }
 
-Json to_json(const ChunkRecord& chunk, TaskNo first) {
+Json to_json(const ChunkRecord& chunk, TaskNumber first) {
   return Json{{kNextAttempt, chunk.next_attempt.get()},
               {kDoneRuns, encode_done_runs(chunk.done)},
               {kAssignedRuns, encode_assigned_runs(chunk.assigned, first)}};
 }
 
-std::optional<ChunkRecord> parse_chunk(const Json& value, TaskNo first, TaskNo count) {
+std::optional<ChunkRecord> parse_chunk(const Json& value, TaskNumber first, TaskNumber count) {
   ChunkRecord chunk;
   chunk.done.assign(count, false);
   if (value.is_null()) return chunk;
@@ -137,7 +137,7 @@
       const auto run = parse_run(entry, count);
       if (!run) return {};
       const Assignment assignment = parse_assignment(entry);
-      for (TaskNo i = 0; i < run->count; ++i) {
+      for (TaskNumber i = 0; i < run->count; ++i) {
         chunk.assigned[first + run->offset + i] = assignment;
       }
     }
--- a/src/protocol/task_records.h
+++ b/src/protocol/task_records.h
@@ -13,7 +13,7 @@
 
 // The maximum number of tasks per chunk, as a task record must fit into one value of the state
 // service.
-inline constexpr TaskNo kMaxChunkTasks = 256;
+inline constexpr TaskNumber kMaxChunkTasks = 256;
 
 // The assignment of a task to a machine: the attempt that runs, or may run, there.
 struct Assignment {
@@ -29,16 +29,16 @@
   Attempt next_attempt{1};
   // Indexed by the number of the task minus the number of the first task in the record.
   std::vector<bool> done;
-  std::map<TaskNo, Assignment> assigned;  // by task number
+  std::map<TaskNumber, Assignment> assigned;  // by task number
   // Returns the number of tasks that are done.
-  TaskNo done_count() const;
+  TaskNumber done_count() const;
 };
 
 // Returns the number of tasks per task record for a job of `tasks` tasks. It is small enough that
 // there is a record for each of the partitions, since controllers that write the same record
 // conflict, and that a record fits into `max_bytes` even if every task is assigned to a different
 // machine.
-TaskNo chunk_size(TaskNo tasks, std::size_t partitions, std::size_t max_bytes);
+TaskNumber chunk_size(TaskNumber tasks, std::size_t partitions, std::size_t max_bytes);
 
 // Returns an upper bound for the size of the encoded record in bytes.
 std::size_t encoded_size_bound(const ChunkRecord& chunk);
@@ -46,9 +46,9 @@
 std::size_t encoded_size_bound(const Assignment& assignment);
 
 // Encodes a task record. `first` is the number of the first task in the record.
-Json to_json(const ChunkRecord& chunk, TaskNo first);
+Json to_json(const ChunkRecord& chunk, TaskNumber first);
 // Parses a task record of `count` tasks, the first of which has the number `first`. JSON null
 // stands for a record that was never written. Returns nullopt if the value is malformed.
-std::optional<ChunkRecord> parse_chunk(const Json& value, TaskNo first, TaskNo count);
+std::optional<ChunkRecord> parse_chunk(const Json& value, TaskNumber first, TaskNumber count);
 
 }  // namespace saddleslip::protocol
--- a/src/protocol/user_responses.cpp
+++ b/src/protocol/user_responses.cpp
@@ -13,8 +13,8 @@
 
 }  // namespace
 
-std::string user_status(const JobId& id, JobStatus status, std::optional<TaskNo> done,
-                        std::optional<TaskNo> running) {
+std::string user_status(const JobId& id, JobStatus status, std::optional<TaskNumber> done,
+                        std::optional<TaskNumber> running) {
   Json json = {{wire::kId, id.get()}, {"status", kStatusNames[static_cast<std::size_t>(status)]}};
   if (done) json["done"] = *done;
   if (running) json["running"] = *running;
--- a/src/protocol/user_responses.h
+++ b/src/protocol/user_responses.h
@@ -26,8 +26,8 @@
 
 // Encodes the response body with the status of a job and, if given, the numbers of its tasks that
 // are done and running.
-std::string user_status(const JobId& id, JobStatus status, std::optional<TaskNo> done = {},
-                        std::optional<TaskNo> running = {});
+std::string user_status(const JobId& id, JobStatus status, std::optional<TaskNumber> done = {},
+                        std::optional<TaskNumber> running = {});
 
 // Encodes the response body that rejects a request. Bytes of `reason` that are not valid UTF-8 are
 // replaced.
--- a/src/storage/assignment_index.cpp
+++ b/src/storage/assignment_index.cpp
@@ -3,8 +3,8 @@
 namespace saddleslip::storage {
 
 void AssignmentIndex::update(const protocol::JobSpec& job,
-                             const std::map<TaskNo, Assignment>& before,
-                             const std::map<TaskNo, Assignment>& after) {
+                             const std::map<TaskNumber, Assignment>& before,
+                             const std::map<TaskNumber, Assignment>& after) {
   // Both maps are sorted by task number, so a single pass finds the differences.
   auto old = before.begin();
   for (const auto& [task, assignment] : after) {
@@ -20,13 +20,14 @@
   for (; old != before.end(); ++old) remove(job, old->first, old->second);
 }
 
-void AssignmentIndex::add(const protocol::JobSpec& job, TaskNo task, const Assignment& assignment) {
+void AssignmentIndex::add(const protocol::JobSpec& job, TaskNumber task,
+                          const Assignment& assignment) {
   by_machine_[assignment.machine][TaskId{job.id, task}] = assignment;
   stamps_[assignment.machine] = ++last_stamp_;
   team_use_[job.team] += job.request;
 }
 
-void AssignmentIndex::remove(const protocol::JobSpec& job, TaskNo task,
+void AssignmentIndex::remove(const protocol::JobSpec& job, TaskNumber task,
                              const Assignment& assignment) {
   if (const auto entry = by_machine_.find(assignment.machine); entry != by_machine_.end()) {
     entry->second.erase(TaskId{job.id, task});
@@ -41,7 +42,7 @@
   team_use_[job.team] -= job.request;
 }
 
-void AssignmentIndex::change_stamps(const std::map<TaskNo, Assignment>& assignments) {
+void AssignmentIndex::change_stamps(const std::map<TaskNumber, Assignment>& assignments) {
   for (const auto& [task, assignment] : assignments) stamps_[assignment.machine] = ++last_stamp_;
 }
 
--- a/src/storage/assignment_index.h
+++ b/src/storage/assignment_index.h
@@ -23,12 +23,12 @@
   // Replaces the assignments `before` of the job's tasks by `after`, both keyed by task number.
   // Only machines whose tasks differ are changed: a record of many tasks is often written for a few
   // of them, and readers recompute their values for each machine that changes here.
-  void update(const protocol::JobSpec& job, const std::map<TaskNo, Assignment>& before,
-              const std::map<TaskNo, Assignment>& after);
+  void update(const protocol::JobSpec& job, const std::map<TaskNumber, Assignment>& before,
+              const std::map<TaskNumber, Assignment>& after);
 
   // Changes the stamps of the machines that these tasks are assigned to. For changes of whether the
   // tasks should keep running, with the assignments unchanged.
-  void change_stamps(const std::map<TaskNo, Assignment>& assignments);
+  void change_stamps(const std::map<TaskNumber, Assignment>& assignments);
 
   // Removes all assignments. Stamps are not reused.
   void clear();
@@ -47,8 +47,8 @@
   Resources team_use(const std::string& team) const;
 
  private:
-  void add(const protocol::JobSpec& job, TaskNo task, const Assignment& assignment);
-  void remove(const protocol::JobSpec& job, TaskNo task, const Assignment& assignment);
+  void add(const protocol::JobSpec& job, TaskNumber task, const Assignment& assignment);
+  void remove(const protocol::JobSpec& job, TaskNumber task, const Assignment& assignment);
 
   std::map<MachineId, TasksOfMachine> by_machine_;  // machines without tasks have no entry
   std::unordered_map<MachineId, std::uint64_t> stamps_;
--- a/src/storage/dependency_graph.h
+++ b/src/storage/dependency_graph.h
@@ -36,9 +36,13 @@
   // Returns all jobs that this job waits for, directly or transitively, in no particular order.
   std::vector<JobId> all_open_dependencies(const JobId& job) const;
   // Returns each waiting job with the dependencies that it waits for.
-  const std::map<JobId, std::set<JobId>>& waiting() const { return dependencies_of_; }
+  const std::map<JobId, std::set<JobId>>& dependencies_by_waiting_job() const {
+    return dependencies_of_;
+  }
   // Returns each dependency that is not done with the jobs that wait for it.
-  const std::map<JobId, std::set<JobId>>& waited_for() const { return dependents_of_; }
+  const std::map<JobId, std::set<JobId>>& dependents_by_dependency() const {
+    return dependents_of_;
+  }
 
  private:
   using Edges = std::map<JobId, std::set<JobId>>;
--- a/src/storage/job.cpp
+++ b/src/storage/job.cpp
@@ -17,7 +17,7 @@
 }  // namespace
 
 Job::Job(JobRecord job_record, Version record_version, Time now)
-    : record(std::move(job_record)), version(record_version), seen(now) {
+    : record(std::move(job_record)), version(record_version), first_seen_at(now) {
   const RecordLayout layout(record);
   chunks = unstarted_chunks(layout);
   if (layout.is_divided()) whole.resize(layout.chunk_count());
@@ -40,11 +40,11 @@
 
 void Job::replace_chunk(std::size_t number, Chunk chunk, Time now) {
   const ChunkRecord& old_record = chunks[number].record;
-  assigned -= static_cast<TaskNo>(old_record.assigned.size());
+  assigned -= static_cast<TaskNumber>(old_record.assigned.size());
   done -= old_record.done_count();
   chunks[number] = std::move(chunk);
   const ChunkRecord& new_record = chunks[number].record;
-  assigned += static_cast<TaskNo>(new_record.assigned.size());
+  assigned += static_cast<TaskNumber>(new_record.assigned.size());
   done += new_record.done_count();
   last_progress_at = now;
 }
@@ -60,7 +60,7 @@
   const RecordLayout layout(record);
   const std::uint32_t chunk = piece / record.pieces_of_chunk();
   const TaskRange tasks = layout.tasks_of_record(piece);
-  const TaskNo offset = tasks.first - layout.tasks_of_chunk(chunk).first;
+  const TaskNumber offset = tasks.first - layout.tasks_of_chunk(chunk).first;
   const ChunkRecord& chunk_record = whole[chunk].record;
   ChunkRecord piece_record;
   piece_record.next_attempt = chunk_record.next_attempt;
--- a/src/storage/job.h
+++ b/src/storage/job.h
@@ -31,24 +31,24 @@
   bool cancelled_on_record() const { return record.cancelled || dependency_cancelled; }
   // Returns whether the tasks of the job must stop and no more may start: it is cancelled in the
   // store, or another controller announced its cancellation.
-  bool cancelled() const { return cancelled_on_record() || notify_cancelled; }
+  bool cancelled() const { return cancelled_on_record() || cancellation_announced; }
   // Returns since when the tasks could have started, in seconds since the epoch.
   double startable_since() const { return std::max(record.submitted_at, unblocked_at); }
 
   // --- Tasks. A task number must be below the number of the job's tasks.
 
   // Returns the number of tasks that could start now.
-  TaskNo pending() const {
+  TaskNumber pending() const {
     return cancelled() || blocked ? 0 : record.spec.tasks - done - assigned;
   }
   // Returns whether the task is completed.
-  bool is_done(TaskNo task) const {
+  bool is_done(TaskNumber task) const {
     const std::uint32_t number = record.chunk_of(task);
     return chunks[number].record.done[task - record.first_task(number)];
   }
   // Returns the machine and attempt that the task is assigned to, or null if it is not assigned.
   // Valid until the task record changes.
-  const Assignment* assignment(TaskNo task) const {
+  const Assignment* assignment(TaskNumber task) const {
     const auto& assignments = chunks[record.chunk_of(task)].record.assigned;
     const auto found = assignments.find(task);
     return found == assignments.end() ? nullptr : &found->second;
@@ -57,11 +57,11 @@
   // --- Task records
 
   // Returns the first task that the task record `chunks[number]` covers.
-  TaskNo chunk_first(std::size_t number) const {
+  TaskNumber chunk_first(std::size_t number) const {
     return record.first_task(static_cast<std::uint32_t>(number));
   }
   // Returns the number of tasks that the task record `chunks[number]` covers.
-  TaskNo chunk_size(std::size_t number) const {
+  TaskNumber chunk_size(std::size_t number) const {
     return record.tasks_of(static_cast<std::uint32_t>(number));
   }
   // Returns the store keys of all task records that the job has or may have.
@@ -95,14 +95,14 @@
   // from these records.
   std::vector<Chunk> whole;
   // The number of completed tasks.
-  TaskNo done = 0;
+  TaskNumber done = 0;
   // The number of tasks assigned to machines.
-  TaskNo assigned = 0;
-  Time seen{};              // when this process first saw the job
+  TaskNumber assigned = 0;
+  Time first_seen_at{};     // when this process first saw the job
   Time last_progress_at{};  // when this process last saw one of its task records change
   // Another controller has announced that the cancellation of this job is committed, and the watch
   // has not delivered it yet.
-  bool notify_cancelled = false;
+  bool cancellation_announced = false;
   // A job that it depends on, directly or transitively, is cancelled in the store. This cancels the
   // job regardless of its own record.
   bool dependency_cancelled = false;
--- a/src/storage/machine.cpp
+++ b/src/storage/machine.cpp
@@ -9,7 +9,7 @@
                      [&image](const auto& entry) { return entry.first == image; });
 }
 
-void Machine::used_image(const std::string& image, double gb, double cache_gb) {
+void Machine::record_image_use(const std::string& image, double gb, double cache_gb) {
   std::erase_if(images, [&image](const auto& entry) { return entry.first == image; });
   images.emplace_back(image, gb);
   double total_gb = 0;
@@ -44,14 +44,14 @@
 
 void Machine::start_fencing(FencingToken first) {
   fencing_token = first;
-  fence_floor = first;
+  required_fencing_token = first;
   confirmation_token = first;
 }
 
 void Machine::continue_fencing(FencingToken first, bool follows_previous,
                                Time others_answered_until) {
   fencing_token = first;
-  fence_floor = first;
+  required_fencing_token = first;
   // If the machine has already received responses from this process, only responses that are lost
   // from now on count against it.
   confirmation_token = is_confirmed() && follows_previous ? FencingToken(0) : first;
@@ -60,8 +60,8 @@
 }
 
 void Machine::begin_agent_incarnation(Time now) {
-  evict.clear();
-  ran.clear();
+  tasks_to_evict.clear();
+  running_since.clear();
   // An agent that received no response for the duration of its lease reports no tasks, like a
   // healthy idle one. The new token distinguishes them.
   fencing_token = FencingToken(fencing_token.get() + 1);
--- a/src/storage/machine.h
+++ b/src/storage/machine.h
@@ -22,7 +22,7 @@
 
 // A heartbeat is overdue after this many intervals. Heartbeats of a healthy machine are never that
 // late.
-inline constexpr double kOverdue = 1.5;
+inline constexpr double kHeartbeatOverdueIntervals = 1.5;
 
 // Each batch of commands that starts attempts carries its own fencing token, and the next heartbeat
 // response carries a higher one. Once the agent has reported the higher token, it rejects late
@@ -37,10 +37,10 @@
   Time last_answered_at{};
   // When the machine last had work or was given some; an idle machine has been idle since then.
   Time idle_since{};
-  std::optional<Time> taken_at;  // when the cloud takes the machine back, according to its notice
+  std::optional<Time> reclaim_at;  // when the cloud reclaims the machine, according to its notice
 
-  FencingToken fencing_token;  // token for the next response or batch of commands
-  FencingToken fence_floor;    // the agent is fenced once it has reported this token
+  FencingToken fencing_token;           // token for the next response or batch of commands
+  FencingToken required_fencing_token;  // the agent is fenced once it has reported this token
   // A heartbeat with this token was sent after a response of this owner reached the machine.
   // Without such a heartbeat, a healthy machine cannot be distinguished from late copies of a dead
   // machine's heartbeats, or from a machine whose heartbeats arrive while responses do not reach
@@ -54,18 +54,19 @@
   // the latest heartbeat reported that token.
   std::optional<Time> half_open_since;
 
-  bool commands_lost = false;      // no commands are sent until the next heartbeat
-  bool cordoned = false;           // no new tasks are placed on the machine
-  bool draining = false;           // services are moved to other machines
-  bool release_requested = false;  // the leader is asked to release the machine
-  std::set<TaskId> evict;          // tasks to stop although their jobs continue
+  bool commands_lost = false;       // no commands are sent until the next heartbeat
+  bool cordoned = false;            // no new tasks are placed on the machine
+  bool draining = false;            // services are moved to other machines
+  bool release_requested = false;   // the leader is asked to release the machine
+  std::set<TaskId> tasks_to_evict;  // tasks to stop although their jobs continue
   // The images on the machine with their sizes in GB, as seen from its tasks, the most recently
   // used last.
   std::vector<std::pair<std::string, double>> images;
   // The images that the machine is pulling.
   std::set<std::string> pulling;
-  std::map<TaskId, Seconds> ran_before;  // run times of ended tasks whose end is not recorded yet
-  std::map<TaskId, Time> ran;            // when each running task was first seen running
+  // The run times of ended tasks whose end is not recorded yet.
+  std::map<TaskId, Seconds> ended_run_times;
+  std::map<TaskId, Time> running_since;  // when each running task was first seen running
 
   // The status of the machine that is sent to peers.
   protocol::MachineStatus status;
@@ -78,11 +79,11 @@
   bool has_image(const std::string& image) const;
   // Records that a task used the image, so that it is on the machine. Removes the least recently
   // used images when the cache size is exceeded.
-  void used_image(const std::string& image, double gb, double cache_gb);
+  void record_image_use(const std::string& image, double gb, double cache_gb);
 
   // Returns whether the agent has shown that it rejects late copies of all commands sent before
-  // `fence_floor`.
-  bool is_fenced() const { return last_heartbeat.fencing_token >= fence_floor; }
+  // `required_fencing_token`.
+  bool is_fenced() const { return last_heartbeat.fencing_token >= required_fencing_token; }
   // Returns whether the present incarnation of the agent has received a response from this owner.
   bool is_confirmed() const { return last_heartbeat.fencing_token >= confirmation_token; }
   // Returns whether the connection is half-open: heartbeats arrive but responses do not. A single
--- a/src/storage/names.h
+++ b/src/storage/names.h
@@ -13,7 +13,7 @@
 using base::MemberId;
 using base::Revision;
 using base::TaskId;
-using base::TaskNo;
+using base::TaskNumber;
 using base::Time;
 using base::Version;
 using protocol::Assignment;
--- a/src/storage/record_layout.cpp
+++ b/src/storage/record_layout.cpp
@@ -17,7 +17,7 @@
 }
 
 TaskRange RecordLayout::tasks_of_chunk(std::uint32_t chunk) const {
-  const TaskNo first = chunk * job_.chunk_size;
+  const TaskNumber first = chunk * job_.chunk_size;
   return {first, std::min(job_.chunk_size, job_.spec.tasks - first)};
 }
 
--- a/src/storage/record_layout.h
+++ b/src/storage/record_layout.h
@@ -8,8 +8,8 @@
 
 // A range of consecutive tasks of one job.
 struct TaskRange {
-  TaskNo first = 0;
-  TaskNo count = 0;
+  TaskNumber first = 0;
+  TaskNumber count = 0;
   bool operator==(const TaskRange&) const = default;
 };
 
--- a/src/storage/state_cache.cpp
+++ b/src/storage/state_cache.cpp
@@ -12,7 +12,7 @@
     // Versions of final states are not tracked: they never change, and their number grows without
     // limit.
     if (const auto state = protocol::parse_final_state(item.value))
-      remember_final(JobId(item.key.substr(protocol::kTombstonePrefix.size())), *state);
+      add_final_state(JobId(item.key.substr(protocol::kTombstonePrefix.size())), *state);
     return true;
   }
   if (!versions_.is_newer(item.key, item.version)) return false;
@@ -158,7 +158,7 @@
 void StateCache::notify_cancelled(const JobId& id) {
   const auto entry = jobs_.find(id);
   if (entry == jobs_.end() || entry->second.cancelled()) return;
-  entry->second.notify_cancelled = true;
+  entry->second.cancellation_announced = true;
   ++job_changes_;
   change_machine_stamps(entry->second);
 }
@@ -225,7 +225,7 @@
   ++jobs_unblocked_;
 }
 
-void StateCache::remember_final(const JobId& id, const FinalState& state) {
+void StateCache::add_final_state(const JobId& id, const FinalState& state) {
   if (!final_states_.add(id, state)) return;
   if (state.status == JobStatus::kCancelled) {
     cancel_dependents(id);
@@ -243,7 +243,7 @@
 
 std::vector<JobId> StateCache::unresolved_dependencies() const {
   std::vector<JobId> unresolved;
-  for (const auto& [dependency, dependents] : dependency_graph_.waited_for()) {
+  for (const auto& [dependency, dependents] : dependency_graph_.dependents_by_dependency()) {
     if (is_unresolved(dependency)) unresolved.push_back(dependency);
   }
   return unresolved;
--- a/src/storage/state_cache.h
+++ b/src/storage/state_cache.h
@@ -44,7 +44,7 @@
   // known.
   void notify_cancelled(const JobId& id);
   // Adds the final state of a job, and unblocks or cancels the jobs that depend on it.
-  void remember_final(const JobId& id, const FinalState& state);
+  void add_final_state(const JobId& id, const FinalState& state);
   // Records that the watch, or a full read, has delivered all changes up to this revision.
   void advance_to(Revision revision) { versions_.advance_to(revision); }
   // Removes all records except final states and the catalogue, for a full read, e.g. after the
@@ -91,14 +91,16 @@
     return assignments_.tasks_on(machine);
   }
   // Returns the assigned tasks of all machines that have any.
-  const std::map<MachineId, std::map<TaskId, Assignment>>& assigned() const {
+  const std::map<MachineId, std::map<TaskId, Assignment>>& assignments_by_machine() const {
     return assignments_.by_machine();
   }
   // Returns a stamp that changes whenever the machine's assignments change, or whether their tasks
   // should keep running. 0 if no task is assigned to the machine.
-  std::uint64_t stamp(const MachineId& machine) const { return assignments_.stamp(machine); }
+  std::uint64_t assignment_stamp(const MachineId& machine) const {
+    return assignments_.stamp(machine);
+  }
   // Returns a stamp that changes whenever the stamp of any machine changes.
-  std::uint64_t last_stamp() const { return assignments_.last_stamp(); }
+  std::uint64_t last_assignment_stamp() const { return assignments_.last_stamp(); }
   // Returns the resources requested by all assigned tasks of the team.
   Resources team_use(const std::string& team) const { return assignments_.team_use(team); }
   // Returns whether the team's use of cores or GPUs is limited.
@@ -179,7 +181,8 @@
 
   const base::Settings& settings_;
   std::map<JobId, Job> jobs_;
-  // The same jobs in a hash table, for the lookup of every task in every heartbeat.
+  // A hash table with a pointer to each unfinished job, because a job is looked up for every task
+  // in every heartbeat.
   std::unordered_map<JobId, Job*> job_index_;
   AssignmentIndex assignments_;
   KeyVersions versions_;
--- a/tests/assignment_index_test.cpp
+++ b/tests/assignment_index_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-using Assignments = std::map<TaskNo, Assignment>;
+using Assignments = std::map<TaskNumber, Assignment>;
 
 const MachineId kFirst("i-1");
 const MachineId kSecond("i-2");
--- a/tests/attempt_tracker_test.cpp
+++ b/tests/attempt_tracker_test.cpp
@@ -18,7 +18,7 @@
     add_job(kJob);
     assign(kJob, {{0, assignment(3)}});
     machine_.last_heartbeat = heartbeat(1, token);
-    machine_.fence_floor = base::FencingToken(5);
+    machine_.required_fencing_token = base::FencingToken(5);
   }
 
   storage::Machine machine_;
@@ -34,7 +34,7 @@
 
 TEST_F(AttemptTrackerTest, UnreportedEvictedAttemptNeverStarts) {
   assign_first(5);
-  machine_.evict.insert(task_);
+  machine_.tasks_to_evict.insert(task_);
   tracker_.mark_never_started(machine_);
   EXPECT_TRUE(tracker_.is_never_started(task_, Attempt(3)));
   EXPECT_FALSE(tracker_.is_never_started(task_, Attempt(4)));
@@ -52,14 +52,14 @@
 // A copy of the start command may still reach a machine that is not fenced.
 TEST_F(AttemptTrackerTest, AttemptOnAnUnfencedMachineMayStillStart) {
   assign_first(4);
-  machine_.evict.insert(task_);
+  machine_.tasks_to_evict.insert(task_);
   tracker_.mark_never_started(machine_);
   EXPECT_FALSE(tracker_.is_never_started(task_, Attempt(3)));
 }
 
 TEST_F(AttemptTrackerTest, ReportedAttemptHasStarted) {
   assign_first(5);
-  machine_.evict.insert(task_);
+  machine_.tasks_to_evict.insert(task_);
   report(machine_.last_heartbeat, task_, 3, TaskState::kRunning);
   tracker_.mark_never_started(machine_);
   EXPECT_FALSE(tracker_.is_never_started(task_, Attempt(3)));
--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -121,7 +121,7 @@
   const MachineStatus own_machine = idle_machine(kOwnMachine),
                       other_machine = idle_machine(kOtherMachine);
   fleet_.partitions = {{kSelf, {&own_machine}}, {kOther, {&other_machine}}};
-  EXPECT_EQ(plan().own.cordon, std::vector{kOwnMachine});
+  EXPECT_EQ(plan().own_machine_requests.cordon, std::vector{kOwnMachine});
   EXPECT_EQ(autoscaler_.take_requests(kOther).cordon, std::vector{kOtherMachine});
 }
 
--- a/tests/commands_due_test.cpp
+++ b/tests/commands_due_test.cpp
@@ -49,9 +49,9 @@
 
 TEST_F(CommandsDueTest, EvictedOrCancelledTaskIsNotStarted) {
   assign(kJob, {{0, assignment(3)}});
-  machine_.evict.insert(task_);
+  machine_.tasks_to_evict.insert(task_);
   EXPECT_TRUE(due().empty());
-  machine_.evict.clear();
+  machine_.tasks_to_evict.clear();
   cache_.notify_cancelled(kJob);
   EXPECT_TRUE(due().empty());
 }
@@ -66,7 +66,7 @@
   assign(kJob, {{0, assignment(3)}});
   reports(3, TaskState::kRunning);
   EXPECT_TRUE(due().empty());
-  machine_.evict.insert(task_);
+  machine_.tasks_to_evict.insert(task_);
   expect_one(Command::Op::kKill, 3);
 }
 
@@ -74,7 +74,7 @@
 // again.
 TEST_F(CommandsDueTest, EndedAttemptIsForgottenOnlyByAFencedMachine) {
   reports(2, TaskState::kEnded);
-  machine_.fence_floor = base::FencingToken(1);
+  machine_.required_fencing_token = base::FencingToken(1);
   EXPECT_TRUE(due().empty());
   machine_.last_heartbeat.fencing_token = base::FencingToken(1);
   expect_one(Command::Op::kForget, 2);
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -26,7 +26,7 @@
   EXPECT_EQ(graph.open_dependencies(job(3)), std::set<JobId>{job(2)});
   EXPECT_EQ(graph.mark_done(job(2)), std::set<JobId>{job(3)});
   EXPECT_TRUE(graph.open_dependencies(job(3)).empty());
-  EXPECT_TRUE(graph.waited_for().empty());
+  EXPECT_TRUE(graph.dependents_by_dependency().empty());
 }
 
 TEST(DependencyGraph, TransitiveQueriesFollowAllEdges) {
--- a/tests/fleet_demand_test.cpp
+++ b/tests/fleet_demand_test.cpp
@@ -27,7 +27,7 @@
     cache_.apply({protocol::kCatalogueKey, to_json(std::vector{slow, fast}), next_version()}, now_);
   }
 
-  static JobRecord job(const std::string& id, Kind kind, base::TaskNo tasks) {
+  static JobRecord job(const std::string& id, Kind kind, base::TaskNumber tasks) {
     JobRecord record;
     record.spec.id = JobId(id);
     record.spec.job_class = std::string("c");
--- a/tests/job_priorities_test.cpp
+++ b/tests/job_priorities_test.cpp
@@ -46,7 +46,7 @@
     add(last);
   }
   void finish_first_job(double at) {
-    cache_.remember_final(kFirst, {protocol::JobStatus::kDone, at});
+    cache_.add_final_state(kFirst, {protocol::JobStatus::kDone, at});
   }
   const storage::Job& job(const JobId& id) const { return *cache_.job(id); }
 
@@ -74,12 +74,12 @@
 // Each job must complete early enough for its dependents to run before their own due times.
 TEST_F(JobPrioritiesTest, JobInheritsDueTimeOfDependencyChain) {
   add(make_job(kFirst, Rank::kIdle));
-  const double alone = priorities_.due(job(kFirst), now_);
+  const double alone = priorities_.due_time(job(kFirst), now_);
   add_dependency_chain();
-  EXPECT_DOUBLE_EQ(priorities_.due(job(kLast), now_), 1200);
-  EXPECT_LT(priorities_.due(job(kMiddle), now_), 1200 - 20);
-  EXPECT_LT(priorities_.due(job(kFirst), now_), 1200 - 40);
-  EXPECT_LT(priorities_.due(job(kFirst), now_), alone);
+  EXPECT_DOUBLE_EQ(priorities_.due_time(job(kLast), now_), 1200);
+  EXPECT_LT(priorities_.due_time(job(kMiddle), now_), 1200 - 20);
+  EXPECT_LT(priorities_.due_time(job(kFirst), now_), 1200 - 40);
+  EXPECT_LT(priorities_.due_time(job(kFirst), now_), alone);
 }
 
 // A dependent may be submitted, or cancelled, after the job that it depends on has started.
--- a/tests/job_test.cpp
+++ b/tests/job_test.cpp
@@ -10,7 +10,7 @@
 const MachineId kMachine("i-1");
 
 // Returns the record of a job with 150 tasks in chunks of 100.
-JobRecord record(TaskNo piece_size = 0) {
+JobRecord record(TaskNumber piece_size = 0) {
   JobRecord result;
   result.spec.id = JobId("run-000001");
   result.spec.tasks = 150;
@@ -19,11 +19,12 @@
   return result;
 }
 
-Chunk chunk(TaskNo count, const std::vector<TaskNo>& done, const std::vector<TaskNo>& assigned) {
+Chunk chunk(TaskNumber count, const std::vector<TaskNumber>& done,
+            const std::vector<TaskNumber>& assigned) {
   Chunk result{{}, Version(2)};
   result.record.done.assign(count, false);
-  for (const TaskNo offset : done) result.record.done[offset] = true;
-  for (const TaskNo task : assigned)
+  for (const TaskNumber offset : done) result.record.done[offset] = true;
+  for (const TaskNumber task : assigned)
     result.record.assigned[task] = {kMachine, Attempt(1), base::AgentIncarnation(1)};
   return result;
 }
@@ -56,7 +57,7 @@
   job.blocked = true;
   EXPECT_EQ(job.pending(), 0u);
   job.blocked = false;
-  job.notify_cancelled = true;
+  job.cancellation_announced = true;
   EXPECT_EQ(job.pending(), 0u);
   EXPECT_TRUE(job.cancelled());
   EXPECT_FALSE(job.cancelled_on_record());
--- a/tests/machine_fixture.h
+++ b/tests/machine_fixture.h
@@ -46,7 +46,7 @@
   }
 
   // Replaces the assignments of the job's tasks.
-  void assign(const base::JobId& id, std::map<base::TaskNo, protocol::Assignment> assignments) {
+  void assign(const base::JobId& id, std::map<base::TaskNumber, protocol::Assignment> assignments) {
     protocol::ChunkRecord chunk;
     chunk.next_attempt = base::Attempt(100);
     chunk.done.assign(4, false);
--- a/tests/machine_registry_test.cpp
+++ b/tests/machine_registry_test.cpp
@@ -112,13 +112,13 @@
   auto running = heartbeat(1);
   report(running, task, 3, TaskState::kRunning);
   record(running, 1);
-  EXPECT_EQ(registry_.at(kMachine).ran.at(task), at(1));
+  EXPECT_EQ(registry_.at(kMachine).running_since.at(task), at(1));
   EXPECT_TRUE(registry_.at(kMachine).has_image("image-run-000001"));
   auto ended = heartbeat(2);
   report(ended, task, 3, TaskState::kEnded, EndCause::kDone);
   record(ended, 4);
-  EXPECT_TRUE(registry_.at(kMachine).ran.empty());
-  EXPECT_EQ(registry_.at(kMachine).ran_before.at(task), base::Seconds(3));
+  EXPECT_TRUE(registry_.at(kMachine).running_since.empty());
+  EXPECT_EQ(registry_.at(kMachine).ended_run_times.at(task), base::Seconds(3));
 }
 
 TEST_F(MachineRegistryTest, CapacityFollowsAssignmentsAndReports) {
@@ -135,7 +135,7 @@
   EXPECT_DOUBLE_EQ(capacity().free.cores(), 16 - 3 * 4);
   EXPECT_DOUBLE_EQ(capacity().preemptible.cores(), 4);
   EXPECT_TRUE(capacity().active);
-  EXPECT_TRUE(capacity().stops);
+  EXPECT_TRUE(capacity().has_kills_due);
   ASSERT_EQ(capacity().ended_attempts.size(), 1U);
   EXPECT_EQ(capacity().ended_attempts[0].task, (TaskId{kJob, 1}));
   EXPECT_TRUE(capacity().ended_attempts[0].done);
--- a/tests/machine_test.cpp
+++ b/tests/machine_test.cpp
@@ -46,12 +46,12 @@
   Machine machine;
   machine.start_fencing(FencingToken(10));
   machine.last_heartbeat.fencing_token = FencingToken(10);
-  machine.evict.insert({base::JobId("j"), 0});
+  machine.tasks_to_evict.insert({base::JobId("j"), 0});
   EXPECT_TRUE(machine.is_confirmed());
   machine.begin_agent_incarnation(kNow);
   EXPECT_FALSE(machine.is_confirmed());
   EXPECT_TRUE(machine.is_fenced());  // no commands were sent since the restart
-  EXPECT_TRUE(machine.evict.empty());
+  EXPECT_TRUE(machine.tasks_to_evict.empty());
 }
 
 TEST(Machine, ConfirmationIsKeptOnlyAcrossConsecutiveViews) {
@@ -70,14 +70,14 @@
 
 TEST(Machine, LeastRecentlyUsedImagesAreRemoved) {
   Machine machine;
-  machine.used_image("a", 4, 10);
-  machine.used_image("b", 4, 10);
-  machine.used_image("a", 4, 10);
-  machine.used_image("c", 4, 10);
+  machine.record_image_use("a", 4, 10);
+  machine.record_image_use("b", 4, 10);
+  machine.record_image_use("a", 4, 10);
+  machine.record_image_use("c", 4, 10);
   EXPECT_TRUE(machine.has_image("a"));
   EXPECT_FALSE(machine.has_image("b"));
   EXPECT_TRUE(machine.has_image("c"));
-  machine.used_image("larger than all", 20, 10);
+  machine.record_image_use("larger than all", 20, 10);
   EXPECT_EQ(machine.images.size(), 1U);
 }
 
--- a/tests/offer_pool_test.cpp
+++ b/tests/offer_pool_test.cpp
@@ -12,7 +12,7 @@
 
 const JobId kJob("run-000001");
 
-protocol::Offers make_offers(base::TaskNo first, base::TaskNo count) {
+protocol::Offers make_offers(base::TaskNumber first, base::TaskNumber count) {
   protocol::Offers offers;
   offers.offers.push_back({kJob, {{first, count}}});
   return offers;
@@ -51,7 +51,7 @@
 }
 
 TEST_F(OfferPoolTest, OldestOffersAreRemovedWhenThePoolIsFull) {
-  for (base::TaskNo task = 0; task < 5000; ++task) pool_.add(make_offers(task, 1), now_);
+  for (base::TaskNumber task = 0; task < 5000; ++task) pool_.add(make_offers(task, 1), now_);
   EXPECT_EQ(pool_.offers().size(), 4096u);
   EXPECT_EQ(pool_.offers().back().ranges[0].first, 4999u);
 }
--- a/tests/packing_test.cpp
+++ b/tests/packing_test.cpp
@@ -17,8 +17,8 @@
 
 using testing::make_resources;
 
-Group make_group(const Resources& request, std::size_t count, int tier) {
-  Group group;
+PackingGroup make_group(const Resources& request, std::size_t count, int tier) {
+  PackingGroup group;
   group.request = request;
   group.count = count;
   group.tier = tier;
@@ -45,8 +45,8 @@
 }
 
 TEST(Packing, PairWithTheHighestScoreIsPlacedFirst) {
-  std::vector<Group> groups = {make_group(make_equal_resources(1), 1, 0),
-                               make_group(make_equal_resources(4), 1, 0)};
+  std::vector<PackingGroup> groups = {make_group(make_equal_resources(1), 1, 0),
+                                      make_group(make_equal_resources(4), 1, 0)};
   std::vector<Bin> bins = {{make_equal_resources(8)}, {make_equal_resources(4)}};
   const auto placements = pack(groups, bins, make_equal_resources(8));
   ASSERT_EQ(placements.size(), 2u);
@@ -56,8 +56,8 @@
 }
 
 TEST(Packing, LowerTiersArePlacedFirstWithoutExceedingCapacity) {
-  std::vector<Group> groups = {make_group(make_equal_resources(4), 3, 1),
-                               make_group(make_equal_resources(1), 2, 0)};
+  std::vector<PackingGroup> groups = {make_group(make_equal_resources(4), 3, 1),
+                                      make_group(make_equal_resources(1), 2, 0)};
   std::vector<Bin> bins = {{make_equal_resources(4)}, {make_equal_resources(5)}};
   const auto placements = pack(groups, bins, make_equal_resources(5));
   ASSERT_EQ(placements.size(), 3u);
@@ -76,15 +76,16 @@
 
 // Returns the precedence of placing a task of the group in the bin, or nullopt if that is not
 // possible.
-std::optional<Precedence> precedence_of(const Group& group, const Bin& bin, std::size_t bin_index) {
-  const int pass = group.pass ? group.pass(bin_index) : 0;
+std::optional<Precedence> precedence_of(const PackingGroup& group, const Bin& bin,
+                                        std::size_t bin_index) {
+  const int pass = group.pass_for_bin ? group.pass_for_bin(bin_index) : 0;
   if (group.count == 0 || !bin.free.fits(group.request) || pass < 0) return std::nullopt;
-  if (group.allowed && !group.allowed(bin_index)) return std::nullopt;
+  if (group.may_place && !group.may_place(bin_index)) return std::nullopt;
   return Precedence{group.tier, pass};
 }
 
 // Reference implementation without optimizations: repeatedly places the best of all pairs that fit.
-std::vector<Placement> pack_by_reference(std::vector<Group> groups, std::vector<Bin> bins,
+std::vector<Placement> pack_by_reference(std::vector<PackingGroup> groups, std::vector<Bin> bins,
                                          const Resources& scale) {
   std::vector<Placement> placements;
   for (;;) {
@@ -106,7 +107,7 @@
     placements.push_back(*best);
     --groups[best->group].count;
     bins[best->bin].free -= groups[best->group].request;
-    if (groups[best->group].placed) groups[best->group].placed(best->bin);
+    if (groups[best->group].on_placed) groups[best->group].on_placed(best->bin);
   }
 }
 
@@ -119,15 +120,15 @@
       bins.push_back({make_resources(2 + 2 * pick(4), 4 * pick(6))});
     return bins;
   }
-  std::vector<Group> make_groups() {
-    std::vector<Group> groups;
+  std::vector<PackingGroup> make_groups() {
+    std::vector<PackingGroup> groups;
     for (int group_index = 0, group_count = 1 + pick(8); group_index < group_count; ++group_index) {
       const Resources request = make_resources(1 + pick(3), 2 * pick(3));
       const auto count = static_cast<std::size_t>(pick(6));
-      Group group = make_group(request, count, pick(3));
+      PackingGroup group = make_group(request, count, pick(3));
       const int salt = pick(5);
       if (salt > 0) {
-        group.pass = [salt](std::size_t bin) {
+        group.pass_for_bin = [salt](std::size_t bin) {
           return static_cast<int>((bin * 7 + 3u) % 4) - salt / 4;
         };
       }
@@ -145,18 +146,18 @@
 
 // Adds constraints like those of quotas and zones: all groups share a budget of placements, and
 // some placements restrict later ones to one half of the bins.
-std::vector<Group> with_constraints(std::vector<Group> groups, int budget) {
+std::vector<PackingGroup> with_constraints(std::vector<PackingGroup> groups, int budget) {
   struct Constraints {
     int budget = 0;
     int half = -1;
   };
   const auto constraints = std::make_shared<Constraints>(Constraints{budget, -1});
-  for (Group& group : groups) {
-    group.allowed = [constraints](std::size_t bin) {
+  for (PackingGroup& group : groups) {
+    group.may_place = [constraints](std::size_t bin) {
       return constraints->budget > 0 &&
              (constraints->half < 0 || constraints->half == static_cast<int>(bin % 2));
     };
-    group.placed = [constraints](std::size_t bin) {
+    group.on_placed = [constraints](std::size_t bin) {
       --constraints->budget;
       if (constraints->budget % 3 == 0) constraints->half = static_cast<int>(bin % 2);
     };
--- a/tests/peer_test.cpp
+++ b/tests/peer_test.cpp
@@ -21,7 +21,7 @@
     status.from = {peer_, base::Incarnation(incarnation)};
     status.base_revision = base_revision;
     status.revision = revision;
-    return controller_.handle_peer_status(status, at_seconds(0)).again;
+    return controller_.handle_peer_status(status, at_seconds(0)).needs_full_status;
   }
   std::uint64_t status_base_revision() {
     return controller_.status(peer_, at_seconds(0)).base_revision;
@@ -59,7 +59,7 @@
 // A peer to which offers could not be delivered is removed until it sends a full status.
 TEST_F(PeerStatusTest, DeltaAfterLostOffersRequestsAFullStatus) {
   EXPECT_FALSE(requests_full_status(9, 0, 2));
-  controller_.offers_lost(peer_, {});
+  controller_.handle_undelivered_offers(peer_, {});
   EXPECT_TRUE(requests_full_status(9, 2, 3));
 }
 
@@ -68,13 +68,13 @@
 }
 
 TEST_F(PeerStatusTest, PeerIsSentTheChangesSinceItsAcknowledgedRevision) {
-  controller_.status_acknowledged(peer_, 4);
+  controller_.acknowledge_status(peer_, 4);
   EXPECT_EQ(status_base_revision(), 4u);
 }
 
 TEST_F(PeerStatusTest, PeerThatRequestsAFullStatusIsSentOne) {
-  controller_.status_acknowledged(peer_, 4);
-  controller_.status_acknowledged(peer_, 0);
+  controller_.acknowledge_status(peer_, 4);
+  controller_.acknowledge_status(peer_, 0);
   EXPECT_EQ(status_base_revision(), 0u);
 }
 
--- a/tests/preemption_planner_test.cpp
+++ b/tests/preemption_planner_test.cpp
@@ -20,7 +20,7 @@
     assign(kOther,
            {{0, assignment(1)}, {1, assignment(2)}, {2, assignment(3)}, {3, assignment(4)}});
     auto last_heartbeat = heartbeat(0, 10);
-    for (base::TaskNo task = 0; task < 4; ++task) {
+    for (base::TaskNumber task = 0; task < 4; ++task) {
       last_heartbeat.sequence = base::Sequence(task + 1);
       report(last_heartbeat, {kOther, task}, task + 1, TaskState::kRunning);
       registry_.record_heartbeat(last_heartbeat, HeartbeatSource::kAgent, at(task));
@@ -31,7 +31,7 @@
     priorities_.update(at(seconds));
     planner_.preempt({{cache_.job(kJob), tasks}}, at(seconds));
   }
-  const std::set<TaskId>& evicted() { return registry_.at(kMachine).evict; }
+  const std::set<TaskId>& evicted() { return registry_.at(kMachine).tasks_to_evict; }
 
   JobPriorities priorities_{settings_, cache_};
   AttemptTracker attempts_{cache_};
--- a/tests/record_layout_test.cpp
+++ b/tests/record_layout_test.cpp
@@ -9,7 +9,7 @@
 
 // Returns a job of 150 tasks in chunks of 100, which are divided into pieces if `piece_size` is not
 // 0.
-JobRecord job_of_two_chunks(TaskNo piece_size) {
+JobRecord job_of_two_chunks(TaskNumber piece_size) {
   JobRecord job;
   job.spec.tasks = 150;
   job.chunk_size = 100;
--- a/tests/record_upkeep_test.cpp
+++ b/tests/record_upkeep_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-using base::TaskNo;
+using base::TaskNumber;
 using base::Time;
 using base::Version;
 using protocol::JobStatus;
@@ -27,7 +27,7 @@
     cache_.apply({protocol::kViewKey, to_json(view), kView}, Time{});
   }
 
-  void add_job(const JobId& id, TaskNo tasks, bool cancelled = false) {
+  void add_job(const JobId& id, TaskNumber tasks, bool cancelled = false) {
     protocol::JobRecord record;
     record.spec.id = id;
     record.spec.job_class = "c";
@@ -41,7 +41,7 @@
     cache_.advance_to(base::Revision(version_));
   }
   void add_tasks(const JobId& id, std::vector<bool> done,
-                 std::map<TaskNo, protocol::Assignment> assigned = {}) {
+                 std::map<TaskNumber, protocol::Assignment> assigned = {}) {
     protocol::ChunkRecord record;
     record.done = std::move(done);
     record.assigned = std::move(assigned);
@@ -118,7 +118,7 @@
   ASSERT_TRUE(transaction);
   EXPECT_EQ(transaction->preconditions.at(protocol::kViewKey), kView);
   cache_.apply(*transaction, base::Revision(version_ + 1), Time{});
-  const TaskNo piece_size = cache_.job(job_)->record.piece_size;
+  const TaskNumber piece_size = cache_.job(job_)->record.piece_size;
   EXPECT_EQ(piece_size, protocol::chunk_size(200, 1, settings_.value_bytes));
   EXPECT_FALSE(split());
 }
@@ -132,7 +132,7 @@
 }
 
 TEST_F(RecordMaintenance, OrphanedRecords_AreRemovedUpToTheTransactionLimit) {
-  settings_.txn_ops = 2;
+  settings_.max_transaction_writes = 2;
   for (const char* id : {"run-000001", "run-000002", "run-000003"}) add_tasks(JobId(id), {true});
   EXPECT_FALSE(collect_garbage(cache_, other_, settings_));
   const auto transaction = collect_garbage(cache_, self_, settings_);
--- a/tests/rule_checks_test.cpp
+++ b/tests/rule_checks_test.cpp
@@ -18,7 +18,7 @@
   }
 
   // Adds a job that users have submitted, without starting its tasks.
-  SimulatedJob& add_job(TaskNo tasks = 2) {
+  SimulatedJob& add_job(TaskNumber tasks = 2) {
     SimulatedJob job;
     job.spec.id = job_id_;
     job.spec.team = "t";
@@ -26,13 +26,13 @@
     job.spec.request.amounts = {1, 0, 1};
     return cluster_.jobs.add(job);
   }
-  TaskId task(TaskNo number) const { return {job_id_, number}; }
+  TaskId task(TaskNumber number) const { return {job_id_, number}; }
   // Makes the machine run the task, without any check.
-  void set_running(const std::string& machine, TaskNo number) {
+  void set_running(const std::string& machine, TaskNumber number) {
     cluster_.workers.at(machine).tasks[task(number)] = {{1, "running", "", 0, 100}};
   }
   // Runs the rule checks for the start of the task on the machine.
-  void check_start(const std::string& machine, TaskNo number) {
+  void check_start(const std::string& machine, TaskNumber number) {
     cluster_.rules.on_task_started(cluster_.workers.at(machine), task(number));
   }
   // Advances the simulated clock.
@@ -62,7 +62,7 @@
   cluster_.rules.on_start_commanded(0, task(1));
   cluster_.rules.check_running_tasks();
   EXPECT_EQ(failures(), "");
-  EXPECT_EQ(cluster_.rules.starts(), 1u);
+  EXPECT_EQ(cluster_.rules.start_count(), 1u);
 }
 
 TEST_F(RuleChecksTest, StartOfTaskOfUnknownJobIsReported) {
@@ -158,7 +158,7 @@
 
 TEST_F(RuleChecksTest, ChangeOfFinalStatusIsReported) {
   SimulatedJob& job = add_job(1);
-  job.done = {0};
+  job.completed_tasks = {0};
   cluster_.rules.check_answer(job, "done");
   EXPECT_EQ(failures(), "");
   cluster_.rules.check_answer(job, "running");
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -30,7 +30,7 @@
   std::stringstream text;
   text << file.rdbuf();
   ScenarioPlayer player;
-  player.trace_as(GetParam());
+  player.enable_trace(GetParam());
   for (const std::string& failure : player.play(text.str())) ADD_FAILURE() << failure;
 }
 
--- a/tests/scheduling_fixture.h
+++ b/tests/scheduling_fixture.h
@@ -13,7 +13,7 @@
 // applied.
 class SchedulingTest : public ::testing::Test {
  protected:
-  static protocol::JobSpec make_spec(const base::JobId& id, base::TaskNo tasks, double cores) {
+  static protocol::JobSpec make_spec(const base::JobId& id, base::TaskNumber tasks, double cores) {
     protocol::JobSpec spec;
     spec.id = id;
     spec.job_class = "class";
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -22,7 +22,7 @@
 
 TEST(Settings, ValidPlatformFileIsParsed) {
   const Settings settings = parse_settings(valid_platform_file().dump());
-  EXPECT_EQ(settings.size, 2);
+  EXPECT_EQ(settings.controller_count, 2);
   EXPECT_LT(settings.tuning.member_ttl, settings.worker_lease * 0.5);
 }
 
@@ -145,7 +145,7 @@
   file["settings"]["state"]["next"] = {{"value_kb", 2}, {"txn_ops", 20}, {"write_rps", 42}};
   const Settings settings = parse_settings(file.dump());
   EXPECT_EQ(settings.value_bytes, 2u << 10);
-  EXPECT_EQ(settings.txn_ops, 12u);
+  EXPECT_EQ(settings.max_transaction_writes, 12u);
   EXPECT_EQ(settings.state_write_rps, 42);
   EXPECT_EQ(settings.state_rps, 200);
 }
--- a/tests/simulation/controller_loops.cpp
+++ b/tests/simulation/controller_loops.cpp
@@ -64,7 +64,7 @@
     process.is_renewal_due = true;
     return;
   }
-  controller.tell_time(clock_.now(), clock_.wall_seconds());
+  controller.set_time_of_day(clock_.now(), clock_.wall_seconds());
   controller.lease_acquired(clock_.now());
   const std::uint64_t cache_generation = controller.cache_generation();
   if (catch_up(controller_index)) controller.lease_renewed(clock_.now(), cache_generation);
@@ -123,9 +123,9 @@
         to_json(status, clock_.now()).dump() + protocol::ids_to_json(reply.released).dump() +
             protocol::ids_to_json(reply.cordon).dump() + protocol::ids_to_json(reply.drain).dump());
   }
-  controller.status_acknowledged(peer, reply.again ? 0 : status.revision);
-  if (reply.again) processes_[from].next_peer_sync_at = clock_.seconds();
-  controller.peer_reached(peer, clock_.now());
+  controller.acknowledge_status(peer, reply.needs_full_status ? 0 : status.revision);
+  if (reply.needs_full_status) processes_[from].next_peer_sync_at = clock_.seconds();
+  controller.record_peer_reached(peer, clock_.now());
   controller.mark_released(reply.released, clock_.now());
   controller.cordon_idle(reply.cordon);
   controller.drain(reply.drain);
@@ -146,7 +146,7 @@
 
 void SimulatedControllers::send_offers(std::size_t controller_index) {
   for (const auto& [member, offers] :
-       processes_[controller_index].controller->route(clock_.now())) {
+       processes_[controller_index].controller->route_waiting_tasks(clock_.now())) {
     if (trace_.is_open()) {
       trace_.write(clock_.seconds(), "offers", controller_name(controller_index), member.get(),
                    to_json(offers).dump());
@@ -164,25 +164,26 @@
 bool SimulatedControllers::plan_and_commit_once(std::size_t controller_index,
                                                 ProtocolObserver& observer) {
   coordination::Controller& controller = *processes_[controller_index].controller;
-  const auto plan = controller.plan(clock_.now(), coordination::WriteBudget::kNormal);
+  const auto plan = controller.plan_round(clock_.now(), coordination::WriteBudget::kNormal);
   bool is_committed = false;
   if (!plan.empty()) {
-    const auto result = commit(controller_index, plan.txn);
+    const auto result = commit(controller_index, plan.transaction);
     is_committed = result.outcome == Outcome::kDone;
     if (is_committed) {
-      send_commands(controller_index,
-                    controller.committed(plan, base::Version(result.revision.get()), clock_.now()),
-                    observer);
+      send_commands(
+          controller_index,
+          controller.apply_committed_plan(plan, base::Version(result.revision.get()), clock_.now()),
+          observer);
     } else if (result.outcome == Outcome::kConflict) {
       refresh_records(controller_index, result.failed);
     } else if (result.outcome == Outcome::kUnknown) {
       std::vector<std::string> keys;
-      for (const protocol::Write& write : plan.txn.writes) keys.push_back(write.key);
+      for (const protocol::Write& write : plan.transaction.writes) keys.push_back(write.key);
       refresh_records(controller_index, keys);
     }
   }
-  send_commands(controller_index, controller.stops(clock_.now()), observer);
-  return !plan.empty() && (!is_committed || plan.more);
+  send_commands(controller_index, controller.kill_commands_due(clock_.now()), observer);
+  return !plan.empty() && (!is_committed || plan.has_more_changes);
 }
 
 void SimulatedControllers::send_commands(std::size_t controller_index,
@@ -230,7 +231,7 @@
     cloud_.release(machine);
   }
   if (!actions.release.empty()) {
-    controller.released(actions.release, clock_.now());
+    controller.record_released_machines(actions.release, clock_.now());
     process.is_round_due = true;
   }
   for (const auto& rental : actions.plan.scale_out) scale_out(controller_index, rental);
@@ -253,8 +254,9 @@
                            std::to_string(++process.rental_count);
   trace_.write(clock_.seconds(), "rent", name, kind.type, kind.zone, kind.spot, rental.count);
   const auto rented = cloud_.rent(name, kind, rental.count);
-  if (static_cast<int>(rented.size()) < rental.count) controller.refused(kind, clock_.now());
-  controller.rented(kind, rented, clock_.wall_seconds());
+  if (static_cast<int>(rented.size()) < rental.count)
+    controller.record_out_of_capacity(kind, clock_.now());
+  controller.record_rented_machines(kind, rented, clock_.wall_seconds());
 }
 
 }  // namespace saddleslip::testing
--- a/tests/simulation/controller_store_access.cpp
+++ b/tests/simulation/controller_store_access.cpp
@@ -42,8 +42,9 @@
 void SimulatedControllers::check_limits(std::size_t controller_index,
                                         const protocol::Transaction& transaction) const {
   const base::Settings& settings = processes_[controller_index].settings;
-  if (transaction.writes.size() > settings.txn_ops ||
-      transaction.preconditions.size() > settings.txn_ops * protocol::kPreconditionsPerWrite) {
+  if (transaction.writes.size() > settings.max_transaction_writes ||
+      transaction.preconditions.size() >
+          settings.max_transaction_writes * protocol::kPreconditionsPerWrite) {
     failures_.add("transaction exceeds the state service's limits: " +
                   std::to_string(transaction.writes.size()) + " writes, " +
                   std::to_string(transaction.preconditions.size()) + " preconditions");
@@ -179,7 +180,7 @@
     const auto response = state_.get(controller_index, protocol::tombstone_key(id));
     const auto state =
         response.answered ? protocol::parse_final_state(response.item.value) : std::nullopt;
-    if (state) cache.remember_final(id, *state);
+    if (state) cache.add_final_state(id, *state);
   }
 }
 
--- a/tests/simulation/expectations.cpp
+++ b/tests/simulation/expectations.cpp
@@ -74,7 +74,7 @@
 }
 
 void expect_most_starts(SimulatedCluster& cluster, CommandLine& line) {
-  expect_at_most(cluster, line, "starts", cluster.rules.starts());
+  expect_at_most(cluster, line, "starts", cluster.rules.start_count());
 }
 
 void expect_most_starts_of(SimulatedCluster& cluster, CommandLine& line) {
--- a/tests/simulation/rule_checks.cpp
+++ b/tests/simulation/rule_checks.cpp
@@ -28,7 +28,7 @@
 }
 
 void RuleChecks::on_task_started(const SimulatedMachine& machine, const TaskId& task) {
-  ++starts_;
+  ++start_count_;
   trace_.write(clock_.seconds(), "start", machine.id, task.job.get(), task.no);
   SimulatedJob* job = jobs_.find(task.job);
   if (!job) return failures_.add("invented: a task of an unknown job starts");
@@ -86,7 +86,8 @@
   const std::string status = wire_status == "withdrawn" ? "cancelled" : wire_status;
   if (!job.reported_final_status.empty() && status != job.reported_final_status)
     failures_.add("went_back: " + id + " from " + job.reported_final_status + " to " + status);
-  if (status == "done" && job.done.size() < job.spec.tasks) failures_.add("not_done: " + id);
+  if (status == "done" && job.completed_tasks.size() < job.spec.tasks)
+    failures_.add("not_done: " + id);
   if (status == "cancelled" && !jobs_.is_cancellation_expected(job))
     failures_.add("went_back: " + id + " cancelled by nobody");
   const auto dependency_cancelled_at = jobs_.dependency_cancelled_at(job);
--- a/tests/simulation/rule_checks.h
+++ b/tests/simulation/rule_checks.h
@@ -53,7 +53,7 @@
   // Checks that the tasks of cancelled jobs end in time, and that no team exceeds its quota.
   void check_running_tasks();
   // Returns the number of task starts, including restarts.
-  std::size_t starts() const { return starts_; }
+  std::size_t start_count() const { return start_count_; }
 
  private:
   // Checks that no other machine has an active attempt of the task.
@@ -74,7 +74,7 @@
   SimulatedJobs& jobs_;
   ScenarioTrace& trace_;
   FailureLog& failures_;
-  std::size_t starts_ = 0;
+  std::size_t start_count_ = 0;
 };
 
 }  // namespace saddleslip::testing
--- a/tests/simulation/scenario_player.cpp
+++ b/tests/simulation/scenario_player.cpp
@@ -24,7 +24,7 @@
     if (!failures.empty()) failures.add_scenario_line(number, line);
   }
   if (failures.empty()) cluster_.whole_day.check_served_share(WholeDayChecks::kServedWithinSeconds);
-  if (cluster_.rules.starts() == 0 && failures.empty()) failures.add("nothing_ran");
+  if (cluster_.rules.start_count() == 0 && failures.empty()) failures.add("nothing_ran");
   return failures.lines();
 }
 
--- a/tests/simulation/scenario_player.h
+++ b/tests/simulation/scenario_player.h
@@ -17,7 +17,7 @@
 class ScenarioPlayer {
  public:
   // Writes a trace of the scenario under this name if SADDLESLIP_TRACE_DIR is set.
-  void trace_as(const std::string& scenario) { cluster_.trace.open(scenario); }
+  void enable_trace(const std::string& scenario) { cluster_.trace.open(scenario); }
   // Plays the scenario up to the first line that fails and returns the failures; the result is
   // empty if the scenario passed. Must be called only once.
   std::vector<std::string> play(const std::string& text);
--- a/tests/simulation/simulated_jobs.cpp
+++ b/tests/simulation/simulated_jobs.cpp
@@ -19,7 +19,7 @@
   const auto is_done = [this](const JobId& id) {
     const SimulatedJob* dependency = find(id);
     const auto* record = state_.find(protocol::tombstone_key(id));
-    return dependency && dependency->done.size() == dependency->spec.tasks && record &&
+    return dependency && dependency->completed_tasks.size() == dependency->spec.tasks && record &&
            record->value["f"] == "d";
   };
   return std::all_of(job.spec.dependencies.begin(), job.spec.dependencies.end(), is_done);
--- a/tests/simulation/simulated_jobs.h
+++ b/tests/simulation/simulated_jobs.h
@@ -15,7 +15,7 @@
 
 using base::JobId;
 using base::TaskId;
-using base::TaskNo;
+using base::TaskNumber;
 
 // A submitted job: its behaviour, the answers that its user received, and its progress. Points in
 // time are seconds since the start of the scenario.
@@ -35,8 +35,8 @@
   std::optional<double> began_at;  // when its first task started
   // How long the job waited for its first task, from when it was ready or the last fault ended.
   double waited_s = 0;
-  std::set<TaskNo> done;        // tasks that ended successfully
-  std::size_t start_count = 0;  // starts of its tasks, including restarts
+  std::set<TaskNumber> completed_tasks;  // tasks that ended successfully
+  std::size_t start_count = 0;           // starts of its tasks, including restarts
 };
 
 // All submitted jobs, by their id.
--- a/tests/simulation/simulated_workers.cpp
+++ b/tests/simulation/simulated_workers.cpp
@@ -29,7 +29,7 @@
   Command command;
   command.op = parse_op(call["call"]);
   command.task = {JobId(task.substr(0, slash)),
-                  static_cast<TaskNo>(std::stoul(task.substr(slash + 1)))};
+                  static_cast<TaskNumber>(std::stoul(task.substr(slash + 1)))};
   command.attempt = base::Attempt(call["remount"].get<std::uint64_t>());
   return command;
 }
@@ -161,7 +161,7 @@
   if (job.spec.kind == protocol::Kind::kService) return false;
   const bool failed = job.fails_after_s.has_value();
   attempt.end(failed ? "error" : "done");
-  if (!failed) job.done.insert(task.no);
+  if (!failed) job.completed_tasks.insert(task.no);
   return true;
 }
 
--- a/tests/simulation/user_commands.cpp
+++ b/tests/simulation/user_commands.cpp
@@ -46,7 +46,7 @@
   spec.job_class = options.text("class", "c");
   spec.team = options.text("team", "t");
   spec.rank = parse_rank(options.text("rank", "standard"));
-  spec.tasks = static_cast<TaskNo>(options.number("tasks", 1));
+  spec.tasks = static_cast<TaskNumber>(options.number("tasks", 1));
   spec.request.amounts = {options.number("cores", 1), 0, options.number("memory", 1)};
   spec.image = "img";
   if (options.has("deadline")) spec.deadline = base::Seconds(options.number("deadline", 0));
--- a/tests/simulation/whole_day_checks.cpp
+++ b/tests/simulation/whole_day_checks.cpp
@@ -35,11 +35,11 @@
 
 bool WholeDayChecks::has_waiting_tasks(const SimulatedJob& job, const Usage& usage) const {
   if (!job.is_accepted || !job.ready_since || jobs_.is_cancellation_expected(job)) return false;
-  std::set<TaskNo> active_or_done;
+  std::set<TaskNumber> active_or_done;
   if (const auto found = usage.active_tasks.find(job.spec.id); found != usage.active_tasks.end())
     active_or_done = found->second;
   if (job.spec.kind != protocol::Kind::kService)
-    active_or_done.insert(job.done.begin(), job.done.end());
+    active_or_done.insert(job.completed_tasks.begin(), job.completed_tasks.end());
   return active_or_done.size() < job.spec.tasks;
 }
 
@@ -102,10 +102,10 @@
   }
 }
 
-std::map<std::string, TaskNo> WholeDayChecks::largest_task_count_by_class() const {
-  std::map<std::string, TaskNo> largest;
+std::map<std::string, TaskNumber> WholeDayChecks::largest_task_count_by_class() const {
+  std::map<std::string, TaskNumber> largest;
   for (const auto& [id, job] : jobs_.all()) {
-    TaskNo& tasks = largest[job.spec.job_class];
+    TaskNumber& tasks = largest[job.spec.job_class];
     tasks = std::max(tasks, job.spec.tasks);
   }
   return largest;
--- a/tests/simulation/whole_day_checks.h
+++ b/tests/simulation/whole_day_checks.h
@@ -52,7 +52,7 @@
   // The cores that are in use now, and the active tasks of each job.
   struct Usage {
     std::map<std::string, double> cores_by_team, cores_by_machine;
-    std::map<JobId, std::set<TaskNo>> active_tasks;
+    std::map<JobId, std::set<TaskNumber>> active_tasks;
   };
   // How long a job could have started a task without doing so, and its starts at the last check.
   struct WaitingState {
@@ -70,7 +70,7 @@
   bool is_within_quota(const protocol::JobSpec& spec, const Usage& usage) const;
   bool has_free_capacity(const protocol::JobSpec& spec, const Usage& usage) const;
   // Returns the task count of the largest job of each class.
-  std::map<std::string, TaskNo> largest_task_count_by_class() const;
+  std::map<std::string, TaskNumber> largest_task_count_by_class() const;
 
   const SimulatedClock& clock_;
   const ClusterConfig& config_;
--- a/tests/state_cache_test.cpp
+++ b/tests/state_cache_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-protocol::JobRecord job(const std::string& id, TaskNo tasks) {
+protocol::JobRecord job(const std::string& id, TaskNumber tasks) {
   protocol::JobRecord job_record;
   job_record.spec.id = JobId(id);
   job_record.spec.job_class = std::string(1, 'c');
@@ -65,7 +65,7 @@
   const auto job_record = job("run-000001", 40);
   cache.apply(item(job_record, 1), Time{});
   ASSERT_EQ(cache.job(job_record.spec.id)->chunks.size(), 3u);
-  const auto apply_chunk = [&](std::uint32_t number, std::map<TaskNo, Assignment> assignment,
+  const auto apply_chunk = [&](std::uint32_t number, std::map<TaskNumber, Assignment> assignment,
                                std::uint64_t version) {
     ChunkRecord task_record;
     task_record.done.assign(cache.job(job_record.spec.id)->chunk_size(number), false);
@@ -76,24 +76,24 @@
   };
   const Assignment first_assignment{MachineId("i-1"), Attempt(1), base::AgentIncarnation(1)};
   const Assignment second_assignment{MachineId("i-2"), Attempt(1), base::AgentIncarnation(1)};
-  EXPECT_EQ(cache.stamp(first_assignment.machine), 0u);
+  EXPECT_EQ(cache.assignment_stamp(first_assignment.machine), 0u);
   apply_chunk(0, {{0, first_assignment}, {1, first_assignment}}, 2);
   apply_chunk(2, {{33, second_assignment}}, 3);
   EXPECT_EQ(cache.job(job_record.spec.id)->assigned, 3u);
   EXPECT_EQ(cache.team_use("t").cores(), 6);
   EXPECT_EQ(cache.assignments_on(first_assignment.machine).size(), 2u);
-  const auto before = cache.stamp(first_assignment.machine),
-             second_stamp = cache.stamp(second_assignment.machine);
+  const auto before = cache.assignment_stamp(first_assignment.machine),
+             second_stamp = cache.assignment_stamp(second_assignment.machine);
   apply_chunk(0, {{1, first_assignment}}, 4);
-  EXPECT_NE(cache.stamp(first_assignment.machine), before);
-  EXPECT_EQ(cache.stamp(second_assignment.machine), second_stamp);
+  EXPECT_NE(cache.assignment_stamp(first_assignment.machine), before);
+  EXPECT_EQ(cache.assignment_stamp(second_assignment.machine), second_stamp);
   // A cancellation changes which tasks should run on each machine with a task of the job.
   auto cancelled = job_record;
   cancelled.cancelled = true;
   cache.apply(item(cancelled, 5), Time{});
-  EXPECT_NE(cache.stamp(second_assignment.machine), second_stamp);
+  EXPECT_NE(cache.assignment_stamp(second_assignment.machine), second_stamp);
   apply_chunk(0, {}, 6);
-  EXPECT_EQ(cache.stamp(first_assignment.machine), 0u);
+  EXPECT_EQ(cache.assignment_stamp(first_assignment.machine), 0u);
   EXPECT_EQ(cache.team_use("t").cores(), 2);
 }
 
@@ -156,13 +156,13 @@
 
 // Returns a record of `count` tasks from `first` on, of which the tasks in `assignment` are each
 // assigned to a machine of their own.
-Item tasks_record(const std::string& key, TaskNo first, TaskNo count, std::uint64_t next,
-                  const std::vector<TaskNo>& assignment, std::uint64_t version) {
+Item tasks_record(const std::string& key, TaskNumber first, TaskNumber count, std::uint64_t next,
+                  const std::vector<TaskNumber>& assignment, std::uint64_t version) {
   ChunkRecord record;
   record.next_attempt = base::Attempt(next);
   record.done.assign(count, false);
   record.done[0] = true;
-  for (const TaskNo task : assignment) {
+  for (const TaskNumber task : assignment) {
     record.assigned[task] = {MachineId("i-" + std::to_string(task)), base::Attempt(1),
                              base::AgentIncarnation(1)};
   }
@@ -203,7 +203,7 @@
   // All its records become orphans once the job is finished.
   cache.apply({protocol::job_key(id), protocol::Json(), Version(7)}, Time{});
   EXPECT_EQ(cache.orphans().size(), 3u);
-  EXPECT_TRUE(cache.assigned().empty());
+  EXPECT_TRUE(cache.assignments_by_machine().empty());
 }
 
 // A full read is done page by page. If a chunk is divided meanwhile, the records of its pieces must
--- a/tests/user_api_test.cpp
+++ b/tests/user_api_test.cpp
@@ -78,9 +78,9 @@
       result.outcome = StateClient::Outcome::kRefused;
       return result;
     }
-    EXPECT_LE(transaction.writes.size(), settings_.txn_ops);
+    EXPECT_LE(transaction.writes.size(), settings_.max_transaction_writes);
     EXPECT_LE(transaction.preconditions.size(),
-              settings_.txn_ops * protocol::kPreconditionsPerWrite);
+              settings_.max_transaction_writes * protocol::kPreconditionsPerWrite);
     for (const auto& write : transaction.writes)
       EXPECT_LE(write.value->dump().size(), settings_.value_bytes);
     if (remaining_commits_ == 0) {
@@ -197,7 +197,7 @@
   std::vector<JobId> dependencies;
   for (int i = 0; i < 4500; ++i) {
     dependencies.emplace_back("run-" + std::to_string(200000 + i));
-    controller_.cache().remember_final(dependencies.back(), {});
+    controller_.cache().add_final_state(dependencies.back(), {});
   }
   const auto job_spec = make_spec(kJob, dependencies);
   ASSERT_LT(to_json(job_spec).dump().size(), 64u << 10);
@@ -230,7 +230,7 @@
   std::vector<JobId> dependencies;
   for (int i = 0; i < 1000; ++i) {
     dependencies.emplace_back("run-" + std::to_string(200000 + i));
-    controller_.cache().remember_final(dependencies.back(), {});
+    controller_.cache().add_final_state(dependencies.back(), {});
   }
   remaining_commits_ = 2;
   EXPECT_EQ(submit(make_spec(kJob, dependencies)).status, 503);
