--- a/src/coordination/fleet/scaling_plan.cpp
+++ b/src/coordination/fleet/scaling_plan.cpp
@@ -132,7 +132,7 @@
   ScalingPlan plan_;
   std::vector<Host> hosts_;
   std::vector<Bin> bins_;
-  std::vector<Group> groups_;               // one for each entry of the demand, at the same index
+  std::vector<PackingGroup> groups_;        // one for each entry of the demand, at the same index
   std::vector<std::size_t> group_by_tier_;  // indices of groups, the most urgent tier first
   // The largest size of any machine type in each dimension, for packing.
   Resources scale_;
@@ -149,15 +149,15 @@
 
 void ScalingPlanner::add_hosts() {
   for (const MachineType& type : *input_.catalogue) {
-    for (std::size_t i = 0; i < scale_.v.size(); ++i) {
-      scale_.v[i] = std::max(scale_.v[i], type.size.v[i]);
+    for (std::size_t i = 0; i < scale_.amounts.size(); ++i) {
+      scale_.amounts[i] = std::max(scale_.amounts[i], type.size.amounts[i]);
     }
   }
   for (const MachineStatus* machine : input_.machines) {
-    if (!machine->open && !machine->soon) continue;
+    if (!machine->open && !machine->awaits_confirmation) continue;
     add_host({machine->type, machine->zone, machine->spot}, machine, machine->free);
   }
-  for (const protocol::Booting& booting : input_.booting) {
+  for (const protocol::BootingMachine& booting : input_.booting) {
     const MachineType* type = type_of(booting.type);
     if (type) add_host({booting.type, booting.zone, booting.spot}, nullptr, type->size);
   }
@@ -174,7 +174,7 @@
   for (const MachineStatus* machine : input_.machines) {
     ZoneHealth& zone = zone_health_[machine->zone];
     ++zone.total;
-    if (machine->silent) ++zone.silent;
+    if (machine->is_silent) ++zone.silent;
   }
 }
 
@@ -188,15 +188,15 @@
 void ScalingPlanner::pack_demand() {
   groups_.reserve(input_.demand.size());
   for (const Demand& demand : input_.demand) {
-    Group group;
+    PackingGroup group;
     group.request = demand.request;
     group.count = demand.count;
     group.tier = demand.tier;
-    group.allowed = [this, &demand](std::size_t bin) {
+    group.may_place = [this, &demand](std::size_t bin) {
       const MachineKind& kind = hosts_[bin].kind;
       return !demand.spec || may_run(*demand.spec, kind.type, kind.zone, kind.spot);
     };
-    group.placed = [this](std::size_t bin) { hosts_[bin].is_needed = true; };
+    group.on_placed = [this](std::size_t bin) { hosts_[bin].is_needed = true; };
     groups_.push_back(std::move(group));
   }
   pack(groups_, bins_, scale_);
@@ -281,8 +281,8 @@
   hosts_[host].is_needed = true;
   Resources& free = bins_[host].free;
   for (const std::size_t index : group_by_tier_) {
-    Group& group = groups_[index];
-    while (group.count > 0 && free.fits(group.request) && group.allowed(host)) {
+    PackingGroup& group = groups_[index];
+    while (group.count > 0 && free.fits(group.request) && group.may_place(host)) {
       free -= group.request;
       --group.count;
     }
--- a/src/coordination/machines/machine_registry.cpp
+++ b/src/coordination/machines/machine_registry.cpp
@@ -92,7 +92,7 @@
   record_images(machine);
   record_run_times(machine, now);
   if (is_busy(machine)) machine.idle_since = now;
-  std::erase_if(machine.evict, [&](const TaskId& task) {
+  std::erase_if(machine.tasks_to_evict, [&](const TaskId& task) {
     return !cache_.assignments_on(heartbeat.machine).contains(task);
   });
   return &machine;
@@ -112,9 +112,9 @@
 }
 
 void MachineRegistry::record_reclaim_notice(Machine& machine, Time now) {
-  const auto& notice = machine.last_heartbeat.notice;
-  if (!notice || machine.taken_at) return;
-  machine.taken_at = base::after(now, *notice);
+  const auto& notice = machine.last_heartbeat.time_to_preemption;
+  if (!notice || machine.reclaim_at) return;
+  machine.reclaim_at = base::after(now, *notice);
   machine.cordoned = true;
   spdlog::info("cloud will reclaim the machine: machine={} seconds_left={:.1f}",
                machine.last_heartbeat.machine.get(), notice->count());
@@ -132,8 +132,8 @@
       if (reported.state == TaskState::kPulling) {
         machine.pulling.insert(spec.image);
       } else if (reported.state == TaskState::kRunning ||
-                 reported.cause == protocol::Cause::kDone) {
-        machine.used_image(spec.image, spec.image_gb, type->cache_gb);
+                 reported.cause == protocol::EndCause::kDone) {
+        machine.record_image_use(spec.image, spec.image_gb, type->cache_gb);
       }
     }
   }
@@ -145,8 +145,8 @@
   for (const auto& [task, attempts] : heartbeat.tasks) {
     for (const auto& reported : attempts) {
       if (reported.state != TaskState::kRunning) continue;
-      const auto before = machine.ran.find(task);
-      const bool has_just_begun = before == machine.ran.end();
+      const auto before = machine.running_since.find(task);
+      const bool has_just_begun = before == machine.running_since.end();
       running[task] = has_just_begun ? now : before->second;
       if (has_just_begun) {
         spdlog::debug("task is running: task={}/{} machine={}", task.job.get(), task.no,
@@ -154,12 +154,12 @@
       }
     }
   }
-  for (const auto& [task, since] : machine.ran) {
-    if (!running.contains(task)) machine.ran_before[task] = base::between(since, now);
+  for (const auto& [task, since] : machine.running_since) {
+    if (!running.contains(task)) machine.ended_run_times[task] = base::between(since, now);
   }
-  std::erase_if(machine.ran_before,
+  std::erase_if(machine.ended_run_times,
                 [&](const auto& entry) { return !heartbeat.tasks.contains(entry.first); });
-  machine.ran = std::move(running);
+  machine.running_since = std::move(running);
 }
 
 bool MachineRegistry::is_busy(const Machine& machine) const {
@@ -182,8 +182,8 @@
   machine.last_answered_at = now;
   const auto token =
       machine.token_for_response(settings_.worker_lease * kTokenRenewalLeaseShare, now);
-  const auto commands = commands_due(machine, capacity_.of(machine).stops, cache_);
-  return protocol::heartbeat_response(token, commands);
+  const auto commands = commands_due(machine, capacity_.of(machine).has_kills_due, cache_);
+  return protocol::encode_heartbeat_response(token, commands);
 }
 
 void MachineRegistry::end_agent_incarnation(const Machine& machine) {
@@ -223,7 +223,7 @@
 void MachineRegistry::expire_released(Time now) {
   std::erase_if(released_, [&](const auto& entry) {
     return base::between(entry.second, now) > kReleasedRetention &&
-           !cache_.assigned().contains(entry.first);
+           !cache_.assignments_by_machine().contains(entry.first);
   });
 }
 
@@ -246,14 +246,16 @@
                                                          Time now) const {
   const Seconds since_heartbeat = base::between(machine.last_heartbeat_at, now);
   Condition condition;
-  condition.silent = !is_schedulable(machine, now);
+  condition.is_silent = !is_schedulable(machine, now);
   // A late heartbeat does not make the machine unschedulable yet. Together with heartbeats that
   // arrive at other controllers it shows that the machine cannot reach this one.
-  condition.late = since_heartbeat > settings_.heartbeat_interval * storage::kOverdue;
-  condition.soon = !machine.cordoned && !machine.is_confirmed() && !machine.is_half_open() &&
-                   has_recent_heartbeat(machine, now);
-  condition.unsure = machine.unacknowledged_replies > 0 && since_heartbeat < kHalfOpenRetryPeriod;
-  condition.open = !machine.cordoned && !condition.silent;
+  condition.heartbeat_overdue =
+      since_heartbeat > settings_.heartbeat_interval * storage::kHeartbeatOverdueIntervals;
+  condition.awaits_confirmation = !machine.cordoned && !machine.is_confirmed() &&
+                                  !machine.is_half_open() && has_recent_heartbeat(machine, now);
+  condition.has_unacknowledged_response =
+      machine.unacknowledged_replies > 0 && since_heartbeat < kHalfOpenRetryPeriod;
+  condition.open = !machine.cordoned && !condition.is_silent;
   condition.idle_since = capacity.assigned > 0 ? Time{} : machine.idle_since;
   return condition;
 }
@@ -261,11 +263,13 @@
 bool MachineRegistry::is_status_current(const Machine& machine, const Condition& condition,
                                         const MachineCapacity& capacity) {
   const MachineStatus& status = machine.status;
-  return machine.status_changed_at != 0 && status.silent == condition.silent &&
-         status.late == condition.late && status.soon == condition.soon &&
-         status.unsure == condition.unsure && status.open == condition.open &&
-         status.idle_since == condition.idle_since && status.tasks == capacity.assigned &&
-         status.free == capacity.free && status.preemptible == capacity.preemptible &&
+  return machine.status_changed_at != 0 && status.is_silent == condition.is_silent &&
+         status.heartbeat_overdue == condition.heartbeat_overdue &&
+         status.awaits_confirmation == condition.awaits_confirmation &&
+         status.has_unacknowledged_response == condition.has_unacknowledged_response &&
+         status.open == condition.open && status.idle_since == condition.idle_since &&
+         status.tasks == capacity.assigned && status.free == capacity.free &&
+         status.preemptible == capacity.preemptible &&
          (machine.status_heartbeat == heartbeat_id(machine) || lists_same_images(status, machine));
 }
 
@@ -287,10 +291,10 @@
     status.zone = machine.last_heartbeat.zone;
     status.spot = machine.last_heartbeat.spot;
   }
-  status.silent = condition.silent;
-  status.late = condition.late;
-  status.soon = condition.soon;
-  status.unsure = condition.unsure;
+  status.is_silent = condition.is_silent;
+  status.heartbeat_overdue = condition.heartbeat_overdue;
+  status.awaits_confirmation = condition.awaits_confirmation;
+  status.has_unacknowledged_response = condition.has_unacknowledged_response;
   status.open = condition.open;
   status.idle_since = condition.idle_since;
   status.free = capacity.free;
@@ -306,13 +310,13 @@
 
 void MachineRegistry::add_status_changes(const base::MemberId& peer, Time now,
                                          protocol::MemberStatus& status) {
-  status.since = status_revisions_.acknowledged(peer);
+  status.base_revision = status_revisions_.acknowledged(peer);
   for (auto& [id, machine] : machines_) {
     update_status(machine, now);
-    if (machine.status_changed_at > status.since) status.machines.push_back(machine.status);
+    if (machine.status_changed_at > status.base_revision) status.machines.push_back(machine.status);
   }
-  status.left = status_revisions_.departed_since(status.since);
-  status.upto = status_revisions_.current();
+  status.departed_machines = status_revisions_.departed_since(status.base_revision);
+  status.revision = status_revisions_.current();
   status_revisions_.prune_departed(settings_.peers);
 }
 
--- a/src/coordination/membership/membership_proposals.cpp
+++ b/src/coordination/membership/membership_proposals.cpp
@@ -75,13 +75,13 @@
     transaction.writes.push_back({protocol::kViewKey, to_json(*next), {}});
   }
   for (const auto& [machine, incarnation] : inputs_.cache.ownership_claims()) {
-    if (transaction.writes.size() + 1 >= inputs_.settings.txn_ops) break;
+    if (transaction.writes.size() + 1 >= inputs_.settings.max_transaction_writes) break;
     const std::string key = protocol::claim_key(machine);
     require_unchanged(key, transaction);
     transaction.writes.push_back({key, {}, {}});
   }
   if (transaction.writes.empty()) return {};
-  require_unchanged(protocol::kLeadKey, transaction);
+  require_unchanged(protocol::kLeaderKey, transaction);
   return transaction;
 }
 
@@ -98,7 +98,7 @@
   for (const base::MachineId& machine : machines) {
     const std::string key = protocol::claim_key(machine);
     if (inputs_.cache.version(key).get() != 0) continue;
-    if (transaction.writes.size() >= inputs_.settings.txn_ops) break;
+    if (transaction.writes.size() >= inputs_.settings.max_transaction_writes) break;
     transaction.preconditions[key] = base::Version(0);
     transaction.writes.push_back({key, to_json(inputs_.authority.self()), {}});
     spdlog::info("machine can't reach its owner, claimed: machine={}", machine.get());
@@ -112,7 +112,7 @@
   for (const auto& [id, member] : inputs_.cache.members()) {
     if (id == own_id()) continue;
     ++connections.others;
-    connections.others_are_connected = connections.others_are_connected || member.reaches;
+    connections.others_are_connected = connections.others_are_connected || member.reaches_others;
     if (inputs_.contact.is_reachable(id, now)) ++connections.reachable;
   }
   return connections;
@@ -120,7 +120,7 @@
 
 // A new incarnation does not report that it reaches no other member before it has had time to try.
 bool MembershipProposals::is_record_outdated(bool reaches_others, base::Time now) const {
-  if (inputs_.cache.members().at(own_id()).reaches == reaches_others) return false;
+  if (inputs_.cache.members().at(own_id()).reaches_others == reaches_others) return false;
   return reaches_others ||
          base::between(inputs_.authority.incarnation_began_at(), now) > kPeerContactTimeout;
 }
@@ -155,16 +155,16 @@
 
 Transaction MembershipProposals::take_leadership(base::LeaseId lease) const {
   Transaction transaction;
-  require_unchanged(protocol::kLeadKey, transaction);
+  require_unchanged(protocol::kLeaderKey, transaction);
   require_unchanged(protocol::member_key(own_id()), transaction);
-  transaction.writes.push_back({protocol::kLeadKey, to_json(inputs_.authority.self()), lease});
+  transaction.writes.push_back({protocol::kLeaderKey, to_json(inputs_.authority.self()), lease});
   return transaction;
 }
 
 Transaction MembershipProposals::give_up_leadership() const {
   Transaction transaction;
-  require_unchanged(protocol::kLeadKey, transaction);
-  transaction.writes.push_back({protocol::kLeadKey, {}, {}});
+  require_unchanged(protocol::kLeaderKey, transaction);
+  transaction.writes.push_back({protocol::kLeaderKey, {}, {}});
   return transaction;
 }
 
@@ -172,7 +172,8 @@
 // that it reads that format. An absent controller may come back with the previous program version.
 std::optional<Transaction> MembershipProposals::upgrade_format() const {
   if (inputs_.cache.format() >= protocol::kFormat) return {};
-  const std::size_t max_preconditions = inputs_.settings.txn_ops * protocol::kPreconditionsPerWrite;
+  const std::size_t max_preconditions =
+      inputs_.settings.max_transaction_writes * protocol::kPreconditionsPerWrite;
   Transaction transaction;
   require_unchanged(protocol::kFormatKey, transaction);
   const auto reads_format = [&](const base::MemberId& id) {
--- a/src/coordination/membership/reachability.cpp
+++ b/src/coordination/membership/reachability.cpp
@@ -52,7 +52,7 @@
   for (const auto& [id, machine] : machines_) {
     if (is_overdue(machine, now)) silent.push_back(id);
   }
-  for (const auto& [id, assignments] : cache_.assigned()) {
+  for (const auto& [id, assignments] : cache_.assignments_by_machine()) {
     if (owns(id) && !machines_.contains(id)) silent.push_back(id);
   }
   return silent;
@@ -61,8 +61,8 @@
 MemberReport Controller::own_report(Time now) {
   MemberReport report;
   if (cache_.view()) report.claims = ownership_claims(now);
-  report.contact = worker_contact(now);
-  if (report.contact == protocol::WorkerContact::kLost) report.silent = silent_machines(now);
+  report.worker_contact = worker_contact(now);
+  if (report.worker_contact == protocol::WorkerContact::kLost) report.silent = silent_machines(now);
   return report;
 }
 
--- a/src/coordination/scheduling/job_priorities.cpp
+++ b/src/coordination/scheduling/job_priorities.cpp
@@ -72,11 +72,11 @@
   // The number of unfinished dependencies of each job that are not in `order` yet.
   std::map<base::JobId, std::size_t> live_dependencies;
   std::vector<const Job*> order;
-  for (const auto& [dependency, dependents] : dependency_graph.waited_for()) {
+  for (const auto& [dependency, dependents] : dependency_graph.dependents_by_dependency()) {
     const Job* job = cache_.job(dependency);
     if (job && !job->blocked) order.push_back(job);
   }
-  for (const auto& [id, dependencies] : dependency_graph.waiting()) {
+  for (const auto& [id, dependencies] : dependency_graph.dependencies_by_waiting_job()) {
     live_dependencies[id] = static_cast<std::size_t>(std::count_if(
         dependencies.begin(), dependencies.end(),
         [this](const auto& dependency) { return cache_.job(dependency) != nullptr; }));
@@ -131,7 +131,7 @@
     return a_since != b_since ? a_since < b_since : a->record.spec.id < b->record.spec.id;
   });
   Resources remaining;
-  remaining.v = {team.guaranteed_cores, team.guaranteed_gpus, kUnlimitedMemory};
+  remaining.amounts = {team.guaranteed_cores, team.guaranteed_gpus, kUnlimitedMemory};
   for (const Job* job : jobs) {
     const auto& spec = job->record.spec;
     const Resources unfinished = spec.request * static_cast<double>(spec.tasks - job->done);
@@ -158,7 +158,7 @@
   return rank(job) <= Rank::kUrgent;
 }
 
-double JobPriorities::due(const Job& job, Time now) const {
+double JobPriorities::due_time(const Job& job, Time now) const {
   const auto inherited = inherited_.find(job.record.spec.id);
   if (inherited != inherited_.end()) return inherited->second.due;
   return own_due_time(job, time_of_day(now) + run_time(job.record.spec).count());
@@ -170,7 +170,7 @@
   // The earliest of the deadline and the objectives' later deadlines that can still be met.
   double earliest = 0;
   const auto consider_deadline = [&](double seconds_after_submission) {
-    const double due_time = job.record.submitted + seconds_after_submission;
+    const double due_time = job.record.submitted_at + seconds_after_submission;
     if (due_time > earliest_completion && (earliest == 0 || due_time < earliest))
       earliest = due_time;
   };
@@ -181,7 +181,7 @@
       consider_deadline(spec.deadline->count() * objective.times);
     if (objective.kind == base::ObjectiveKind::kFinished) consider_deadline(objective.within_s);
   }
-  return earliest > 0 ? earliest : kMissedDeadlineDue + job.record.submitted;
+  return earliest > 0 ? earliest : kMissedDeadlineDue + job.record.submitted_at;
 }
 
 std::optional<Seconds> JobPriorities::start_within(const protocol::JobSpec& spec) const {
@@ -197,7 +197,7 @@
   return job.record.spec.rank <= Rank::kUrgent || is_guaranteed(job);
 }
 
-bool JobPriorities::is_spare_time(const Job& job) const {
+bool JobPriorities::is_best_effort(const Job& job) const {
   const auto& spec = job.record.spec;
   const auto inherited = inherited_.find(spec.id);
   if (inherited != inherited_.end() && inherited->second.due < kNoDeadlineDue) return false;
--- a/src/daemon/peer_request_handler.cpp
+++ b/src/daemon/peer_request_handler.cpp
@@ -25,12 +25,12 @@
   }
   // The tasks on the peer's machines stop unless another controller takes the machines over and
   // answers their heartbeats before their leases expire. The lease renewal commits such a change.
-  if (message->status.contact == protocol::WorkerContact::kLost) {
+  if (message->status.worker_contact == protocol::WorkerContact::kLost) {
     context_.wakeups.lease_renewal.notify();
   }
   return {200,
-          protocol::encode_peer_reply(
-              {instructions.released, instructions.cordon, instructions.drain, instructions.again}),
+          protocol::encode_peer_reply({instructions.released, instructions.cordon,
+                                       instructions.drain, instructions.needs_full_status}),
           0};
 }
 
--- a/src/storage/record_layout.h
+++ b/src/storage/record_layout.h
@@ -8,8 +8,8 @@
 
 // A range of consecutive tasks of one job.
 struct TaskRange {
-  TaskNo first = 0;
-  TaskNo count = 0;
+  TaskNumber first = 0;
+  TaskNumber count = 0;
   bool operator==(const TaskRange&) const = default;
 };
 
@@ -25,7 +25,7 @@
   explicit RecordLayout(const JobRecord& job) : job_(job) {}
 
   // Returns whether the chunks are divided into pieces.
-  bool is_divided() const { return job_.piece != 0; }
+  bool is_divided() const { return job_.piece_size != 0; }
 
   // Returns the number of task records in use, which are pieces if the chunks are divided.
   std::uint32_t record_count() const;
--- a/tests/fleet_demand_test.cpp
+++ b/tests/fleet_demand_test.cpp
@@ -27,17 +27,17 @@
     cache_.apply({protocol::kCatalogueKey, to_json(std::vector{slow, fast}), next_version()}, now_);
   }
 
-  static JobRecord job(const std::string& id, Kind kind, base::TaskNo tasks) {
+  static JobRecord job(const std::string& id, Kind kind, base::TaskNumber tasks) {
     JobRecord record;
     record.spec.id = JobId(id);
     record.spec.job_class = std::string("c");
     record.spec.team = std::string("t");
     record.spec.kind = kind;
     record.spec.tasks = tasks;
-    record.spec.request.v = {2, 0, 1};
+    record.spec.request.amounts = {2, 0, 1};
     record.spec.image = "img";
     record.spec.estimate = Seconds(100);
-    record.submitted = 1000;
+    record.submitted_at = 1000;
     return record;
   }
   void add(const JobRecord& record, Time now) {
--- a/tests/job_test.cpp
+++ b/tests/job_test.cpp
@@ -10,20 +10,21 @@
 const MachineId kMachine("i-1");
 
 // Returns the record of a job with 150 tasks in chunks of 100.
-JobRecord record(TaskNo piece = 0) {
+JobRecord record(TaskNumber piece_size = 0) {
   JobRecord result;
   result.spec.id = JobId("run-000001");
   result.spec.tasks = 150;
-  result.chunk = 100;
-  result.piece = piece;
+  result.chunk_size = 100;
+  result.piece_size = piece_size;
   return result;
 }
 
-Chunk chunk(TaskNo count, const std::vector<TaskNo>& done, const std::vector<TaskNo>& assigned) {
+Chunk chunk(TaskNumber count, const std::vector<TaskNumber>& done,
+            const std::vector<TaskNumber>& assigned) {
   Chunk result{{}, Version(2)};
   result.record.done.assign(count, false);
-  for (const TaskNo offset : done) result.record.done[offset] = true;
-  for (const TaskNo task : assigned)
+  for (const TaskNumber offset : done) result.record.done[offset] = true;
+  for (const TaskNumber task : assigned)
     result.record.assigned[task] = {kMachine, Attempt(1), base::AgentIncarnation(1)};
   return result;
 }
@@ -56,7 +57,7 @@
   job.blocked = true;
   EXPECT_EQ(job.pending(), 0u);
   job.blocked = false;
-  job.notify_cancelled = true;
+  job.cancellation_announced = true;
   EXPECT_EQ(job.pending(), 0u);
   EXPECT_TRUE(job.cancelled());
   EXPECT_FALSE(job.cancelled_on_record());
@@ -84,8 +85,8 @@
   const Job job(record(40), Version(1), Time{});
   const auto keys = job.task_record_keys();
   ASSERT_EQ(keys.size(), 7u);
-  EXPECT_EQ(keys.front(), protocol::piece_key(job.record.spec.id, 0));
-  EXPECT_EQ(keys.back(), protocol::chunk_key(job.record.spec.id, 1));
+  EXPECT_EQ(keys.front(), protocol::piece_record_key(job.record.spec.id, 0));
+  EXPECT_EQ(keys.back(), protocol::chunk_record_key(job.record.spec.id, 1));
 }
 
 // Dependencies that were read from separate lists are not part of any job record, so an update must
--- a/tests/peer_test.cpp
+++ b/tests/peer_test.cpp
@@ -13,15 +13,19 @@
  protected:
   PeerStatusTest() : settings_(testing::make_settings({"n1"})), controller_(settings_) {}
 
-  // Returns whether the controller requests a full status when n1 sends the changes since `since`.
-  bool requests_full_status(std::uint64_t incarnation, std::uint64_t since, std::uint64_t upto) {
+  // Returns whether the controller requests a full status when n1 sends the changes since
+  // `base_revision`.
+  bool requests_full_status(std::uint64_t incarnation, std::uint64_t base_revision,
+                            std::uint64_t revision) {
     MemberStatus status;
     status.from = {peer_, base::Incarnation(incarnation)};
-    status.since = since;
-    status.upto = upto;
-    return controller_.handle_peer_status(status, at_seconds(0)).again;
+    status.base_revision = base_revision;
+    status.revision = revision;
+    return controller_.handle_peer_status(status, at_seconds(0)).needs_full_status;
+  }
+  std::uint64_t status_base_revision() {
+    return controller_.status(peer_, at_seconds(0)).base_revision;
   }
-  std::uint64_t status_since() { return controller_.status(peer_, at_seconds(0)).since; }
 
   const base::Settings settings_;
   Controller controller_;
@@ -55,23 +59,23 @@
 // A peer to which offers could not be delivered is removed until it sends a full status.
 TEST_F(PeerStatusTest, DeltaAfterLostOffersRequestsAFullStatus) {
   EXPECT_FALSE(requests_full_status(9, 0, 2));
-  controller_.offers_lost(peer_, {});
+  controller_.handle_undelivered_offers(peer_, {});
   EXPECT_TRUE(requests_full_status(9, 2, 3));
 }
 
 TEST_F(PeerStatusTest, PeerWithoutAcknowledgementIsSentAFullStatus) {
-  EXPECT_EQ(status_since(), 0u);
+  EXPECT_EQ(status_base_revision(), 0u);
 }
 
 TEST_F(PeerStatusTest, PeerIsSentTheChangesSinceItsAcknowledgedRevision) {
-  controller_.status_acknowledged(peer_, 4);
-  EXPECT_EQ(status_since(), 4u);
+  controller_.acknowledge_status(peer_, 4);
+  EXPECT_EQ(status_base_revision(), 4u);
 }
 
 TEST_F(PeerStatusTest, PeerThatRequestsAFullStatusIsSentOne) {
-  controller_.status_acknowledged(peer_, 4);
-  controller_.status_acknowledged(peer_, 0);
-  EXPECT_EQ(status_since(), 0u);
+  controller_.acknowledge_status(peer_, 4);
+  controller_.acknowledge_status(peer_, 0);
+  EXPECT_EQ(status_base_revision(), 0u);
 }
 
 }  // namespace saddleslip::coordination
