--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -22,8 +22,9 @@
 
 constexpr const char* kStateServiceSilent = "the state service does not answer";
 constexpr int kRetryAfterSeconds = 1;
-// The most final states that one submission reads from the store. A submission that needs more gets
-// 503; when it is repeated, the final states read before are in the cache and others are read.
+// The most final states that one submission reads from the state service. A submission that needs
+// more gets 503; when it is repeated, the final states read before are in the cache and others are
+// read.
 constexpr std::size_t kMaxFinalStateReadsPerSubmission = 64;
 // Attempts to commit a cancellation before the reply asks the user to retry.
 constexpr int kMaxCancelAttempts = 3;
@@ -91,7 +92,7 @@
   // Another controller may have reported a newer state than this cache holds, so a state that is
   // not final is reported only after a read barrier. A live job's record is only ever replaced by a
   // final state: a job that the cache lacks after the barrier either has its final state in the
-  // store or was never accepted.
+  // state service or was never accepted.
   if (!store_.read_barrier()) return {};
   // A job is cancelled if any of its dependencies is. Another controller may have reported that
   // already, so this one must read the dependencies' final states before it reports "queued".
@@ -140,7 +141,8 @@
 }
 
 UserApi::DependencyLookup UserApi::look_up_dependencies(const protocol::JobSpec& spec) {
-  // Every job in the cache was accepted. Only the store shows that a job was never accepted.
+  // Every job in the cache was accepted. Only the state service shows that a job was never
+  // accepted.
   if (!dependencies_missing_from_cache(spec).empty()) {
     if (!store_.read_barrier()) return {Acceptance::kUnknown, {}, false};
     const std::vector<JobId> unknown = dependencies_missing_from_cache(spec);
--- a/src/api/user_api.h
+++ b/src/api/user_api.h
@@ -30,8 +30,8 @@
   // Callbacks for access to the state service and for notifications to the process that owns this
   // object. All of them may be called by several threads at once.
   struct Store {
-    // Brings the local cache up to date with the store as of some moment after the call. Returns
-    // false if that failed.
+    // Brings the local cache up to date with the state service as of some moment after the call.
+    // Returns false if that failed.
     std::function<bool()> read_barrier;
     // Reads one key from the state service.
     std::function<protocol::StateClient::GetResult(const std::string& key)> get;
@@ -72,7 +72,7 @@
     // The numbers of completed and of running tasks. Not set if the job is final.
     std::optional<base::TaskNumber> done_tasks, running_tasks;
   };
-  // The result of looking up a job in the cache and the store.
+  // The result of looking up a job in the cache and in the state service.
   struct LookupResult {
     Acceptance acceptance = Acceptance::kUnknown;
     JobState state;  // meaningful only if the job was accepted
@@ -97,14 +97,15 @@
   std::optional<protocol::FinalState> cached_final_state(const base::JobId& id);
   // Returns the state of a job, final or not, if the cache holds the job.
   std::optional<JobState> cached_job_state(const base::JobId& id);
-  // Reads a job's final state from the store into the cache. Returns kNeverAccepted if the store
-  // has none.
+  // Reads a job's final state from the state service into the cache. Returns kNeverAccepted if the
+  // state service has none.
   Acceptance read_final_state(const base::JobId& id);
   // Reads the final states of the job's dependencies that the cache lacks. Returns false if one of
   // them could not be read.
   bool read_unresolved_dependencies(const base::JobId& id);
 
-  // Looks up all dependencies of a submission, in the store if the cache lacks some of them.
+  // Looks up all dependencies of a submission, in the state service if the cache lacks some of
+  // them.
   DependencyLookup look_up_dependencies(const protocol::JobSpec& spec);
   // Returns the dependencies that the cache has neither as a live job nor as a final state.
   std::vector<base::JobId> dependencies_missing_from_cache(const protocol::JobSpec& spec);
@@ -126,8 +127,9 @@
   // Writes the dependency lists of a job, which must be complete before the job's record is
   // committed. Returns the version of their manifest, or nothing if a write failed.
   std::optional<base::Version> write_dependency_lists(const protocol::JobRecord& record);
-  // Commits the manifest that names the job's dependency lists, unless the store holds the same one
-  // already. Returns the manifest's version, or nothing if the store did not answer or commit.
+  // Commits the manifest that names the job's dependency lists, unless the state service holds the
+  // same one already. Returns the manifest's version, or nothing if the state service did not
+  // answer or did not commit.
   std::optional<base::Version> commit_dependency_list_manifest(
       const protocol::JobRecord& record) const;
 
--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -32,8 +32,8 @@
 // The name of a controller in the settings. It stays the same after a restart.
 using MemberId = StrongType<struct MemberIdTag, std::string>;
 
-// Identifies one period in which a controller holds a lease, by the id of that lease. The store
-// never assigns a lease id twice, so two incarnations of one member are always distinct.
+// Identifies one period in which a controller holds a lease, by the id of that lease. The state
+// service never assigns a lease id twice, so two incarnations of one member are always distinct.
 using Incarnation = StrongType<struct IncarnationTag, std::uint64_t>;
 // The number of a membership view. Each new view has a higher number.
 using Epoch = StrongType<struct EpochTag, std::uint64_t>;
@@ -46,12 +46,13 @@
 using Sequence = StrongType<struct SequenceTag, std::uint64_t>;
 // The number of an attempt to run a task, unique among the attempts of that task.
 using Attempt = StrongType<struct AttemptTag, std::uint64_t>;
-// The version of a key in the store, or 0 if the key does not exist.
+// The version of a key in the state service, or 0 if the key does not exist.
 using Version = StrongType<struct VersionTag, std::uint64_t>;
-// The store's revision, which increases with each change. The version of a key is the revision of
-// its last change.
+// The revision of the state service, which increases with each change. The version of a key is the
+// revision of its last change.
 using Revision = StrongType<struct RevisionTag, std::uint64_t>;
-// The id of a lease in the store. The store deletes the keys attached to a lease when it ends.
+// The id of a lease in the state service, which deletes the keys attached to a lease when the lease
+// ends.
 using LeaseId = StrongType<struct LeaseIdTag, std::uint64_t>;
 
 // The number of a task within its job, starting at 0.
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// The minimum time between two reads of the store's changes for user requests.
+// The minimum time between two reads of changes from the state service for user requests.
 constexpr Seconds kMinCatchUpInterval{0.04};
 // Parsed changes take several times the size of the response that carried them, so a response may
 // be at most the process's memory divided by this.
--- a/src/daemon/fleet_loop.cpp
+++ b/src/daemon/fleet_loop.cpp
@@ -146,7 +146,7 @@
     const coordination::ScalingPlan& plan) {
   const protocol::ControllerIncarnation self =
       context_.controller.with_lock([](Controller& controller) { return controller.self(); });
-  // The store never assigns an incarnation number twice, so the names are unique among all
+  // The state service never assigns an incarnation number twice, so the names are unique among all
   // controllers and incarnations.
   const std::string name_prefix =
       "r-" + self.member.get() + "-" + std::to_string(self.incarnation.get()) + "-";
--- a/src/daemon/fleet_loop.h
+++ b/src/daemon/fleet_loop.h
@@ -42,7 +42,7 @@
   bool is_leader();
   // Reads the catalogue and the machine list if they are due, then executes one scaling plan.
   void run_iteration(const std::stop_token& stop);
-  // Reads the catalogue from the cloud and commits it to the store if it has changed.
+  // Reads the catalogue from the cloud and commits it to the state service if it has changed.
   void read_catalogue();
   // Reads the list of rented machines from the cloud into the controller.
   void read_machine_list();
--- a/src/daemon/lease_renewer.h
+++ b/src/daemon/lease_renewer.h
@@ -1,4 +1,4 @@
-// Renews this member's lease in the store and commits membership changes.
+// Renews this member's lease in the state service and commits membership changes.
 #pragma once
 
 #include <optional>
@@ -13,7 +13,8 @@
 
 // Creates a lease, which starts an incarnation of this controller, and renews it four times per
 // time to live. Starts a new incarnation if the lease is lost. After each renewal, brings the local
-// copy of the store up to date and commits the membership changes that the controller proposes.
+// copy of the state service up to date and commits the membership changes that the controller
+// proposes.
 class LeaseRenewer {
  public:
   LeaseRenewer(const DaemonContext& context, protocol::StateClient& state_client,
@@ -30,7 +31,8 @@
   // Commits a change of leadership or a new view if the controller proposes one. Returns whether a
   // change was committed.
   bool commit_membership_change();
-  // Commits claims to machines that other members own, if the controller proposes any.
+  // Commits claims to the ownership of machines that cannot reach their present owners, if the
+  // controller proposes any.
   void commit_ownership_claims();
 
   const DaemonContext context_;
--- a/src/daemon/peer_sync.h
+++ b/src/daemon/peer_sync.h
@@ -38,7 +38,7 @@
   protocol::PeerMessage make_message();
   // Sends a message and processes the reply. Returns whether the peer replied.
   bool send(const protocol::PeerMessage& message);
-  // Removes cancellations that the peer has received from the queue.
+  // Removes from the queue the cancellations that the peer has received.
   void remove_delivered_cancellations(const std::vector<base::JobId>& cancelled);
   // Applies the instructions in the peer's reply to the status of the given revision.
   void handle_reply(const protocol::PeerReply& reply, std::uint64_t status_revision);
--- a/src/daemon/read_barrier.h
+++ b/src/daemon/read_barrier.h
@@ -1,4 +1,4 @@
-// Linearizable reads from the local copy of the state service's store.
+// Linearizable reads from the local copy of the state service.
 #pragma once
 
 #include <condition_variable>
@@ -11,9 +11,9 @@
 
 namespace saddleslip {
 
-// Brings the local copy up to date with the store as of some moment after a read began. One
-// catch-up serves all reads that began before it, which bounds the number of requests to the store
-// however many reads there are.
+// Brings the local copy up to date with the state service as of some moment after a read began. One
+// catch-up serves all reads that began before it, which bounds the number of requests to the state
+// service however many reads there are.
 //
 // May be used by several threads at once. Calls `catch_up` on the thread of one of the readers,
 // with its mutex unlocked, and never concurrently.
@@ -23,7 +23,8 @@
     base::Seconds min_interval;  // minimum time between the starts of two catch-ups
     base::Seconds timeout;       // for waiting on another reader's catch-up
   };
-  // `catch_up` must return whether the copy is at least as new as the store was at the call.
+  // `catch_up` must return whether the copy is at least as new as the state service was at the
+  // call.
   ReadBarrier(Options options, std::function<bool()> catch_up)
       : options_(options), catch_up_(std::move(catch_up)) {}
 
--- a/src/daemon/state_replicator.h
+++ b/src/daemon/state_replicator.h
@@ -1,4 +1,4 @@
-// Replicates the contents of the state service's store into this process.
+// Replicates the contents of the state service into this process.
 #pragma once
 
 #include <atomic>
@@ -11,9 +11,9 @@
 
 namespace saddleslip {
 
-// Loads the store's contents into the controller's cache, then applies the changes that the store's
-// watch delivers and the commits of this process. run() needs a thread of its own; the other
-// functions may be called from any thread.
+// Loads the contents of the state service into the controller's cache, then applies the changes
+// that the watch delivers and the commits of this process. run() needs a thread of its own; the
+// other functions may be called from any thread.
 class StateReplicator {
  public:
   StateReplicator(const DaemonContext& context, protocol::StateClient& state_client)
@@ -26,27 +26,28 @@
   // Returns whether the copy has been loaded completely at least once.
   bool is_loaded() const { return is_loaded_; }
 
-  // Reads and applies all changes of the store up to this call. Returns whether the copy is known
-  // to be current as of the call.
+  // Reads and applies all changes in the state service up to this call. Returns whether the copy is
+  // known to be current as of the call.
   bool catch_up(base::Seconds timeout);
 
   // Commits a transaction and applies it to the copy. Returns whether the commit is confirmed.
   // After a conflict, reads the conflicting keys again.
   bool commit(const protocol::Transaction& transaction);
 
-  // Reads keys from the store ahead of the watch and applies them to the copy. Skips keys whose
-  // records imply earlier changes of other keys.
+  // Reads keys from the state service ahead of the watch and applies them to the copy. Skips keys
+  // whose records imply earlier changes of other keys.
   void refresh(const std::vector<std::string>& keys);
 
  private:
-  // Replaces the copy with the store's current contents. Returns false if the store did not answer.
+  // Replaces the copy with the current contents of the state service. Returns false if the state
+  // service did not answer.
   bool load();
-  // Appends all items under the prefix, read page by page. Sets `revision` to the store's revision
-  // at the first page. Returns false if the store did not answer.
+  // Appends all items under the prefix, read page by page. Sets `revision` to the state service's
+  // revision at the first page. Returns false if the state service did not answer.
   bool list_all(const std::string& prefix, std::vector<protocol::Item>& items,
                 base::Revision& revision);
-  // Applies changes that the store delivered. Returns false if the copy was reloaded meanwhile,
-  // which makes them useless.
+  // Applies changes that the state service delivered. Returns false if the copy was reloaded
+  // meanwhile, which makes them useless.
   bool apply(const protocol::StateClient::WatchResult& changes);
 
   const DaemonContext context_;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -80,7 +80,8 @@
   saddleslip::Daemon daemon(std::move(settings));
   daemon.start();
   // SIGTERM keeps its default action, which terminates the process immediately. This is safe: all
-  // durable state is in the store, and the peers take over once this controller's lease expires.
+  // durable state is in the state service, and the peers take over once this controller's lease
+  // expires.
   daemon.wait();
 }
 
--- a/src/protocol/job_record.cpp
+++ b/src/protocol/job_record.cpp
@@ -48,29 +48,31 @@
   return chunk_of(spec.tasks - 1) + std::size_t{1};
 }
 
-TaskNumber JobRecord::first_task(std::uint32_t number) const {
-  return number / pieces_of_chunk() * chunk_size + number % pieces_of_chunk() * piece_size;
+TaskNumber JobRecord::first_task(std::uint32_t record_number) const {
+  return record_number / pieces_of_chunk() * chunk_size +
+         record_number % pieces_of_chunk() * piece_size;
 }
 
-TaskNumber JobRecord::tasks_of(std::uint32_t number) const {
-  const TaskNumber first = first_task(number);
+TaskNumber JobRecord::tasks_of(std::uint32_t record_number) const {
+  const TaskNumber first = first_task(record_number);
   const TaskNumber remaining = std::min(chunk_size - first % chunk_size, spec.tasks - first);
   return piece_size == 0 ? remaining : std::min(piece_size, remaining);
 }
 
-std::string JobRecord::record_key(std::uint32_t number) const {
-  return piece_size == 0 ? chunk_record_key(spec.id, number) : piece_record_key(spec.id, number);
+std::string JobRecord::record_key(std::uint32_t record_number) const {
+  return piece_size == 0 ? chunk_record_key(spec.id, record_number)
+                         : piece_record_key(spec.id, record_number);
 }
 
-Json to_json(const JobRecord& job) {
-  Json json = {{kSubmission, to_json(job.spec)}, {kSubmittedAt, job.submitted_at}};
-  if (job.dependency_lists) {
+Json to_json(const JobRecord& record) {
+  Json json = {{kSubmission, to_json(record.spec)}, {kSubmittedAt, record.submitted_at}};
+  if (record.dependency_lists) {
     json[kSubmission].erase(wire::kDependencies);
-    json[kDependencyLists] = to_json(*job.dependency_lists);
+    json[kDependencyLists] = to_json(*record.dependency_lists);
   }
-  if (job.cancelled) json[kIsCancelled] = true;
-  if (job.chunk_size != kMaxChunkTasks) json[kChunkSize] = job.chunk_size;
-  if (job.piece_size != 0) json[kPieceSize] = job.piece_size;
+  if (record.cancelled) json[kIsCancelled] = true;
+  if (record.chunk_size != kMaxChunkTasks) json[kChunkSize] = record.chunk_size;
+  if (record.piece_size != 0) json[kPieceSize] = record.piece_size;
   return json;
 }
 
@@ -78,36 +80,36 @@
   if (!value.is_object() || !value.contains(kSubmission)) return {};
   auto spec = parse_job_spec(value.at(kSubmission));
   if (!std::holds_alternative<JobSpec>(spec)) return {};
-  JobRecord job;
-  job.spec = std::get<JobSpec>(std::move(spec));
-  job.submitted_at = value.value(kSubmittedAt, 0.0);
-  job.cancelled = value.value(kIsCancelled, false);
+  JobRecord record;
+  record.spec = std::get<JobSpec>(std::move(spec));
+  record.submitted_at = value.value(kSubmittedAt, 0.0);
+  record.cancelled = value.value(kIsCancelled, false);
   if (const auto lists = value.find(kDependencyLists); lists != value.end()) {
-    job.dependency_lists = parse_dependency_lists(*lists);
-    if (!job.dependency_lists) return {};
+    record.dependency_lists = parse_dependency_lists(*lists);
+    if (!record.dependency_lists) return {};
   }
-  if (!read_task_count(value, kChunkSize, kMaxChunkTasks, job.chunk_size)) return {};
-  if (!read_task_count(value, kPieceSize, job.chunk_size, job.piece_size)) return {};
-  return job;
+  if (!read_task_count(value, kChunkSize, kMaxChunkTasks, record.chunk_size)) return {};
+  if (!read_task_count(value, kPieceSize, record.chunk_size, record.piece_size)) return {};
+  return record;
 }
 
-Json to_json(const FinalState& state) {
-  const char* status = state.status == JobStatus::kDone ? kFinalDone : kFinalCancelled;
+Json to_json(const FinalState& final_state) {
+  const char* status = final_state.status == JobStatus::kDone ? kFinalDone : kFinalCancelled;
   Json json = {{kFinalStatus, status}};
-  if (state.recorded_at > 0) json[kFinalAt] = state.recorded_at;
+  if (final_state.recorded_at > 0) json[kFinalAt] = final_state.recorded_at;
   return json;
 }
 
 std::optional<FinalState> parse_final_state(const Json& value) {
   if (!value.is_object()) return {};
-  FinalState state;
+  FinalState final_state;
   const auto status = value.find(kFinalStatus);
   const bool is_done = status != value.end() && *status == kFinalDone;
-  state.status = is_done ? JobStatus::kDone : JobStatus::kCancelled;
+  final_state.status = is_done ? JobStatus::kDone : JobStatus::kCancelled;
   if (const auto at = value.find(kFinalAt); at != value.end() && at->is_number()) {
-    state.recorded_at = at->get<double>();
+    final_state.recorded_at = at->get<double>();
   }
-  return state;
+  return final_state;
 }
 
 }  // namespace saddleslip::protocol
--- a/src/protocol/job_record.h
+++ b/src/protocol/job_record.h
@@ -40,15 +40,15 @@
   std::uint32_t chunk_of(TaskNumber task) const;
   // Returns the number of task records. Requires a job with at least one task.
   std::size_t chunks() const;
-  // Returns the number of the first task in the task record `number`.
-  TaskNumber first_task(std::uint32_t number) const;
-  // Returns how many tasks the task record `number` holds.
-  TaskNumber tasks_of(std::uint32_t number) const;
-  // Returns the key of the task record `number` in the state service.
-  std::string record_key(std::uint32_t number) const;
+  // Returns the number of the first task in the task record `record_number`.
+  TaskNumber first_task(std::uint32_t record_number) const;
+  // Returns how many tasks the task record `record_number` holds.
+  TaskNumber tasks_of(std::uint32_t record_number) const;
+  // Returns the key of the task record `record_number` in the state service.
+  std::string record_key(std::uint32_t record_number) const;
 };
 
-Json to_json(const JobRecord& job);
+Json to_json(const JobRecord& record);
 // Parses a job record; nullopt if the value is malformed.
 std::optional<JobRecord> parse_job(const Json& value);
 
@@ -60,7 +60,7 @@
   double recorded_at = 0;
 };
 
-Json to_json(const FinalState& state);
+Json to_json(const FinalState& final_state);
 // Parses a tombstone; nullopt if the value is malformed.
 std::optional<FinalState> parse_final_state(const Json& value);
 
--- a/src/protocol/member_records.h
+++ b/src/protocol/member_records.h
@@ -11,7 +11,8 @@
 
 namespace saddleslip::protocol {
 
-// One run of a controller process. Every run of a member has a different incarnation.
+// One incarnation of a controller: a member during the life of one of its leases. After a restart
+// or the loss of its lease, the member has a new incarnation.
 struct ControllerIncarnation {
   MemberId member;
   Incarnation incarnation;
--- a/src/protocol/peer_messages.h
+++ b/src/protocol/peer_messages.h
@@ -20,7 +20,7 @@
 // The reply to a PeerMessage: instructions from the receiver to the sender. Only the leader lists
 // machines in it.
 struct PeerReply {
-  std::vector<MachineId> released;  // released: these machines and their tasks no longer exist
+  std::vector<MachineId> released;  // released by the cloud: these and their tasks do not exist
   std::vector<MachineId> cordon;    // start no new tasks on these; release them when idle
   std::vector<MachineId> drain;     // move the services on these elsewhere, then release them
   // The status was a delta to a revision that the receiver lacks: the sender must send a full
--- a/src/protocol/state_client.h
+++ b/src/protocol/state_client.h
@@ -64,7 +64,7 @@
   enum class RenewalOutcome { kYes, kGone, kUnknown };
   // Renews a lease for its time to live.
   RenewalOutcome renew_lease(LeaseId lease, Seconds timeout);
-  // Deletes a lease, and with it the keys under it. Whether it succeeded is not reported.
+  // Deletes a lease, and with it the keys attached to it. Whether it succeeded is not reported.
   void delete_lease(LeaseId lease, Seconds timeout);
 
   // The changes to the keys under a prefix after a revision.
--- a/src/protocol/task_records.h
+++ b/src/protocol/task_records.h
@@ -35,9 +35,9 @@
 };
 
 // Returns the number of tasks per task record for a job of `tasks` tasks. It is small enough that
-// there is a record for each of the partitions, since controllers that write the same record
-// conflict, and that a record fits into `max_bytes` even if every task is assigned to a different
-// machine.
+// there is a record for each of the partitions, and that a record fits into `max_bytes` even if
+// every task is assigned to a different machine. A partition is the set of machines that one
+// controller owns; controllers that write the same record conflict.
 TaskNumber chunk_size(TaskNumber tasks, std::size_t partitions, std::size_t max_bytes);
 
 // Returns an upper bound for the size of the encoded record in bytes.
--- a/src/protocol/worker_commands.h
+++ b/src/protocol/worker_commands.h
@@ -18,7 +18,7 @@
   } op = Op::kRun;
   TaskId task;
   Attempt attempt;
-  Seconds grace{0};  // for kKill only
+  Seconds grace{0};  // for kKill: the time that the attempt has to save its state
 };
 
 // Encodes the owner's response to a heartbeat, which renews the worker's lease and may carry
--- a/src/storage/final_states.h
+++ b/src/storage/final_states.h
@@ -12,8 +12,8 @@
 
 // A bounded cache of the final states of jobs, holding the most recently added ones.
 //
-// The store keeps the final state of every job that ever ran, so an unbounded copy would grow
-// without limit. Callers read the final states that are missing here from the store.
+// The state service keeps the final state of every job that ever ran, so an unbounded copy would
+// grow without limit. Callers read the final states that are missing here from the state service.
 //
 // Not thread-safe.
 class FinalStates {
--- a/src/storage/job.h
+++ b/src/storage/job.h
@@ -10,8 +10,8 @@
 
 namespace saddleslip::storage {
 
-// A task record as last read from the store. The version is 0 if the record does not exist in the
-// store.
+// The task record of a chunk of consecutive tasks, or of a piece of a chunk, as last read from the
+// state service. The version is 0 if the record does not exist there.
 struct Chunk {
   ChunkRecord record;
   Version version;
@@ -26,13 +26,13 @@
 
   // --- Cancellation and dependencies
 
-  // Returns whether the cancellation of this job, or of a job that it depends on, is in the store.
-  // Responses to users and writes to the store depend on this value.
+  // Returns whether the cancellation of this job, or of a job that it depends on, is in the state
+  // service. Responses to users and writes to the state service depend on this value.
   bool cancelled_on_record() const { return record.cancelled || dependency_cancelled; }
   // Returns whether the tasks of the job must stop and no more may start: it is cancelled in the
-  // store, or another controller announced its cancellation.
+  // state service, or another controller announced its cancellation.
   bool cancelled() const { return cancelled_on_record() || cancellation_announced; }
-  // Returns since when the tasks could have started, in seconds since the epoch.
+  // Returns the time from which the tasks could have started, in seconds since 1970.
   double startable_since() const { return std::max(record.submitted_at, unblocked_at); }
 
   // --- Tasks. A task number must be below the number of the job's tasks.
@@ -64,7 +64,7 @@
   TaskNumber chunk_size(std::size_t number) const {
     return record.tasks_of(static_cast<std::uint32_t>(number));
   }
-  // Returns the store keys of all task records that the job has or may have.
+  // Returns the keys in the state service of all task records that the job has or may have.
   std::vector<std::string> task_record_keys() const;
 
   // --- Modifications, only by the state cache
@@ -87,7 +87,7 @@
   // --- State
 
   JobRecord record;
-  Version version;  // version of the job's record in the store
+  Version version;  // version of the job's record in the state service
   // The task records in use: one for each chunk, or for each piece if the job's record says that
   // the chunks are divided.
   std::vector<Chunk> chunks;
@@ -103,12 +103,12 @@
   // Another controller has announced that the cancellation of this job is committed, and the watch
   // has not delivered it yet.
   bool cancellation_announced = false;
-  // A job that it depends on, directly or transitively, is cancelled in the store. This cancels the
-  // job regardless of its own record.
+  // A job that it depends on, directly or transitively, is cancelled in the state service. This
+  // cancels the job regardless of its own record.
   bool dependency_cancelled = false;
   // The job waits for its dependencies, so none of its tasks may start.
   bool blocked = false;
-  // When the last of its dependencies was done, in seconds since the epoch; 0 if not known.
+  // When the last of its dependencies was done, in seconds since 1970; 0 if not known.
   double unblocked_at = 0;
 };
 
--- a/src/storage/machine.h
+++ b/src/storage/machine.h
@@ -24,9 +24,9 @@
 // late.
 inline constexpr double kHeartbeatOverdueIntervals = 1.5;
 
-// Each batch of commands that starts attempts carries its own fencing token, and the next heartbeat
-// response carries a higher one. Once the agent has reported the higher token, it rejects late
-// copies of the batch.
+// A machine that reports to this controller. Each batch of commands that starts attempts carries
+// its own fencing token, and the next heartbeat response carries a higher one. Once the agent has
+// reported the higher token, it rejects late copies of the batch.
 struct Machine {
   // The newest heartbeat that was processed.
   Heartbeat last_heartbeat;
@@ -41,20 +41,21 @@
 
   FencingToken fencing_token;           // token for the next response or batch of commands
   FencingToken required_fencing_token;  // the agent is fenced once it has reported this token
-  // A heartbeat with this token was sent after a response of this owner reached the machine.
-  // Without such a heartbeat, a healthy machine cannot be distinguished from late copies of a dead
-  // machine's heartbeats, or from a machine whose heartbeats arrive while responses do not reach
-  // it.
+  // A heartbeat that reports at least this token was sent after a response of this owner reached
+  // the machine. Without such a heartbeat, a healthy machine cannot be distinguished from late
+  // copies of a dead machine's heartbeats, or from a machine whose heartbeats arrive while
+  // responses do not reach it.
   FencingToken confirmation_token;
   Time fencing_token_since{};    // when `fencing_token` was first sent in a response
   FencingToken last_sent_token;  // token of the latest response; 0 if none was sent
   // The number of consecutive heartbeats that did not report the token of the latest response.
   int unacknowledged_replies = 0;
   // When the first of the consecutive heartbeats without the latest token was received; unset if
-  // the latest heartbeat reported that token.
+  // the latest heartbeat reported that token. Several such heartbeats show a half-open connection,
+  // on which heartbeats arrive but responses do not.
   std::optional<Time> half_open_since;
 
-  bool commands_lost = false;       // no commands are sent until the next heartbeat
+  bool commands_lost = false;       // commands may be lost; none are sent until the next heartbeat
   bool cordoned = false;            // no new tasks are placed on the machine
   bool draining = false;            // services are moved to other machines
   bool release_requested = false;   // the leader is asked to release the machine
--- a/src/storage/machine_capacity.h
+++ b/src/storage/machine_capacity.h
@@ -9,15 +9,16 @@
 
 namespace saddleslip::storage {
 
-// Computed from a machine's last heartbeat and from the records of its assignments, and reused
-// while neither changes. The first members identify the state that it was computed for.
+// The free capacity of a machine and its ended attempts, computed from the machine's last heartbeat
+// and from the records of its assignments, and reused while neither changes. The first members
+// identify the state that it was computed for.
 struct MachineCapacity {
   bool known = false;       // false if not computed yet or if the machine's type is unknown
   std::uint64_t stamp = 0;  // stamp of the machine's assignments
   std::uint64_t last_stamp_checked = 0;  // the cache's last stamp when `stamp` was last compared
   base::AgentIncarnation agent_incarnation;
   base::Sequence sequence;
-  std::size_t evicted = 0;
+  std::size_t evicted = 0;  // number of tasks to evict from the machine
 
   std::uint32_t assigned = 0;  // number of tasks recorded as assigned to it
   protocol::Resources free;
@@ -30,7 +31,8 @@
     const char* reason;
     bool done;
   };
-  std::vector<EndedAttempt> ended_attempts;  // attempts whose end is not recorded in the store yet
+  // Attempts whose end is not recorded in the state service yet.
+  std::vector<EndedAttempt> ended_attempts;
 };
 
 }  // namespace saddleslip::storage
--- a/src/storage/orphan_records.h
+++ b/src/storage/orphan_records.h
@@ -7,9 +7,9 @@
 
 namespace saddleslip::storage {
 
-// Task records and dependency lists that exist in the store although their job is not known: either
-// the job is finished, or its record has not been read yet. Garbage collection removes those that
-// remain.
+// Task records and dependency lists that exist in the state service although their job is not
+// known: either the job is finished, or its record has not been read yet. Garbage collection
+// removes those that remain.
 //
 // Not thread-safe.
 class OrphanRecords {
@@ -21,8 +21,8 @@
   // not here.
   void remove(const std::string& key) { versions_.erase(key); }
 
-  // Returns the orphaned records by key. A record may be removed from the store only at the version
-  // given here.
+  // Returns the orphaned records by key. A record may be removed from the state service only at the
+  // version given here.
   const std::map<std::string, base::Version>& all() const { return versions_; }
 
   // Removes all entries.
--- a/src/storage/record_layout.h
+++ b/src/storage/record_layout.h
@@ -16,8 +16,8 @@
 // The layout of a job's tasks in its task records.
 //
 // Each task record covers a chunk of consecutive tasks. Once the chunks of a job are divided, each
-// record covers a piece of a chunk instead. The records of the undivided chunks remain in the
-// store, and apply to the pieces that have no record of their own yet.
+// record covers a piece of a chunk instead. The records of the undivided chunks remain in the state
+// service, and apply to the pieces that have no record of their own yet.
 //
 // Refers to the job's record, which must outlive this object.
 class RecordLayout {
--- a/src/storage/state_cache.cpp
+++ b/src/storage/state_cache.cpp
@@ -26,8 +26,8 @@
   return true;
 }
 
-void StateCache::apply(const protocol::Transaction& txn, Revision committed, Time now) {
-  for (const protocol::Write& write : txn.writes) {
+void StateCache::apply(const protocol::Transaction& transaction, Revision committed, Time now) {
+  for (const protocol::Write& write : transaction.writes) {
     apply({write.key, write.value ? *write.value : protocol::Json(), Version(committed.get())},
           now);
   }
@@ -45,8 +45,8 @@
     orphans_.add(item.key, item.version);
     return true;
   }
-  // The same applies to a piece that is read before the job's record says that the chunks are
-  // divided.
+  // The record of a piece must wait too if it is read before the job's record says that the chunks
+  // are divided.
   return key->is_piece && !RecordLayout(owner->record).is_divided();
 }
 
--- a/src/storage/state_cache.h
+++ b/src/storage/state_cache.h
@@ -19,8 +19,8 @@
 
 namespace saddleslip::storage {
 
-// A local replica of the records in the store, updated by the watch and by the process's own
-// commits.
+// A local replica of the records in the state service, updated by the watch and by the process's
+// own commits.
 //
 // Items may arrive in any order and more than once. The newest version of each key is kept, so the
 // replica is never older than the watch. Values that cannot be parsed are logged and treated as
@@ -57,7 +57,8 @@
   const std::map<JobId, Job>& jobs() const { return jobs_; }
   // Returns the job, or null if it does not exist or is finished.
   const Job* job(const JobId& id) const;
-  // Returns the final state of the job, or nothing if it is not cached here; the store may have it.
+  // Returns the final state of the job, or nothing if it is not cached here; the state service may
+  // have it.
   std::optional<FinalState> final_state(const JobId& id) const { return final_states_.find(id); }
   // Returns whether the watch has delivered all changes before the known version of the job's
   // record. If a cancellation was read ahead of the watch, a start that precedes it may still be
@@ -78,7 +79,7 @@
   // Returns how often the last open dependency of a waiting job was resolved.
   std::uint64_t jobs_unblocked() const { return jobs_unblocked_; }
   // Returns the jobs that others wait for and of which neither a record nor a final state is known
-  // here. Their final states, which may be old, must be read from the store.
+  // here. Their final states, which may be old, must be read from the state service.
   std::vector<JobId> unresolved_dependencies() const;
   // Returns the unresolved jobs that this job depends on, directly or transitively: neither a
   // record nor a final state of them is known here.
@@ -114,17 +115,18 @@
   Revision revision() const { return versions_.revision(); }
   // Returns the current membership view, if there is one.
   const std::optional<View>& view() const { return view_; }
-  // Returns the incarnation that the store records as leader, if any.
+  // Returns the incarnation that the state service records as leader, if any.
   const std::optional<ControllerIncarnation>& leader() const { return leader_; }
   // Returns the records of all members.
   const std::map<MemberId, protocol::Member>& members() const { return members_; }
-  // Returns the claims of members to machines, by machine.
+  // Returns the ownership claims, by machine. A member claims a machine that cannot reach its
+  // owner.
   const std::map<MachineId, ControllerIncarnation>& ownership_claims() const { return claims_; }
   // Returns the machine types that the cloud offers.
   const std::vector<MachineType>& catalogue() const { return catalogue_; }
   // Returns the machine type, or null if the catalogue does not contain it.
   const MachineType* type(const std::string& name) const;
-  // Returns the record format that all controllers can read, as recorded in the store.
+  // Returns the record format that all controllers can read, as recorded in the state service.
   std::uint64_t format() const { return format_; }
   // Returns the booting machines that the leader last recorded.
   const std::vector<protocol::BootingMachine>& booting() const { return booting_; }
@@ -150,7 +152,7 @@
   // Removes a finished job, and marks its remaining records as orphaned.
   void remove_job(const JobId& id);
   // Adds the remaining records of a finished job to the orphaned records, to be removed from the
-  // store.
+  // state service.
   void mark_records_orphaned(const Job& job);
 
   // Sets the job's dependencies from its separate dependency lists, if it has any. Returns false if
@@ -158,7 +160,7 @@
   bool resolve_dependency_lists(Job& job);
   // Adds a job, whose dependencies are known, to the dependency graph.
   void add_to_dependency_graph(Job& job);
-  // Marks all jobs that depend on a job cancelled in the store as cancelled too.
+  // Marks all jobs that depend on a job cancelled in the state service as cancelled too.
   void cancel_dependents(const JobId& id);
   // Records that a dependency of the job was done at this time (seconds since the epoch). The job
   // is unblocked if it was the last one.
@@ -166,7 +168,8 @@
   // Returns whether neither a record nor a final state of the job is known here.
   bool is_unresolved(const JobId& id) const;
 
-  // Divides the chunks of a job into pieces, as its record says.
+  // Divides each chunk of a job (the tasks of one task record) into pieces with a task record each,
+  // as the job's record says.
   void divide_chunks(Job& job, Time now);
   // Sets the pieces of the chunk that have no record of their own from the record of the undivided
   // chunk.
