--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -119,24 +119,33 @@
   const StateCache& cache() const { return cache_; }
 
   // --- membership
-  // Starts a new incarnation of this controller; it has no authority yet. This function and those
-  // down to has_lease() forward to AuthorityLease, which documents them.
+  // Starts a new incarnation of this controller, which has acquired a lease but has no authority
+  // yet.
   void begin_incarnation(ControllerIncarnation incarnation, Time now) {
     authority_.begin_incarnation(std::move(incarnation), now);
   }
+  // Ends the incarnation, because its lease is lost or given up.
   void end_incarnation() { authority_.end_incarnation(); }
+  // Records that a call sent at `sent` acquired the lease of this incarnation.
   void lease_acquired(Time sent) { authority_.lease_acquired(sent); }
+  // Records that a call sent at `sent` renewed the lease, and that the cache was verified to be
+  // current afterwards. Ignored if the cache was reloaded since `cache_generation` was read.
   void lease_renewed(Time sent, std::uint64_t cache_generation) {
     authority_.lease_renewed(sent, cache_generation);
   }
+  // Records that the cache was reloaded; authority is suspended until the next renewal of the lease.
   void cache_replaced() { authority_.cache_replaced(); }
+  // Returns the number of reloads of the cache, to be passed to lease_renewed().
   std::uint64_t cache_generation() const { return authority_.cache_generation(); }
+  // Returns this controller's current incarnation, or the last one if it has ended.
   const ControllerIncarnation& self() const { return authority_.self(); }
+  // Returns whether this incarnation's lease in the state service is valid by the local clock.
   bool has_lease(Time now) const { return authority_.has_lease(now); }
   // Returns whether this process may answer workers and send them commands now.
   bool has_authority(Time now) const {
     return authority_.has_authority(now, ownership_.installed_view());
   }
+  // Returns whether this incarnation is the stored leader and still has its lease.
   bool is_leader(Time now) const { return leadership_.is_leader(now); }
   // Installs a new view and detects changes of the leader. Must be called after each change to the
   // cache.
@@ -187,7 +196,7 @@
   // Adds offered tasks to the pool from which this member's own machines are filled.
   void add_offers(const protocol::Offers& offers, Time now) { offer_pool_.add(offers, now); }
   // Registers a job whose submission this controller accepted: this controller makes the job's
-  // first offers, since the job's home may be down.
+  // first offers, since the job's home (the member that routes and finalizes it) may be down.
   void add_submitted_job(const JobId& job) { offer_router_.add_submitted_job(job); }
   // Marks that offers could not be delivered to a member: it gets no offers until its next full
   // status.
@@ -267,6 +276,7 @@
   // Returns the machines of this member that the leader should release: drained ones and silent
   // ones.
   std::vector<MachineId> release_requests() const;
+  // Returns the machines of other members that recently sent their heartbeats to this member.
   std::vector<MachineId> misdirected(Time now) const { return ownership_claims_.misdirected(now); }
   // Returns the machines of other members that this member claims.
   std::vector<MachineId> ownership_claims(Time now);
@@ -325,6 +335,7 @@
                                        const RecordBatch& batch);
   // Counts the job's assigned tasks by zone.
   void count_tasks_by_zone(WaitingJob& waiting_job) const;
+  // Returns the machines of this member that may be given tasks in this round.
   OpenMachines open_machines(Time now);
   // Returns the jobs' order by due time if the waiting tasks exceed the free capacity; otherwise
   // all zeros.
--- a/src/coordination/fleet/autoscaler.cpp
+++ b/src/coordination/fleet/autoscaler.cpp
@@ -9,7 +9,7 @@
 
 constexpr Seconds kDrainDelayAfterDemand{10.0};  // after the last task without capacity
 constexpr Seconds kDrainInterval{3.0};           // between the drains of two machines
-// The part of a value in the store that is reserved, not available to the list of booting machines.
+// The part of a value in the state service that is not available to the list of booting machines.
 constexpr std::size_t kFleetRecordOverheadBytes = 1024;
 // After a change of leader or of ownership, the autoscaler waits for this many heartbeat intervals
 // plus a margin, so that all machines have reported to their owners.
--- a/src/coordination/machines/machine_registry.cpp
+++ b/src/coordination/machines/machine_registry.cpp
@@ -29,8 +29,8 @@
 constexpr double kTokenRenewalLeaseShare = 0.5;
 // A machine is not schedulable after this many heartbeat intervals without a heartbeat.
 constexpr double kRecentHeartbeatIntervals = 2.5;
-// A half-open machine tries the controllers in turn, and sends its next heartbeat here within this
-// time.
+// A half-open machine, which responses from here do not reach, tries the controllers in turn and
+// sends its next heartbeat here within this time.
 constexpr Seconds kHalfOpenRetryPeriod{20.0};
 
 // Returns whether the status lists the machine's current images.
@@ -40,7 +40,7 @@
                     [](const std::string& a, const auto& b) { return a == b.first; });
 }
 
-// Returns what identifies the machine's last heartbeat.
+// Returns the agent incarnation and the sequence number that identify the machine's last heartbeat.
 std::pair<AgentIncarnation, base::Sequence> heartbeat_id(const Machine& machine) {
   return {machine.last_heartbeat.agent_incarnation, machine.last_heartbeat.sequence};
 }
--- a/src/coordination/machines/peer_registry.h
+++ b/src/coordination/machines/peer_registry.h
@@ -18,6 +18,8 @@
   bool has_lease = false;      // it holds a lease in the state service
   std::uint64_t revision = 0;  // the revision of the peer's status that this copy corresponds to
   std::map<base::MachineId, protocol::MachineStatus> machines;
+  // The machines that the peer asks the leader to release, those that sent it heartbeats although
+  // other members own them, and those of other members that it claims.
   std::vector<base::MachineId> release_requested, misdirected, ownership_claims;
   std::set<base::JobId> crash_looping_jobs;
   protocol::WorkerContact worker_contact = protocol::WorkerContact::kUnknown;
--- a/src/coordination/membership/authority_lease.cpp
+++ b/src/coordination/membership/authority_lease.cpp
@@ -45,8 +45,8 @@
 
 // Returns when a lease expires at the latest that was acquired or renewed by a call sent at
 // `sent_at`. The TTL counts from the sending of the call and is shortened, since this clock may run
-// slower than the state service's. That the state service extends all leases after its own outage
-// is not relied upon.
+// slower than the state service's. The state service extends all leases after an outage of its own,
+// but this is not relied upon.
 base::Time AuthorityLease::valid_until(base::Time sent_at) const {
   return base::after(sent_at, settings_.tuning.member_ttl * (1.0 - base::kDrift));
 }
--- a/src/coordination/records/admission.h
+++ b/src/coordination/records/admission.h
@@ -22,19 +22,19 @@
 struct AcceptanceContext {
   double time_of_day = 0;
   std::size_t partitions = 1;         // number of controllers that share the machines
-  std::size_t value_bytes = 0;        // maximum size of a value in the store
+  std::size_t value_bytes = 0;        // maximum size of a value in the state service
   bool dependency_cancelled = false;  // a dependency is cancelled, which cancels this job too
 };
 // Returns the record of a newly accepted job. Its dependencies are stored in separate lists if the
-// record would not fit into one value of the store.
+// record would not fit into one value of the state service.
 protocol::JobRecord new_job_record(const protocol::JobSpec& spec, const AcceptanceContext& context);
 // Returns the transaction that accepts the job. `lists` is the version of the key that names the
 // job's dependency lists, and is used only if the job has such lists.
 protocol::Transaction acceptance_transaction(const protocol::JobRecord& record,
                                              base::Version lists = {});
-// Returns the transactions that write the job's dependency lists, each within the store's limits.
-// All of them must be committed before the job's record, so that an accepted job always has all its
-// dependencies.
+// Returns the transactions that write the job's dependency lists, each within the limits of the
+// state service. All of them must be committed before the job's record, so that an accepted job
+// always has all its dependencies.
 std::vector<protocol::Transaction> dependency_list_writes(const protocol::JobRecord& record,
                                                           base::Version lists,
                                                           const base::Settings& settings);
--- a/src/coordination/records/garbage_collection.cpp
+++ b/src/coordination/records/garbage_collection.cpp
@@ -27,8 +27,8 @@
     const ControllerIncarnation* home_controller = home_of(*cache.view(), JobId(key));
     if (!home_controller || *home_controller != self) continue;
     transaction.preconditions[key] = version;
-    // The job's record must not exist in the store. A job that the state cache has not received yet
-    // may still be live.
+    // The job's record must not exist in the state service. A job that the state cache has not
+    // received yet may still be live.
     if (const auto job = job_of_record(key)) {
       transaction.preconditions[protocol::job_key(*job)] = protocol::Version(0);
     }
--- a/src/coordination/records/garbage_collection.h
+++ b/src/coordination/records/garbage_collection.h
@@ -1,4 +1,4 @@
-// Garbage collection: removes the remaining records of finished jobs from the store.
+// Garbage collection: removes the remaining records of finished jobs from the state service.
 #pragma once
 
 #include <optional>
--- a/src/coordination/records/record_splitting.cpp
+++ b/src/coordination/records/record_splitting.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Returns how many of the job's tasks fit into one value of the store.
+// Returns how many of the job's tasks fit into one value of the state service.
 TaskNumber tasks_per_value(const JobRecord& record, const base::Settings& settings) {
   return protocol::chunk_size(record.chunk_size, 1, settings.value_bytes);
 }
--- a/src/coordination/records/record_splitting.h
+++ b/src/coordination/records/record_splitting.h
@@ -1,4 +1,4 @@
-// Splitting of task records that exceed the store's limit on the size of a value.
+// Splitting of task records that exceed the state service's limit on the size of a value.
 //
 // The limit may be lowered while jobs run that were accepted under a larger one. The tasks of such
 // a job are then recorded in smaller pieces, whose size is stored in the job's record.
@@ -12,7 +12,8 @@
 
 namespace saddleslip::coordination {
 
-// Returns whether a task record of the job covers more tasks than fit into one value of the store.
+// Returns whether a task record of the job covers more tasks than fit into one value of the state
+// service.
 bool needs_splitting(const storage::Job& job, const base::Settings& settings);
 
 // Returns the transaction that splits the task records of the first job that needs it and whose
--- a/src/coordination/scheduling/completions.cpp
+++ b/src/coordination/scheduling/completions.cpp
@@ -139,9 +139,9 @@
   for (const RoundPlan::Completion& completion : completions) ended.insert(completion.task);
   attempts_.keep_completions(ended);
   const std::set<TaskId> together = filter_large_record_completions(completions, batch);
-  // After a crash there may be more completions than one transaction holds: higher tiers come
-  // first.
-  std::map<int, std::vector<RoundPlan::Completion>> due;  // by tier
+  // After a crash there may be more completions than one transaction holds: lower tiers, which
+  // have precedence, come first.
+  std::map<int, std::vector<RoundPlan::Completion>> due_completions;  // by tier
   std::vector<RoundPlan::Completion> deferred;
   for (RoundPlan::Completion& completion : completions) {
     const Job* job = cache_.job(completion.task.job);
@@ -150,10 +150,11 @@
     if (may_wait || (write_budget == WriteBudget::kExhausted && !is_urgent)) {
       deferred.push_back(std::move(completion));
     } else {
-      due[job ? priorities_.tier(*job) : kUnknownJobTier].push_back(std::move(completion));
+      due_completions[job ? priorities_.tier(*job) : kUnknownJobTier].push_back(
+          std::move(completion));
     }
   }
-  for (auto& [tier, completions_of_tier] : due) {
+  for (auto& [tier, completions_of_tier] : due_completions) {
     for (RoundPlan::Completion& completion : completions_of_tier)
       record_completion(std::move(completion), batch, plan);
   }
@@ -182,8 +183,9 @@
 Seconds Controller::run_before_end(const RoundPlan::Completion& completion) const {
   const auto machine = machines_.find(completion.machine);
   if (machine == machines_.end()) return Seconds(0);
-  const auto ran = machine->second.ended_run_times.find(completion.task);
-  return ran == machine->second.ended_run_times.end() ? Seconds(0) : ran->second;
+  const auto ended_run_time = machine->second.ended_run_times.find(completion.task);
+  return ended_run_time == machine->second.ended_run_times.end() ? Seconds(0)
+                                                                 : ended_run_time->second;
 }
 
 void Controller::learn_run_time(const RoundPlan::Completion& completion) {
--- a/src/coordination/scheduling/job_priorities.cpp
+++ b/src/coordination/scheduling/job_priorities.cpp
@@ -117,9 +117,10 @@
       const Job* dependent_job = cache_.job(dependent);
       if (dependent_priority == inherited_.end() || dependent_job->cancelled()) continue;
       priority.rank = std::min(priority.rank, dependent_priority->second.rank);
-      priority.due = std::min(priority.due, dependent_priority->second.due -
-                                                run_time(dependent_job->record.spec).count() -
-                                                kDependentStartDelay);
+      priority.due_time =
+          std::min(priority.due_time, dependent_priority->second.due_time -
+                                          run_time(dependent_job->record.spec).count() -
+                                          kDependentStartDelay);
     }
     inherited_[id] = priority;
   }
@@ -160,7 +161,7 @@
 
 double JobPriorities::due_time(const Job& job, Time now) const {
   const auto inherited = inherited_.find(job.record.spec.id);
-  if (inherited != inherited_.end()) return inherited->second.due;
+  if (inherited != inherited_.end()) return inherited->second.due_time;
   return own_due_time(job, time_of_day(now) + run_time(job.record.spec).count());
 }
 
@@ -200,7 +201,7 @@
 bool JobPriorities::is_best_effort(const Job& job) const {
   const auto& spec = job.record.spec;
   const auto inherited = inherited_.find(spec.id);
-  if (inherited != inherited_.end() && inherited->second.due < kNoDeadlineDue) return false;
+  if (inherited != inherited_.end() && inherited->second.due_time < kNoDeadlineDue) return false;
   return rank(job) == Rank::kIdle && !spec.deadline &&
          std::none_of(settings_.objectives.begin(), settings_.objectives.end(),
                       [&](const base::Objective& objective) {
--- a/src/coordination/scheduling/job_priorities.h
+++ b/src/coordination/scheduling/job_priorities.h
@@ -66,7 +66,7 @@
   // The highest rank and the earliest due time of a job and its dependents.
   struct InheritedPriority {
     protocol::Rank rank = protocol::Rank::kIdle;
-    double due = 0;
+    double due_time = 0;  // seconds since 1970
   };
   void update_guarantees();
   void update_inherited(base::Time now);
--- a/src/coordination/scheduling/record_batch.h
+++ b/src/coordination/scheduling/record_batch.h
@@ -54,6 +54,8 @@
                               double time_of_day) const;
 
  private:
+  // Identifies a task record: it holds a chunk of a job's consecutive tasks, or a piece of a chunk
+  // if the job's chunks are split.
   struct ChunkId {
     base::JobId job;
     std::uint32_t chunk = 0;
--- a/tests/key_versions_test.cpp
+++ b/tests/key_versions_test.cpp
@@ -1,4 +1,4 @@
-// Tests of which items of the store count as new to this process.
+// Tests of which items of the state service count as new to this process.
 #include "storage/key_versions.h"
 
 #include <gtest/gtest.h>
--- a/tests/orphan_records_test.cpp
+++ b/tests/orphan_records_test.cpp
@@ -1,4 +1,4 @@
-// Tests of records in the store whose job is not known.
+// Tests of records in the state service whose job is not known.
 #include "storage/orphan_records.h"
 
 #include <gtest/gtest.h>
--- a/tests/simulation/controller_store_access.cpp
+++ b/tests/simulation/controller_store_access.cpp
@@ -37,8 +37,9 @@
 }
 
 // Checks a transaction against the state service's limits. It is checked also if its preconditions
-// would fail, because the store rejects an oversized transaction on every retry. An upgraded
-// process must observe the limits that the store gets later (`next_state_limits`), too.
+// would fail, because the state service rejects an oversized transaction on every retry. An
+// upgraded process must observe the limits that the state service gets later (`next_state_limits`),
+// too.
 void SimulatedControllers::check_limits(std::size_t controller_index,
                                         const protocol::Transaction& transaction) const {
   const base::Settings& settings = processes_[controller_index].settings;
--- a/tests/simulation/simulated_state_service.h
+++ b/tests/simulation/simulated_state_service.h
@@ -17,7 +17,8 @@
 
 namespace saddleslip::testing {
 
-// The store. All controllers share it; each reaches it only if its link to it is not cut.
+// The simulated state service. All controllers share it; a controller whose link to it is cut
+// cannot reach it.
 class SimulatedStateService {
  public:
   // A stored value with the version of its last write and the lease that it expires with.
--- a/tests/user_api_test.cpp
+++ b/tests/user_api_test.cpp
@@ -62,7 +62,7 @@
     record.spec = job_spec;
     add_to_cache(protocol::job_key(job_spec.id), to_json(record));
   }
-  // Reads a key from the fake store.
+  // Reads a key from the fake state service.
   StateClient::GetResult get(const std::string& key) {
     ++read_count_;
     StateClient::GetResult response;
@@ -71,7 +71,7 @@
     if (entry != store_.end()) response.item = {key, entry->second, base::Version(1)};
     return response;
   }
-  // Commits to the fake store, and checks that the transaction is within its limits.
+  // Commits to the fake state service, and checks that the transaction is within its limits.
   StateClient::CommitResult commit(const protocol::Transaction& transaction) {
     StateClient::CommitResult result;
     if (!is_store_available_) {
