--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -119,21 +119,20 @@
   const StateCache& cache() const { return cache_; }
 
   // --- membership
-  // Starts a new incarnation of this controller, which has acquired a lease but has no authority
-  // yet.
+  // Starts a new incarnation of this controller, which does not hold a lease or authority yet.
   void begin_incarnation(ControllerIncarnation incarnation, Time now) {
     authority_.begin_incarnation(std::move(incarnation), now);
   }
   // Ends the incarnation, because its lease is lost or given up.
   void end_incarnation() { authority_.end_incarnation(); }
-  // Records that a call sent at `sent` acquired the lease of this incarnation.
+  // Records that a call sent at `sent` acquired or renewed the lease; this gives no authority.
   void lease_acquired(Time sent) { authority_.lease_acquired(sent); }
-  // Records that a call sent at `sent` renewed the lease, and that the cache was verified to be
-  // current afterwards. Ignored if the cache was reloaded since `cache_generation` was read.
+  // Records that the cache was verified to be current after a call at `sent` renewed the lease.
+  // This extends the authority, unless the cache was reloaded since `cache_generation` was read.
   void lease_renewed(Time sent, std::uint64_t cache_generation) {
     authority_.lease_renewed(sent, cache_generation);
   }
-  // Records that the cache was reloaded; authority is suspended until the next renewal of the lease.
+  // Records that the cache was reloaded, which suspends authority until the lease is next renewed.
   void cache_replaced() { authority_.cache_replaced(); }
   // Returns the number of reloads of the cache, to be passed to lease_renewed().
   std::uint64_t cache_generation() const { return authority_.cache_generation(); }
--- a/src/coordination/records/maintenance.cpp
+++ b/src/coordination/records/maintenance.cpp
@@ -151,9 +151,9 @@
 
 // A single silent machine is most likely dead, and its release is the soonest proof that its tasks
 // have ended. When many become silent at once, the network is the likely cause: the machines may be
-// healthy and return at different times. Overdue machines are counted too, because the machines of a zone that is cut off
-// do not become silent at the same time: the first fifth of them must not be released before the
-// others are noticed.
+// healthy and return at different times. Overdue machines are counted too, because the machines of
+// a zone that is cut off do not become silent at the same time: the first fifth of them must not be
+// released before the others are noticed.
 bool Controller::may_release_silent(const SilenceCounts& counts, Time now) {
   const std::size_t expected_silent =
       std::max<std::size_t>(1, counts.owned / kMachinesPerExpectedSilent);
--- a/tests/authority_test.cpp
+++ b/tests/authority_test.cpp
@@ -63,7 +63,7 @@
   EXPECT_TRUE(has_authority_at(2));
 }
 
-// A cache that is replaced during its verification is not verified.
+// A cache that is replaced while it is being verified does not count as verified.
 TEST_F(AuthorityTest, CacheReplacedDuringARenewalGivesNoAuthority) {
   const std::uint64_t generation = controller_.cache_generation();
   controller_.cache_replaced();
--- a/tests/simulation/simulated_cloud.h
+++ b/tests/simulation/simulated_cloud.h
@@ -29,7 +29,7 @@
   void set_capacity(const std::string& type, int machines) { capacity_[type] = machines; }
   // Sets the boot time of machines that are rented from now on.
   void set_boot_time(double seconds) { boot_time_s_ = seconds; }
-  // Machines that are rented from now on never finish booting.
+  // Makes the machines that are rented from now on never finish booting.
   void set_never_boots() { boot_time_s_ = kNeverBootsSeconds; }
 
   // Rents up to `count` machines, as far as the capacity allows. Reports a failure if the rental's
--- a/tests/simulation/simulated_network.h
+++ b/tests/simulation/simulated_network.h
@@ -25,7 +25,7 @@
   bool is_cut(const std::string& first, const std::string& second) const;
   bool has_cuts() const { return !cuts_.empty(); }
 
-  // Over a silent cut, the sender gets no error and waits until its request times out.
+  // Sets whether cuts are silent: the sender gets no error and waits until its request times out.
   void set_silent_cuts(bool silent) { silent_cuts_ = silent; }
   bool cuts_are_silent() const { return silent_cuts_; }
 
--- a/tests/simulation/simulated_state_service.h
+++ b/tests/simulation/simulated_state_service.h
@@ -40,8 +40,8 @@
   // Expires leases and applies the late commits that are due.
   void step();
 
-  // While the service is down, it is unreachable and no lease expires. When it comes up again,
-  // every lease gets its full TTL.
+  // Starts or ends an outage. During an outage the service is unreachable and no lease expires; at
+  // its end every lease gets its full TTL.
   void set_down(bool down);
   bool is_down() const { return down_; }
   bool is_reachable_from(std::size_t controller) const;
@@ -62,7 +62,7 @@
 
   // Grants a new lease that expires `ttl_s` seconds after its last renewal.
   base::LeaseId grant_lease(double ttl_s);
-  // Returns false if the lease has expired.
+  // Renews the lease for its full TTL. Returns false if it has expired.
   bool renew_lease(base::LeaseId lease);
 
   // Loses the answer to this controller's next commit.
@@ -73,7 +73,7 @@
   void delay_next_commit(std::size_t controller, double seconds) {
     commit_delays_[controller] = seconds;
   }
-  // Returns whether a delay is set whose commit has not come yet.
+  // Returns whether a commit delay is set that no commit has used yet.
   bool has_pending_commit_delays() const { return !commit_delays_.empty(); }
   // Queues the controller's commit if a delay is set for it. Returns false if there is no delay.
   bool take_delayed_commit(std::size_t controller, const protocol::Transaction& transaction);
