--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -16,7 +16,7 @@
 using protocol::Json;
 using protocol::Transaction;
 using transport::Reply;
-using Outcome = protocol::StateClient::Outcome;
+using CommitOutcome = protocol::StateClient::CommitOutcome;
 
 namespace {
 
@@ -219,7 +219,7 @@
   transaction.preconditions[key] = version;
   transaction.writes.push_back({key, value, {}});
   const auto commit_result = store_.commit(transaction);
-  if (commit_result.outcome != Outcome::kDone) return {};
+  if (commit_result.outcome != CommitOutcome::kDone) return {};
   // The version of a key is the revision of the commit that last wrote it.
   return Version(commit_result.revision.get());
 }
@@ -229,7 +229,7 @@
   if (!version) return {};
   for (const Transaction& transaction :
        coordination::dependency_list_writes(record, *version, settings_)) {
-    if (store_.commit(transaction).outcome != Outcome::kDone) return {};
+    if (store_.commit(transaction).outcome != CommitOutcome::kDone) return {};
   }
   return version;
 }
@@ -244,10 +244,10 @@
   }
   const Transaction transaction = coordination::acceptance_transaction(record, manifest_version);
   const auto commit_result = store_.commit(transaction);
-  if (commit_result.outcome == Outcome::kRefused) {
+  if (commit_result.outcome == CommitOutcome::kRefused) {
     return retry_later_reply("the state service is over its limit or out of service");
   }
-  if (commit_result.outcome != Outcome::kDone) {
+  if (commit_result.outcome != CommitOutcome::kDone) {
     // The job was accepted before, or this commit has succeeded although its response was lost.
     const LookupResult result = look_up_job(id);
     if (result.acceptance != Acceptance::kAccepted) {
@@ -291,8 +291,9 @@
   const Transaction transaction =
       coordination::cancellation_transaction(*record, response.item.version);
   const auto commit_result = store_.commit(transaction);
-  if (commit_result.outcome == Outcome::kRefused) return retry_later_reply(kStateServiceSilent);
-  if (commit_result.outcome != Outcome::kDone) return {};
+  if (commit_result.outcome == CommitOutcome::kRefused)
+    return retry_later_reply(kStateServiceSilent);
+  if (commit_result.outcome != CommitOutcome::kDone) return {};
   with_lock([&](Controller& controller) {
     controller.cache().apply(transaction, commit_result.revision, now);
   });
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -64,7 +64,7 @@
   if (!is_leader(now)) return {};
   proposals_.exclude_lost_members(now);
   const auto is_released = [this](const MachineId& id) { return released_.contains(id); };
-  const auto new_owners = transfers_.due(own_report(now), is_released, now);
+  const auto new_owners = transfers_.due_transfers(own_report(now), is_released, now);
   return proposals_.propose_view(new_owners, is_released);
 }
 
@@ -190,7 +190,7 @@
   for (const ControllerIncarnation& member : cache_.view()->members) {
     const auto peer = peers_.find(member.member);
     if (member == self_ || peer == peers_.end() || peer->second.from != member ||
-        base::between(peer->second.last_heartbeat_at, now) > max_age) {
+        base::between(peer->second.last_status_at, now) > max_age) {
       continue;
     }
     by_member.emplace_back(member.member, std::vector<const MachineStatus*>{});
@@ -242,7 +242,7 @@
   };
   add(release_requests(), misdirected(now));
   for (const auto& [member, peer] : peers_) {
-    if (base::between(peer.last_heartbeat_at, now) > kReleaseRequestMaxAge ||
+    if (base::between(peer.last_status_at, now) > kReleaseRequestMaxAge ||
         !has_member(*cache_.view(), peer.from)) {
       continue;
     }
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -126,15 +126,15 @@
   // Ends the incarnation, because its lease is lost or given up.
   void end_incarnation() { authority_.end_incarnation(); }
   // Records that a call sent at `sent` acquired or renewed the lease; this gives no authority.
-  void lease_acquired(Time sent) { authority_.lease_acquired(sent); }
+  void record_lease_acquired(Time sent) { authority_.record_lease_acquired(sent); }
   // Records that the cache was verified to be current after a call at `sent` renewed the lease.
   // This extends the authority, unless the cache was reloaded since `cache_generation` was read.
-  void lease_renewed(Time sent, std::uint64_t cache_generation) {
-    authority_.lease_renewed(sent, cache_generation);
+  void record_lease_renewed(Time sent, std::uint64_t cache_generation) {
+    authority_.record_lease_renewed(sent, cache_generation);
   }
   // Records that the cache was reloaded, which suspends authority until the lease is next renewed.
   void cache_replaced() { authority_.cache_replaced(); }
-  // Returns the number of reloads of the cache, to be passed to lease_renewed().
+  // Returns the number of reloads of the cache, to be passed to record_lease_renewed().
   std::uint64_t cache_generation() const { return authority_.cache_generation(); }
   // Returns this controller's current incarnation, or the last one if it has ended.
   const ControllerIncarnation& self() const { return authority_.self(); }
--- a/src/coordination/machines/peer_registry.cpp
+++ b/src/coordination/machines/peer_registry.cpp
@@ -35,7 +35,7 @@
   peer.ownership_claims = status.ownership_claims;
   peer.worker_contact = status.worker_contact;
   peer.crash_looping_jobs = {status.crash_looping_jobs.begin(), status.crash_looping_jobs.end()};
-  peer.last_heartbeat_at = now;
+  peer.last_status_at = now;
   for (const base::MachineId& id : status.departed_machines) peer.machines.erase(id);
   for (const protocol::MachineStatus& machine : status.machines) {
     peer.machines[machine.id] = machine;
@@ -46,14 +46,14 @@
 bool PeerRegistry::any_has_lease(base::Time now) const {
   return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
     const Peer& peer = entry.second;
-    return peer.has_lease && base::between(peer.last_heartbeat_at, now) < kStateReportMaxAge;
+    return peer.has_lease && base::between(peer.last_status_at, now) < kStateReportMaxAge;
   });
 }
 
 bool PeerRegistry::any_sees_crash_loop(const base::JobId& job, base::Time now) const {
   return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
     const Peer& peer = entry.second;
-    return base::between(peer.last_heartbeat_at, now) < kCrashLoopReportMaxAge &&
+    return base::between(peer.last_status_at, now) < kCrashLoopReportMaxAge &&
            peer.crash_looping_jobs.contains(job);
   });
 }
--- a/src/coordination/machines/peer_registry.h
+++ b/src/coordination/machines/peer_registry.h
@@ -23,7 +23,7 @@
   std::vector<base::MachineId> release_requested, misdirected, ownership_claims;
   std::set<base::JobId> crash_looping_jobs;
   protocol::WorkerContact worker_contact = protocol::WorkerContact::kUnknown;
-  base::Time last_heartbeat_at{};
+  base::Time last_status_at{};
 };
 
 // Assembles the peers' full statuses from the deltas that they send. Iterates as a map from member
--- a/src/coordination/membership/authority_lease.cpp
+++ b/src/coordination/membership/authority_lease.cpp
@@ -22,11 +22,11 @@
   lease_valid_until_ = base::Time{};
 }
 
-void AuthorityLease::lease_acquired(base::Time sent_at) {
+void AuthorityLease::record_lease_acquired(base::Time sent_at) {
   lease_valid_until_ = std::max(lease_valid_until_, valid_until(sent_at));
 }
 
-void AuthorityLease::lease_renewed(base::Time sent_at, std::uint64_t cache_generation) {
+void AuthorityLease::record_lease_renewed(base::Time sent_at, std::uint64_t cache_generation) {
   if (cache_generation != cache_generation_) return;
   authority_valid_until_ = valid_until(sent_at);
   verified_view_ = cache_.version(protocol::kViewKey);
--- a/src/coordination/membership/authority_lease.h
+++ b/src/coordination/membership/authority_lease.h
@@ -19,8 +19,8 @@
   AuthorityLease(const base::Settings& settings, const storage::StateCache& cache)
       : settings_(settings), cache_(cache) {}
 
-  // Starts a new incarnation. It has no lease until lease_acquired() is called, and no authority
-  // until a view names it and the cache was verified to be current after a renewal.
+  // Starts a new incarnation. It has no lease until record_lease_acquired() is called, and no
+  // authority until a view names it and the cache was verified to be current after a renewal.
   void begin_incarnation(protocol::ControllerIncarnation incarnation, base::Time now);
   // Ends the incarnation, because its lease is lost or given up. self() still returns it
   // afterwards.
@@ -28,12 +28,12 @@
 
   // Records that a call sent at `sent_at` acquired or renewed the lease of this incarnation. This
   // gives no authority.
-  void lease_acquired(base::Time sent_at);
+  void record_lease_acquired(base::Time sent_at);
   // Records that the cache was verified after a call sent at `sent_at` renewed the lease: it holds
   // everything that was committed before the call, including cancellations and views. This extends
   // the authority until that lease expires. `cache_generation` is the generation read before the
   // verification. If the cache was reloaded since, it is not verified, and the call has no effect.
-  void lease_renewed(base::Time sent_at, std::uint64_t cache_generation);
+  void record_lease_renewed(base::Time sent_at, std::uint64_t cache_generation);
   // Records that the cache was reloaded page by page. Parts of it may be older than the verified
   // state, so authority is suspended until the next renewal.
   void cache_replaced();
--- a/src/coordination/membership/ownership_claims.cpp
+++ b/src/coordination/membership/ownership_claims.cpp
@@ -91,7 +91,7 @@
                                            base::Time now) const {
   const auto peer = peers_.find(owner.member);
   if (peer == peers_.end() || peer->second.from != owner) return nullptr;
-  const bool is_recent = base::between(peer->second.last_heartbeat_at, now) < kPeerStatusMaxAge;
+  const bool is_recent = base::between(peer->second.last_status_at, now) < kPeerStatusMaxAge;
   return is_recent ? &peer->second : nullptr;
 }
 
--- a/src/coordination/membership/ownership_transfers.cpp
+++ b/src/coordination/membership/ownership_transfers.cpp
@@ -8,7 +8,7 @@
 using protocol::ControllerIncarnation;
 using protocol::WorkerContact;
 
-OwnershipTransfers::NewOwners OwnershipTransfers::due(
+OwnershipTransfers::NewOwners OwnershipTransfers::due_transfers(
     const MemberReport& own, const std::function<bool(const base::MachineId&)>& is_released,
     base::Time now) {
   NewOwners transfers = claims(own, is_released, now);
@@ -99,7 +99,7 @@
 }
 
 bool OwnershipTransfers::is_recent(const Peer& peer, base::Time now) const {
-  return base::between(peer.last_heartbeat_at, now) < kPeerStatusMaxAge;
+  return base::between(peer.last_status_at, now) < kPeerStatusMaxAge;
 }
 
 }  // namespace saddleslip::coordination
--- a/src/coordination/membership/ownership_transfers.h
+++ b/src/coordination/membership/ownership_transfers.h
@@ -42,8 +42,9 @@
   // all commands in flight, and a member that loses contact loses it to all its workers. So claims
   // are collected for a moment and then applied in one view. Transfers are due at once if there are
   // stored claims or if a member has reported that it lost contact.
-  NewOwners due(const MemberReport& own,
-                const std::function<bool(const base::MachineId&)>& is_released, base::Time now);
+  NewOwners due_transfers(const MemberReport& own,
+                          const std::function<bool(const base::MachineId&)>& is_released,
+                          base::Time now);
 
  private:
   // Returns the claims of all members, stored or reported.
--- a/src/coordination/scheduling/record_batch.cpp
+++ b/src/coordination/scheduling/record_batch.cpp
@@ -160,7 +160,7 @@
   for (const auto& [id, edit] : edits_) {
     const std::string key = edit.job->record.record_key(id.chunk);
     transaction.preconditions[key] = edit.job->chunks[id.chunk].version;
-    guard_whole_chunk(transaction, *edit.job, id.chunk);
+    guard_unsplit_chunk(transaction, *edit.job, id.chunk);
     if (finalized.contains(id.job)) continue;
     protocol::ChunkRecord record = edit.record;
     if (edit.has_starts) {
@@ -177,13 +177,15 @@
   return transaction;
 }
 
-// Adds the precondition that the undivided chunk of a split record is still at the cached version:
-// until a piece has a record of its own, its state is derived from that chunk.
-void RecordBatch::guard_whole_chunk(Transaction& transaction, const Job& job, std::uint32_t piece) {
-  if (job.whole.empty()) return;
+// If the chunks of the job are split, adds the precondition that the record of the unsplit chunk
+// that contains the piece is still at the cached version: until a piece has a record of its own,
+// its state is taken from that record.
+void RecordBatch::guard_unsplit_chunk(Transaction& transaction, const Job& job,
+                                      std::uint32_t piece) {
+  if (job.unsplit_chunks.empty()) return;
   const std::uint32_t chunk = piece / job.record.pieces_of_chunk();
   transaction.preconditions[protocol::chunk_record_key(job.record.spec.id, chunk)] =
-      job.whole[chunk].version;
+      job.unsplit_chunks[chunk].version;
 }
 
 // Serializes the starts of teams with a quota and of jobs with zone constraints across all
--- a/src/coordination/scheduling/record_batch.h
+++ b/src/coordination/scheduling/record_batch.h
@@ -74,8 +74,8 @@
   bool record_fits_start(const storage::Job& job, base::TaskNumber task,
                          const protocol::Assignment& assignment) const;
   std::set<base::JobId> finalized_jobs() const;
-  static void guard_whole_chunk(protocol::Transaction& transaction, const storage::Job& job,
-                                std::uint32_t piece);
+  static void guard_unsplit_chunk(protocol::Transaction& transaction, const storage::Job& job,
+                                  std::uint32_t piece);
   void add_serialization_keys(protocol::Transaction& transaction,
                               const protocol::ControllerIncarnation& self) const;
 
--- a/src/daemon/lease_renewer.cpp
+++ b/src/daemon/lease_renewer.cpp
@@ -15,7 +15,7 @@
 using protocol::ControllerIncarnation;
 using protocol::StateClient;
 using protocol::Transaction;
-using Outcome = StateClient::Outcome;
+using CommitOutcome = StateClient::CommitOutcome;
 
 namespace {
 
@@ -68,7 +68,7 @@
     return controller.member_record(*lease, false);
   });
   const auto commit_result = state_client_.commit(transaction, kCommitTimeout);
-  if (commit_result.outcome != Outcome::kDone) {
+  if (commit_result.outcome != CommitOutcome::kDone) {
     context_.controller.with_lock([](Controller& controller) { controller.end_incarnation(); });
     state_client_.delete_lease(*lease, lease_call_timeout_);
     return false;
@@ -76,7 +76,7 @@
   lease_ = lease;
   context_.controller.with_lock([&](Controller& controller) {
     controller.cache().apply(transaction, commit_result.revision, SteadyClock::now());
-    controller.lease_acquired(sent_at);
+    controller.record_lease_acquired(sent_at);
   });
   spdlog::info("incarnation started: member={} incarnation={}", incarnation.member.get(),
                incarnation.incarnation.get());
@@ -96,7 +96,7 @@
   }
   if (renewal != RenewalOutcome::kYes) return true;
   context_.controller.with_lock(
-      [&](Controller& controller) { controller.lease_acquired(sent_at); });
+      [&](Controller& controller) { controller.record_lease_acquired(sent_at); });
   // Authority to send commands requires a local copy of the jobs that is as new as the renewal, not
   // only the current view. After an outage the renewal succeeds before the watch has delivered any
   // changes; without this check, a job that another controller cancelled meanwhile would be
@@ -105,7 +105,7 @@
       [](Controller& controller) { return controller.cache_generation(); });
   if (replicator_.catch_up(lease_call_timeout_)) {
     context_.controller.with_lock(
-        [&](Controller& controller) { controller.lease_renewed(sent_at, generation); });
+        [&](Controller& controller) { controller.record_lease_renewed(sent_at, generation); });
   }
   return true;
 }
@@ -116,8 +116,8 @@
   });
   if (!transaction) return false;
   const auto commit_result = state_client_.commit(*transaction, kCommitTimeout);
-  if (commit_result.outcome == Outcome::kConflict) replicator_.refresh(commit_result.failed);
-  if (commit_result.outcome != Outcome::kDone) return false;
+  if (commit_result.outcome == CommitOutcome::kConflict) replicator_.refresh(commit_result.failed);
+  if (commit_result.outcome != CommitOutcome::kDone) return false;
   context_.controller.with_lock([&](Controller& controller) {
     controller.cache().apply(*transaction, commit_result.revision, SteadyClock::now());
     controller.install_view(SteadyClock::now());
--- a/src/daemon/scheduling_loop.cpp
+++ b/src/daemon/scheduling_loop.cpp
@@ -101,19 +101,19 @@
 
 std::optional<SchedulingLoop::Commands> SchedulingLoop::commit_plan(const RoundPlan& plan,
                                                                     const std::stop_token& stop) {
-  using Outcome = StateClient::Outcome;
+  using CommitOutcome = StateClient::CommitOutcome;
   const auto commit_result = state_client_.commit(plan.transaction, kCommitTimeout);
   write_limiter_.charge(plan.transaction.writes.size());
   switch (commit_result.outcome) {
-    case Outcome::kDone:
+    case CommitOutcome::kDone:
       return context_.controller.with_lock([&](Controller& controller) {
         return controller.apply_committed_plan(plan, base::Version(commit_result.revision.get()),
                                                SteadyClock::now());
       });
-    case Outcome::kConflict:
+    case CommitOutcome::kConflict:
       replicator_.refresh(commit_result.failed);
       return {};
-    case Outcome::kUnknown: {
+    case CommitOutcome::kUnknown: {
       // The commit may have been applied, or may still be. The next commit of these keys requires
       // the versions that are read now, so the preconditions let only one of the two succeed.
       std::vector<std::string> keys;
@@ -121,8 +121,8 @@
       replicator_.refresh(keys);
       return {};
     }
-    case Outcome::kRefused:
-    case Outcome::kMalformed:
+    case CommitOutcome::kRefused:
+    case CommitOutcome::kMalformed:
       sleep_for(kRetryDelay, stop);
       return {};
   }
--- a/src/daemon/state_replicator.cpp
+++ b/src/daemon/state_replicator.cpp
@@ -15,7 +15,7 @@
 using coordination::Controller;
 using protocol::Item;
 using protocol::StateClient;
-using Outcome = StateClient::Outcome;
+using CommitOutcome = StateClient::CommitOutcome;
 
 namespace {
 
@@ -135,13 +135,13 @@
 
 bool StateReplicator::commit(const protocol::Transaction& transaction) {
   const auto commit_result = state_client_.commit(transaction, kCommitTimeout);
-  if (commit_result.outcome == Outcome::kDone) {
+  if (commit_result.outcome == CommitOutcome::kDone) {
     context_.controller.with_lock([&](Controller& controller) {
       controller.cache().apply(transaction, commit_result.revision, SteadyClock::now());
     });
     return true;
   }
-  if (commit_result.outcome == Outcome::kConflict) refresh(commit_result.failed);
+  if (commit_result.outcome == CommitOutcome::kConflict) refresh(commit_result.failed);
   return false;
 }
 
--- a/src/protocol/job_record.h
+++ b/src/protocol/job_record.h
@@ -15,7 +15,7 @@
 namespace saddleslip::protocol {
 
 // Format of the stored records in which the chunks of a job may be split into pieces. Format 1,
-// which a missing format number stands for, has whole chunks only.
+// which a missing format number stands for, has unsplit chunks only.
 inline constexpr std::uint64_t kFormatWithPieces = 2;
 // The latest format of the stored records that this version of the program can read.
 inline constexpr std::uint64_t kFormat = kFormatWithPieces;
--- a/src/protocol/state_client.cpp
+++ b/src/protocol/state_client.cpp
@@ -29,8 +29,8 @@
   const Json body = parse_object(response);
   if (!body.is_object() || !body.contains(wire::kRevision)) return;
   result.revision = parse_revision(body);
-  result.outcome =
-      response.status == 200 ? StateClient::Outcome::kDone : StateClient::Outcome::kConflict;
+  result.outcome = response.status == 200 ? StateClient::CommitOutcome::kDone
+                                          : StateClient::CommitOutcome::kConflict;
   if (!has_array(body, "failed")) return;
   for (const Json& key : body.at("failed")) {
     if (key.is_string()) result.failed.push_back(key.get<std::string>());
@@ -80,7 +80,7 @@
 StateClient::CommitResult StateClient::commit(const Transaction& transaction, Seconds timeout) {
   const HttpResult response = http_.post("/commit", to_json(transaction).dump(), timeout);
   CommitResult result;
-  if (response.delivery == Delivery::kNotSent) result.outcome = Outcome::kRefused;
+  if (response.delivery == Delivery::kNotSent) result.outcome = CommitOutcome::kRefused;
   if (response.delivery != Delivery::kAnswered) return result;
   switch (response.status) {
     case 200:
@@ -89,12 +89,12 @@
       break;
     case 429:
     case 503:
-      result.outcome = Outcome::kRefused;
+      result.outcome = CommitOutcome::kRefused;
       break;
     case 400:
       spdlog::error("state service rejected a transaction as malformed: response={}",
                     response.body.substr(0, kMaxLoggedBytes));
-      result.outcome = Outcome::kMalformed;
+      result.outcome = CommitOutcome::kMalformed;
       break;
     default:
       break;
--- a/src/protocol/state_client.h
+++ b/src/protocol/state_client.h
@@ -23,7 +23,7 @@
   explicit StateClient(const base::Address& address, std::size_t max_changes_bytes = 8u << 20);
 
   // The outcome of a commit.
-  enum class Outcome {
+  enum class CommitOutcome {
     kDone,       // the transaction was committed
     kConflict,   // a precondition failed; nothing was written
     kRefused,    // rate limit exceeded or service unavailable; certainly not committed
@@ -32,7 +32,7 @@
   };
   // The result of a commit.
   struct CommitResult {
-    Outcome outcome = Outcome::kUnknown;
+    CommitOutcome outcome = CommitOutcome::kUnknown;
     Revision revision;                // set for kDone and kConflict
     std::vector<std::string> failed;  // keys whose preconditions failed
   };
--- a/src/storage/job.cpp
+++ b/src/storage/job.cpp
@@ -20,14 +20,14 @@
     : record(std::move(job_record)), version(record_version), first_seen_at(now) {
   const RecordLayout layout(record);
   chunks = unstarted_chunks(layout);
-  if (layout.is_divided()) whole.resize(layout.chunk_count());
+  if (layout.is_split()) unsplit_chunks.resize(layout.chunk_count());
 }
 
 std::vector<std::string> Job::task_record_keys() const {
   std::vector<std::string> keys;
   for (std::uint32_t number = 0; number < chunks.size(); ++number)
     keys.push_back(record.record_key(number));
-  for (std::uint32_t number = 0; number < whole.size(); ++number)
+  for (std::uint32_t number = 0; number < unsplit_chunks.size(); ++number)
     keys.push_back(protocol::chunk_record_key(record.spec.id, number));
   return keys;
 }
@@ -49,19 +49,19 @@
   last_progress_at = now;
 }
 
-void Job::divide() {
-  whole = std::move(chunks);
+void Job::split_chunks() {
+  unsplit_chunks = std::move(chunks);
   chunks = unstarted_chunks(RecordLayout(record));
   assigned = 0;
   done = 0;
 }
 
-ChunkRecord Job::piece_of_whole(std::uint32_t piece) const {
+ChunkRecord Job::piece_of_unsplit_chunk(std::uint32_t piece) const {
   const RecordLayout layout(record);
   const std::uint32_t chunk = piece / record.pieces_of_chunk();
   const TaskRange tasks = layout.tasks_of_record(piece);
   const TaskNumber offset = tasks.first - layout.tasks_of_chunk(chunk).first;
-  const ChunkRecord& chunk_record = whole[chunk].record;
+  const ChunkRecord& chunk_record = unsplit_chunks[chunk].record;
   ChunkRecord piece_record;
   piece_record.next_attempt = chunk_record.next_attempt;
   piece_record.done.assign(chunk_record.done.begin() + offset,
--- a/src/storage/job.h
+++ b/src/storage/job.h
@@ -74,26 +74,26 @@
   void update_record(JobRecord newer, Version newer_version);
   // Replaces `chunks[number]` and updates the counts of completed and assigned tasks.
   void replace_chunk(std::size_t number, Chunk chunk, Time now);
-  // Returns whether the job's record divides the chunks into pieces and this has not been done here
-  // yet.
-  bool needs_dividing() const { return record.piece_size != 0 && whole.empty(); }
-  // Moves the chunks to `whole` and creates empty task records for their pieces.
-  // `piece_of_whole` returns the initial contents of each piece.
-  void divide();
+  // Returns whether the job's record says that the chunks are split into pieces and this has not
+  // been done here yet.
+  bool has_pending_split() const { return record.piece_size != 0 && unsplit_chunks.empty(); }
+  // Moves the chunks to `unsplit_chunks` and creates empty task records for their pieces.
+  // `piece_of_unsplit_chunk` returns the initial contents of each piece.
+  void split_chunks();
   // Returns the contents of a piece that has no record of its own, taken from the record of its
-  // undivided chunk. Requires divided chunks.
-  ChunkRecord piece_of_whole(std::uint32_t piece) const;
+  // unsplit chunk. Requires split chunks.
+  ChunkRecord piece_of_unsplit_chunk(std::uint32_t piece) const;
 
   // --- State
 
   JobRecord record;
   Version version;  // version of the job's record in the state service
   // The task records in use: one for each chunk, or for each piece if the job's record says that
-  // the chunks are divided.
+  // the chunks are split.
   std::vector<Chunk> chunks;
-  // The records of the undivided chunks, or empty if the chunks are not divided. No task is started
+  // The records of the unsplit chunks, or empty if the chunks are not split. No task is started
   // from these records.
-  std::vector<Chunk> whole;
+  std::vector<Chunk> unsplit_chunks;
   // The number of completed tasks.
   TaskNumber done = 0;
   // The number of tasks assigned to machines.
--- a/src/storage/record_layout.h
+++ b/src/storage/record_layout.h
@@ -15,8 +15,8 @@
 
 // The layout of a job's tasks in its task records.
 //
-// Each task record covers a chunk of consecutive tasks. Once the chunks of a job are divided, each
-// record covers a piece of a chunk instead. The records of the undivided chunks remain in the state
+// Each task record covers a chunk of consecutive tasks. Once the chunks of a job are split, each
+// record covers a piece of a chunk instead. The records of the unsplit chunks remain in the state
 // service, and apply to the pieces that have no record of their own yet.
 //
 // Refers to the job's record, which must outlive this object.
@@ -24,22 +24,22 @@
  public:
   explicit RecordLayout(const JobRecord& job) : job_(job) {}
 
-  // Returns whether the chunks are divided into pieces.
-  bool is_divided() const { return job_.piece_size != 0; }
+  // Returns whether the chunks are split into pieces.
+  bool is_split() const { return job_.piece_size != 0; }
 
-  // Returns the number of task records in use, which are pieces if the chunks are divided.
+  // Returns the number of task records in use, which are pieces if the chunks are split.
   std::uint32_t record_count() const;
   // Returns the tasks that a record in use covers.
   TaskRange tasks_of_record(std::uint32_t record) const;
 
-  // Returns the number of chunks, whether they are divided or not.
+  // Returns the number of chunks, whether they are split or not.
   std::uint32_t chunk_count() const;
-  // Returns the tasks that a chunk covers, whether it is divided or not.
+  // Returns the tasks that a chunk covers, whether it is split or not.
   TaskRange tasks_of_chunk(std::uint32_t chunk) const;
 
-  // Returns the number of the first piece of a chunk. Requires divided chunks.
+  // Returns the number of the first piece of a chunk. Requires split chunks.
   std::uint32_t first_piece(std::uint32_t chunk) const;
-  // Returns the number after the last piece of a chunk. Requires divided chunks.
+  // Returns the number after the last piece of a chunk. Requires split chunks.
   std::uint32_t end_of_pieces(std::uint32_t chunk) const;
 
  private:
--- a/src/storage/state_cache.cpp
+++ b/src/storage/state_cache.cpp
@@ -46,8 +46,8 @@
     return true;
   }
   // The record of a piece must wait too if it is read before the job's record says that the chunks
-  // are divided.
-  return key->is_piece && !RecordLayout(owner->record).is_divided();
+  // are split.
+  return key->is_piece && !RecordLayout(owner->record).is_split();
 }
 
 void StateCache::apply_value(const Item& item, Time now) {
@@ -125,7 +125,7 @@
 
 void StateCache::update_job(Job& job, JobRecord record, Version version, Time now) {
   job.update_record(std::move(record), version);
-  if (job.needs_dividing()) divide_chunks(job, now);
+  if (job.has_pending_split()) split_chunks(job, now);
   change_machine_stamps(job);
   if (job.record.cancelled) cancel_dependents(job.record.spec.id);
 }
@@ -266,38 +266,39 @@
   if (entry == jobs_.end()) return;
   Job& job = entry->second;
   const RecordLayout layout(job.record);
-  if (key->is_piece && !layout.is_divided()) return;
-  const bool is_undivided_chunk = !key->is_piece && layout.is_divided();
-  const std::vector<Chunk>& chunks = is_undivided_chunk ? job.whole : job.chunks;
+  if (key->is_piece && !layout.is_split()) return;
+  const bool is_unsplit_chunk = !key->is_piece && layout.is_split();
+  const std::vector<Chunk>& chunks = is_unsplit_chunk ? job.unsplit_chunks : job.chunks;
   if (key->chunk >= chunks.size()) return;
   const TaskRange tasks =
-      is_undivided_chunk ? layout.tasks_of_chunk(key->chunk) : layout.tasks_of_record(key->chunk);
+      is_unsplit_chunk ? layout.tasks_of_chunk(key->chunk) : layout.tasks_of_record(key->chunk);
   auto record = protocol::parse_chunk(item.value, tasks.first, tasks.count);
   if (!record) {
     spdlog::error("task record cannot be parsed: key={}", item.key);
     return;
   }
   const Version version = item.value.is_null() ? Version(0) : item.version;
-  if (is_undivided_chunk) {
-    job.whole[key->chunk] = {std::move(*record), version};
-    derive_pieces(job, key->chunk, now);
+  if (is_unsplit_chunk) {
+    job.unsplit_chunks[key->chunk] = {std::move(*record), version};
+    set_pieces_from_unsplit_chunk(job, key->chunk, now);
   } else {
     replace_chunk(job, key->chunk, {std::move(*record), version}, now);
   }
 }
 
-void StateCache::divide_chunks(Job& job, Time now) {
-  job.divide();
-  remove_assignments(job, job.whole);
-  for (std::uint32_t chunk = 0; chunk < job.whole.size(); ++chunk) derive_pieces(job, chunk, now);
+void StateCache::split_chunks(Job& job, Time now) {
+  job.split_chunks();
+  remove_assignments(job, job.unsplit_chunks);
+  for (std::uint32_t chunk = 0; chunk < job.unsplit_chunks.size(); ++chunk)
+    set_pieces_from_unsplit_chunk(job, chunk, now);
 }
 
-void StateCache::derive_pieces(Job& job, std::uint32_t chunk, Time now) {
+void StateCache::set_pieces_from_unsplit_chunk(Job& job, std::uint32_t chunk, Time now) {
   const RecordLayout layout(job.record);
   const std::size_t end = std::min<std::size_t>(layout.end_of_pieces(chunk), job.chunks.size());
   for (std::uint32_t piece = layout.first_piece(chunk); piece < end; ++piece) {
     if (job.chunks[piece].version.get() != 0) continue;
-    replace_chunk(job, piece, {job.piece_of_whole(piece), Version(0)}, now);
+    replace_chunk(job, piece, {job.piece_of_unsplit_chunk(piece), Version(0)}, now);
   }
 }
 
--- a/src/storage/state_cache.h
+++ b/src/storage/state_cache.h
@@ -168,12 +168,12 @@
   // Returns whether neither a record nor a final state of the job is known here.
   bool is_unresolved(const JobId& id) const;
 
-  // Divides each chunk of a job (the tasks of one task record) into pieces with a task record each,
+  // Splits each chunk of a job (the tasks of one task record) into pieces with a task record each,
   // as the job's record says.
-  void divide_chunks(Job& job, Time now);
-  // Sets the pieces of the chunk that have no record of their own from the record of the undivided
+  void split_chunks(Job& job, Time now);
+  // Sets the pieces of the chunk that have no record of their own from the record of the unsplit
   // chunk.
-  void derive_pieces(Job& job, std::uint32_t chunk, Time now);
+  void set_pieces_from_unsplit_chunk(Job& job, std::uint32_t chunk, Time now);
   // Replaces a task record in the job, and updates the assignment index.
   void replace_chunk(Job& job, std::size_t number, Chunk chunk, Time now);
   // Removes the assignments in these records from the assignment index.
--- a/tests/authority_lease_test.cpp
+++ b/tests/authority_lease_test.cpp
@@ -16,7 +16,9 @@
     view.members = std::move(members);
     cache_.apply({protocol::kViewKey, to_json(view), version}, start_);
   }
-  void renew(double sent) { authority_.lease_renewed(at(sent), authority_.cache_generation()); }
+  void renew(double sent) {
+    authority_.record_lease_renewed(at(sent), authority_.cache_generation());
+  }
   bool has_authority(double seconds, base::Version installed) const {
     return authority_.has_authority(at(seconds), installed);
   }
@@ -33,17 +35,17 @@
 TEST_F(AuthorityLeaseTest, LeaseAcquiredEndsOneTtlAfterTheCallWasSent) {
   const double ttl = settings_.tuning.member_ttl.count();
   EXPECT_FALSE(authority_.has_lease(start_));
-  authority_.lease_acquired(at(2));
+  authority_.record_lease_acquired(at(2));
   EXPECT_TRUE(authority_.has_lease(at(1 + ttl)));
   EXPECT_FALSE(authority_.has_lease(at(2 + ttl)));
   // A call that was sent earlier but answered later does not shorten the lease.
-  authority_.lease_acquired(at(1));
+  authority_.record_lease_acquired(at(1));
   EXPECT_TRUE(authority_.has_lease(at(1.5 + ttl)));
 }
 
 TEST_F(AuthorityLeaseTest, LeaseAloneGivesNoAuthority) {
   store_view({self_}, view_);
-  authority_.lease_acquired(start_);
+  authority_.record_lease_acquired(start_);
   EXPECT_FALSE(has_authority(1, view_));
   renew(0);
   EXPECT_TRUE(has_authority(1, view_));
@@ -77,13 +79,13 @@
   store_view({self_}, view_);
   const std::uint64_t generation = authority_.cache_generation();
   authority_.cache_replaced();
-  authority_.lease_renewed(start_, generation);
+  authority_.record_lease_renewed(start_, generation);
   EXPECT_FALSE(has_authority(1, view_));
 }
 
 TEST_F(AuthorityLeaseTest, EndedIncarnationHasNeitherLeaseNorAuthority) {
   store_view({self_}, view_);
-  authority_.lease_acquired(start_);
+  authority_.record_lease_acquired(start_);
   renew(0);
   authority_.end_incarnation();
   EXPECT_FALSE(authority_.has_incarnation());
--- a/tests/authority_test.cpp
+++ b/tests/authority_test.cpp
@@ -26,8 +26,8 @@
   bool has_authority_at(double s) const { return controller_.has_authority(at_seconds(s)); }
   // Renews the lease by a call that was sent at this time and after which the cache was verified.
   void renew(double sent) {
-    controller_.lease_acquired(at_seconds(0));
-    controller_.lease_renewed(at_seconds(sent), controller_.cache_generation());
+    controller_.record_lease_acquired(at_seconds(0));
+    controller_.record_lease_renewed(at_seconds(sent), controller_.cache_generation());
   }
 
   const base::Settings settings_;
@@ -37,7 +37,7 @@
 // Without the verification at a renewal, the state cache may be older than the lease.
 TEST_F(AuthorityTest, LeaseWithoutACurrentCacheGivesNoAuthority) {
   EXPECT_FALSE(has_authority_at(0));
-  controller_.lease_acquired(at_seconds(0));
+  controller_.record_lease_acquired(at_seconds(0));
   EXPECT_FALSE(has_authority_at(0));
 }
 
@@ -55,11 +55,11 @@
 }
 
 TEST_F(AuthorityTest, CacheReplacedEndsAuthorityUntilTheNextRenewal) {
-  controller_.lease_renewed(at_seconds(0), controller_.cache_generation());
+  controller_.record_lease_renewed(at_seconds(0), controller_.cache_generation());
   EXPECT_TRUE(has_authority_at(1));
   controller_.cache_replaced();
   EXPECT_FALSE(has_authority_at(1));
-  controller_.lease_renewed(at_seconds(1.5), controller_.cache_generation());
+  controller_.record_lease_renewed(at_seconds(1.5), controller_.cache_generation());
   EXPECT_TRUE(has_authority_at(2));
 }
 
@@ -67,9 +67,9 @@
 TEST_F(AuthorityTest, CacheReplacedDuringARenewalGivesNoAuthority) {
   const std::uint64_t generation = controller_.cache_generation();
   controller_.cache_replaced();
-  controller_.lease_renewed(at_seconds(0), generation);
+  controller_.record_lease_renewed(at_seconds(0), generation);
   EXPECT_FALSE(has_authority_at(1));
-  controller_.lease_renewed(at_seconds(0), controller_.cache_generation());
+  controller_.record_lease_renewed(at_seconds(0), controller_.cache_generation());
   EXPECT_TRUE(has_authority_at(1));
 }
 
--- a/tests/job_test.cpp
+++ b/tests/job_test.cpp
@@ -65,23 +65,23 @@
   EXPECT_TRUE(job.cancelled_on_record());
 }
 
-TEST(Job, PiecesStartFromTheUndividedChunk) {
+TEST(Job, PiecesStartFromTheUnsplitChunk) {
   Job job(record(), Version(1), Time{});
   job.replace_chunk(1, chunk(50, {0, 41}, {142}), Time{});
   job.update_record(record(40), Version(3));
-  ASSERT_TRUE(job.needs_dividing());
-  job.divide();
-  EXPECT_FALSE(job.needs_dividing());
+  ASSERT_TRUE(job.has_pending_split());
+  job.split_chunks();
+  EXPECT_FALSE(job.has_pending_split());
   EXPECT_EQ(job.chunks.size(), 5u);
-  EXPECT_EQ(job.whole.size(), 2u);
+  EXPECT_EQ(job.unsplit_chunks.size(), 2u);
   EXPECT_EQ(job.done, 0u);
-  const ChunkRecord last = job.piece_of_whole(4);  // tasks 140 to 149
+  const ChunkRecord last = job.piece_of_unsplit_chunk(4);  // tasks 140 to 149
   EXPECT_EQ(last.done_count(), 1u);
   EXPECT_TRUE(last.done[1]);
   EXPECT_TRUE(last.assigned.contains(142));
 }
 
-TEST(Job, TaskRecordKeysIncludePiecesAndUndividedChunks) {
+TEST(Job, TaskRecordKeysIncludePiecesAndUnsplitChunks) {
   const Job job(record(40), Version(1), Time{});
   const auto keys = job.task_record_keys();
   ASSERT_EQ(keys.size(), 7u);
--- a/tests/leadership_test.cpp
+++ b/tests/leadership_test.cpp
@@ -9,7 +9,7 @@
  protected:
   LeadershipTest() {
     authority_.begin_incarnation(self_, start_);
-    authority_.lease_acquired(start_);
+    authority_.record_lease_acquired(start_);
   }
   void store_leader(const protocol::ControllerIncarnation& leader) {
     const base::Version version(++last_version_);
--- a/tests/membership_proposals_test.cpp
+++ b/tests/membership_proposals_test.cpp
@@ -10,7 +10,7 @@
   MembershipProposalsTest() {
     settings_.tuning.member_ttl = base::Seconds(100);
     authority_.begin_incarnation(self_, start_);
-    authority_.lease_acquired(start_);
+    authority_.record_lease_acquired(start_);
   }
   void store(const std::string& key, const protocol::Json& value) {
     cache_.apply({key, value, base::Version(++last_version_)}, start_);
--- a/tests/ownership_transfers_test.cpp
+++ b/tests/ownership_transfers_test.cpp
@@ -30,7 +30,7 @@
     ASSERT_TRUE(peers_.update(status, at(seconds)));
   }
   NewOwners due(const MemberReport& own, double seconds) {
-    return transfers_.due(
+    return transfers_.due_transfers(
         own, [this](const MachineId& id) { return released_.contains(id); }, at(seconds));
   }
   base::Time at(double seconds) const { return base::after(start_, base::Seconds(seconds)); }
--- a/tests/record_layout_test.cpp
+++ b/tests/record_layout_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Returns a job of 150 tasks in chunks of 100, which are divided into pieces if `piece_size` is not
+// Returns a job of 150 tasks in chunks of 100, which are split into pieces if `piece_size` is not
 // 0.
 JobRecord job_of_two_chunks(TaskNumber piece_size) {
   JobRecord job;
@@ -19,10 +19,10 @@
 
 }  // namespace
 
-TEST(RecordLayout, UndividedRecordsAreTheChunks) {
+TEST(RecordLayout, UnsplitRecordsAreTheChunks) {
   const JobRecord job = job_of_two_chunks(0);
   const RecordLayout layout(job);
-  EXPECT_FALSE(layout.is_divided());
+  EXPECT_FALSE(layout.is_split());
   EXPECT_EQ(layout.record_count(), 2u);
   EXPECT_EQ(layout.chunk_count(), 2u);
   EXPECT_EQ(layout.tasks_of_record(0), (TaskRange{0, 100}));
@@ -33,7 +33,7 @@
 TEST(RecordLayout, PiecesDoNotCrossChunks) {
   const JobRecord job = job_of_two_chunks(40);  // pieces of 40 + 40 + 20 and 40 + 10 tasks
   const RecordLayout layout(job);
-  EXPECT_TRUE(layout.is_divided());
+  EXPECT_TRUE(layout.is_split());
   EXPECT_EQ(layout.record_count(), 5u);
   EXPECT_EQ(layout.tasks_of_record(2), (TaskRange{80, 20}));
   EXPECT_EQ(layout.tasks_of_record(3), (TaskRange{100, 40}));
--- a/tests/simulation/controller_loops.cpp
+++ b/tests/simulation/controller_loops.cpp
@@ -4,7 +4,7 @@
 
 namespace saddleslip::testing {
 
-using Outcome = protocol::StateClient::Outcome;
+using CommitOutcome = protocol::StateClient::CommitOutcome;
 using protocol::Json;
 
 namespace {
@@ -65,9 +65,9 @@
     return;
   }
   controller.set_time_of_day(clock_.now(), clock_.wall_seconds());
-  controller.lease_acquired(clock_.now());
+  controller.record_lease_acquired(clock_.now());
   const std::uint64_t cache_generation = controller.cache_generation();
-  if (catch_up(controller_index)) controller.lease_renewed(clock_.now(), cache_generation);
+  if (catch_up(controller_index)) controller.record_lease_renewed(clock_.now(), cache_generation);
   propose_claims_and_membership(controller_index);
 }
 
@@ -80,7 +80,7 @@
       clock_.now());
   const auto transaction = controller.member_record(*process.lease, false);
   const auto result = commit(controller_index, transaction);
-  if (result.outcome != Outcome::kDone) {
+  if (result.outcome != CommitOutcome::kDone) {
     controller.end_incarnation();
     process.lease.reset();
     return false;
@@ -97,7 +97,7 @@
   const auto transaction = controller.propose_membership_change(clock_.now(), *process.lease);
   if (!transaction) return;
   const auto result = commit(controller_index, *transaction);
-  if (result.outcome != Outcome::kDone) return;
+  if (result.outcome != CommitOutcome::kDone) return;
   controller.cache().apply(*transaction, result.revision, clock_.now());
   controller.install_view(clock_.now());
   process.is_renewal_due = true;
@@ -168,15 +168,15 @@
   bool is_committed = false;
   if (!plan.empty()) {
     const auto result = commit(controller_index, plan.transaction);
-    is_committed = result.outcome == Outcome::kDone;
+    is_committed = result.outcome == CommitOutcome::kDone;
     if (is_committed) {
       send_commands(
           controller_index,
           controller.apply_committed_plan(plan, base::Version(result.revision.get()), clock_.now()),
           observer);
-    } else if (result.outcome == Outcome::kConflict) {
+    } else if (result.outcome == CommitOutcome::kConflict) {
       refresh_records(controller_index, result.failed);
-    } else if (result.outcome == Outcome::kUnknown) {
+    } else if (result.outcome == CommitOutcome::kUnknown) {
       std::vector<std::string> keys;
       for (const protocol::Write& write : plan.transaction.writes) keys.push_back(write.key);
       refresh_records(controller_index, keys);
@@ -212,7 +212,7 @@
         controller.collect_garbage()}) {
     if (!transaction) continue;
     const auto result = commit(controller_index, *transaction);
-    if (result.outcome != Outcome::kDone) continue;
+    if (result.outcome != CommitOutcome::kDone) continue;
     controller.cache().apply(*transaction, result.revision, clock_.now());
     process.is_round_due = true;
   }
--- a/tests/simulation/controller_store_access.cpp
+++ b/tests/simulation/controller_store_access.cpp
@@ -8,7 +8,7 @@
 namespace saddleslip::testing {
 
 using protocol::StateClient;
-using Outcome = StateClient::Outcome;
+using CommitOutcome = StateClient::CommitOutcome;
 
 namespace {
 
@@ -83,11 +83,11 @@
     std::size_t controller_index, const protocol::Transaction& transaction) {
   StateClient::CommitResult result;
   if (runs_previous_version(controller_index) && writes_format_record(transaction)) {
-    result.outcome = Outcome::kConflict;
+    result.outcome = CommitOutcome::kConflict;
     return result;
   }
   if (!state_.is_reachable_from(controller_index)) {
-    result.outcome = Outcome::kRefused;
+    result.outcome = CommitOutcome::kRefused;
     return result;
   }
   if (state_.take_delayed_commit(controller_index, transaction)) return result;
--- a/tests/simulation/simulated_state_service.cpp
+++ b/tests/simulation/simulated_state_service.cpp
@@ -43,11 +43,11 @@
     if ((record ? record->version : 0) != version.get()) result.failed.push_back(key);
   }
   result.revision = base::Revision(revision_);
-  result.outcome = StateClient::Outcome::kConflict;
+  result.outcome = StateClient::CommitOutcome::kConflict;
   if (!result.failed.empty()) return result;
   for (const auto& entry : transaction.writes) {
     if (entry.lease && !leases_.contains(entry.lease->get())) {
-      result.outcome = StateClient::Outcome::kMalformed;
+      result.outcome = StateClient::CommitOutcome::kMalformed;
       return result;
     }
   }
@@ -55,7 +55,7 @@
   for (const auto& entry : transaction.writes)
     write(entry.key, entry.value ? *entry.value : Json(), entry.lease ? entry.lease->get() : 0);
   result.revision = base::Revision(revision_);
-  result.outcome = StateClient::Outcome::kDone;
+  result.outcome = StateClient::CommitOutcome::kDone;
   return result;
 }
 
--- a/tests/state_cache_test.cpp
+++ b/tests/state_cache_test.cpp
@@ -145,12 +145,12 @@
 
 namespace {
 
-// Returns the record of a job with 150 tasks in chunks of 100, which are divided into pieces of 40
-// if `divided` is set.
-Item large_job(bool divided, std::uint64_t version) {
+// Returns the record of a job with 150 tasks in chunks of 100, which are split into pieces of 40
+// if `split` is set.
+Item large_job(bool split, std::uint64_t version) {
   protocol::JobRecord record = job("run-000077", 150);
   record.chunk_size = 100;
-  record.piece_size = divided ? 40 : 0;
+  record.piece_size = split ? 40 : 0;
   return item(record, version);
 }
 
@@ -171,7 +171,7 @@
 
 }  // namespace
 
-TEST(StateCache, DividedChunkIsReadFromItsPieces) {
+TEST(StateCache, SplitChunkIsReadFromItsPieces) {
   base::Settings settings;
   StateCache cache(settings);
   const JobId id("run-000077");
@@ -191,8 +191,8 @@
   EXPECT_EQ(job->chunks[1].record.next_attempt, base::Attempt(5));
   EXPECT_EQ(job->chunks[4].record.next_attempt, base::Attempt(6));
   EXPECT_EQ(cache.assignments_on(MachineId("i-40")).size(), 1u);
-  // The piece now has its own record. The other pieces are still derived from the record of their
-  // chunk.
+  // The piece now has its own record. The other pieces are still taken from the record of their
+  // unsplit chunk.
   cache.apply(tasks_record(protocol::piece_record_key(id, 1), 40, 40, 7, {}, 5), Time{});
   EXPECT_TRUE(cache.assignments_on(MachineId("i-40")).empty());
   cache.apply(tasks_record(protocol::chunk_record_key(id, 0), 0, 100, 5, {40}, 6), Time{});
@@ -206,9 +206,9 @@
   EXPECT_TRUE(cache.assignments_by_machine().empty());
 }
 
-// A full read is done page by page. If a chunk is divided meanwhile, the records of its pieces must
+// A full read is done page by page. If a chunk is split meanwhile, the records of its pieces must
 // not be lost.
-TEST(StateCache, PieceReadBeforeItsChunkIsDividedIsAppliedAgain) {
+TEST(StateCache, PieceReadBeforeItsChunkIsSplitIsAppliedAgain) {
   base::Settings settings;
   StateCache cache(settings);
   const JobId id("run-000077");
--- a/tests/user_api_test.cpp
+++ b/tests/user_api_test.cpp
@@ -75,7 +75,7 @@
   StateClient::CommitResult commit(const protocol::Transaction& transaction) {
     StateClient::CommitResult result;
     if (!is_store_available_) {
-      result.outcome = StateClient::Outcome::kRefused;
+      result.outcome = StateClient::CommitOutcome::kRefused;
       return result;
     }
     EXPECT_LE(transaction.writes.size(), settings_.max_transaction_writes);
@@ -84,11 +84,11 @@
     for (const auto& write : transaction.writes)
       EXPECT_LE(write.value->dump().size(), settings_.value_bytes);
     if (remaining_commits_ == 0) {
-      result.outcome = StateClient::Outcome::kUnknown;
+      result.outcome = StateClient::CommitOutcome::kUnknown;
       return result;
     }
     --remaining_commits_;
-    result.outcome = StateClient::Outcome::kDone;
+    result.outcome = StateClient::CommitOutcome::kDone;
     result.revision = base::Revision(++revision_);
     for (const auto& write : transaction.writes) {
       store_[write.key] = write.value.value_or(Json());
