--- a/src/coordination/fleet/demand_estimator.cpp
+++ b/src/coordination/fleet/demand_estimator.cpp
@@ -13,7 +13,8 @@
 namespace {
 
 constexpr double kRunTimeMargin = 1.2;  // factor on the estimated run time
-constexpr double kBootMargin = 1.5;     // factor on the usual boot time
+// Boots take up to this factor times the usual boot time.
+constexpr double kBootMargin = 1.5;
 // Factor on the run time of tasks that run one after another on the same cores.
 constexpr double kWaveMargin = 1.3;
 // The maximum number of tasks planned to run one after another on the same cores.
--- a/src/coordination/fleet/service_arrivals.cpp
+++ b/src/coordination/fleet/service_arrivals.cpp
@@ -11,8 +11,9 @@
 constexpr Seconds kMinArrivalSpan{30.0};  // over a shorter time the rate would be mostly chance
 // Jobs first seen until this long after counting started were already there and are no arrivals.
 constexpr Seconds kInitialJobsMargin{2.0};
-constexpr double kBootMargin = 1.5;  // factor on the usual boot time
-constexpr int kExpectedTier = 100;   // packed after all waiting tasks
+// Boots take up to this factor times the usual boot time.
+constexpr double kBootMargin = 1.5;
+constexpr int kExpectedTier = 100;  // packed after all waiting tasks
 
 }  // namespace
 
--- a/src/protocol/peer_status.h
+++ b/src/protocol/peer_status.h
@@ -48,8 +48,7 @@
 
 // The status that a member sends to a peer: the machines that changed between two revisions, which
 // count the changes of the sender's machines. It is sent as a delta, since sending the full status
-// of hundreds of machines each time cost more processor time than everything else that a controller
-// does.
+// of hundreds of machines each time cost more than everything else that a controller does.
 struct MemberStatus {
   ControllerIncarnation from;
   bool has_lease = false;  // its lease in the state service was renewed recently
--- a/src/protocol/task_records.cpp
+++ b/src/protocol/task_records.cpp
@@ -19,7 +19,8 @@
 constexpr std::size_t kAssignmentPunctuationBytes = 9;  // brackets, commas and quotes
 constexpr std::size_t kDoneRunPunctuationBytes = 4;     // brackets and commas
 constexpr std::size_t kOffsetDigits = 3;  // maximum for an offset or a number of tasks
-// An estimate that is used only to choose the chunk size.
+// An estimate that is used only to choose the chunk size. When a record is written, the bytes of
+// its actual assignments are counted instead.
 constexpr std::size_t kExpectedAssignmentBytes = 36;
 
 // Returns the number of decimal digits of `number`.
--- a/src/protocol/worker_client.h
+++ b/src/protocol/worker_client.h
@@ -42,8 +42,8 @@
     std::uint64_t last_use_number = 0;  // value of use_count_ at the last use
   };
   // Returns the connection to the agent, or a null pointer if the address is malformed. As there
-  // are more agents than sockets, a new connection replaces the least recently used one at the
-  // limit.
+  // are thousands of agents and fewer sockets, a new connection replaces the least recently used
+  // one at the limit.
   std::shared_ptr<transport::HttpClient> connection(const std::string& address);
 
   const std::size_t max_connections_;
--- a/src/storage/state_cache.h
+++ b/src/storage/state_cache.h
@@ -76,7 +76,8 @@
 
   // Returns the dependencies between unfinished jobs.
   const DependencyGraph& dependency_graph() const { return dependency_graph_; }
-  // Returns how often the last open dependency of a waiting job was resolved.
+  // Returns how often a waiting job was unblocked: its last open dependency was done, or its
+  // dependency lists were read completely and all dependencies in them were done.
   std::uint64_t jobs_unblocked() const { return jobs_unblocked_; }
   // Returns the jobs that others wait for and of which neither a record nor a final state is known
   // here. Their final states, which may be old, must be read from the state service.
