--- a/src/daemon/write_rate_limiter.cpp
+++ b/src/daemon/write_rate_limiter.cpp
@@ -11,7 +11,7 @@
 
 // Token amounts, given as the time in which they are refilled.
 constexpr Seconds kBucketCapacity{1.0};
-constexpr Seconds kMaxDebt{0.4};
+constexpr Seconds kMaxDebt{0.4};           // beyond this debt, even urgent writes must wait
 constexpr Seconds kSurplusThreshold{0.6};  // above this, deferrable records are written too
 
 }  // namespace
--- a/src/transport/http_client.h
+++ b/src/transport/http_client.h
@@ -18,7 +18,7 @@
 // only after kNotSent.
 enum class Delivery {
   kNotSent,   // not delivered, because there was no connection
-  kUnknown,   // the response is incomplete, and the server may execute the request even later
+  kUnknown,   // no complete response; the request may have been executed, or still may be
   kAnswered,  // delivered, and the server responded
 };
 
--- a/tests/simulation/command_channel.h
+++ b/tests/simulation/command_channel.h
@@ -25,7 +25,8 @@
   void hold_for(double seconds) { hold_until_ = clock_.seconds() + seconds; }
   // Sets whether every batch that is sent is lost.
   void set_dropping(bool dropping) { dropping_ = dropping; }
-  // Sets whether every delivered batch is delivered a second time, 20 seconds later.
+  // Sets whether every batch that is delivered at once is delivered a second time, 20 seconds
+  // later. Batches that were queued before their delivery are not repeated.
   void set_duplicating(bool duplicating) { duplicating_ = duplicating; }
 
   // Delivers a batch now, unless commands are held back or lost, a link is cut or the machine
