--- a/src/coordination/membership/authority_lease.cpp
+++ b/src/coordination/membership/authority_lease.cpp
@@ -43,7 +43,7 @@
          installed_view == cache_.version(protocol::kViewKey) && has_member(*cache_.view(), self_);
 }
 
-// Returns when a lease expires at the latest that was acquired or renewed by a call sent at
+// Returns until when a lease is certainly valid that was acquired or renewed by a call sent at
 // `sent_at`. The TTL counts from the sending of the call and is shortened, since this clock may run
 // slower than the state service's. The state service extends all leases after an outage of its own,
 // but this is not relied upon.
--- a/src/coordination/scheduling/offer_router.h
+++ b/src/coordination/scheduling/offer_router.h
@@ -1,8 +1,9 @@
 // Routing: decides which controller is offered which waiting tasks. A job's home controller splits
 // the job's waiting tasks among the controllers' partitions of machines by their free capacity. A
-// task that still waits when its offer expires is offered again, possibly to another partition. A
-// task that was offered to two controllers is started only once, since a start commits only if the
-// task's record in the state service still has the expected version.
+// task that still waits a little more than one scheduling round after its offer is offered again,
+// to another partition if one has capacity; the earlier offer may still be in a controller's pool.
+// A task that was offered to two controllers is started only once, since a start commits only if
+// the task's record in the state service still has the expected version.
 #pragma once
 
 #include <cstddef>
@@ -35,8 +36,8 @@
 };
 
 // Routes waiting tasks and records when each task was offered, so that a task is not offered again
-// before its offer has expired. The current time is passed as an argument. Not safe for use from
-// several threads at once.
+// in every round. The current time is passed as an argument. Not safe for use from several threads
+// at once.
 class OfferRouter {
  public:
   // All references must outlive the router.
--- a/src/coordination/scheduling/scheduling_round.cpp
+++ b/src/coordination/scheduling/scheduling_round.cpp
@@ -151,7 +151,8 @@
   for (const auto& chunk : waiting_job.job->chunks) {
     for (const auto& [task, assignment] : chunk.record.assigned) {
       const std::string zone = zone_of(assignment.machine);
-      // The zone is empty if this controller does not know the machine's zone yet.
+      // The zone is empty if this controller does not know the machine's zone yet. The job then
+      // waits, since its zone constraint cannot be checked.
       if (zone.empty()) waiting_job.zones_known = false;
       ++waiting_job.zones[zone];
     }
