--- a/src/coordination/membership/ownership_transfers.h
+++ b/src/coordination/membership/ownership_transfers.h
@@ -20,7 +20,9 @@
 struct MemberReport {
   std::vector<base::MachineId> claims;  // machines of other members that it claims
   protocol::WorkerContact worker_contact = protocol::WorkerContact::kUnknown;
-  std::vector<base::MachineId> silent;  // its own machines whose heartbeats are overdue
+  // The machines it owns whose heartbeats are overdue, or that have recorded assignments but have
+  // never sent a heartbeat to it.
+  std::vector<base::MachineId> silent;
 };
 
 // Collects claims and lost contacts, and decides when to transfer machines to new owners.
--- a/src/coordination/scheduling/offer_router.cpp
+++ b/src/coordination/scheduling/offer_router.cpp
@@ -27,8 +27,9 @@
 // next partition is tried. A reservation takes longer to free capacity than preemption does.
 constexpr std::size_t kPreemptionOffersPerPartition = 2;
 constexpr std::size_t kReservationOffersPerPartition = 40;
-// A task that still waits is offered again after this many scheduling rounds.
-constexpr double kOfferLifetimeRounds = 1.2;
+// A task that still waits may be offered again after this many scheduling rounds. The earlier offer
+// stays in the pool of the controller that received it for longer.
+constexpr double kReofferIntervalRounds = 1.2;
 // A job that may preempt others offers up to this many tasks in one routing pass even if fewer fit
 // into free capacity.
 constexpr std::size_t kMinTasksOffered = 8;
@@ -94,7 +95,7 @@
 }
 
 void OfferRouter::expire(Time now) {
-  const Seconds lifetime = settings_.tuning.round_period * kOfferLifetimeRounds;
+  const Seconds lifetime = settings_.tuning.round_period * kReofferIntervalRounds;
   if (base::between(expired_at_, now) <= lifetime) return;
   expired_at_ = now;
   std::erase_if(offered_at_,
@@ -106,8 +107,8 @@
 
 bool OfferRouter::is_offered(const TaskId& task, Time now) const {
   const auto offer = offered_at_.find(task);
-  return offer != offered_at_.end() &&
-         base::between(offer->second, now) <= settings_.tuning.round_period * kOfferLifetimeRounds;
+  return offer != offered_at_.end() && base::between(offer->second, now) <=
+                                           settings_.tuning.round_period * kReofferIntervalRounds;
 }
 
 std::vector<const Job*> OfferRouter::jobs_to_route(const protocol::ControllerIncarnation& self,
