--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -16,14 +16,15 @@
 using protocol::Json;
 using protocol::Transaction;
 using transport::Reply;
-using Outcome = protocol::StateClient::Outcome;
+using CommitOutcome = protocol::StateClient::CommitOutcome;
 
 namespace {
 
 constexpr const char* kStateServiceSilent = "the state service does not answer";
 constexpr int kRetryAfterSeconds = 1;
-// The most final states that one submission reads from the store. A submission that needs more gets
-// 503; when it is repeated, the final states read before are in the cache and others are read.
+// The most final states that one submission reads from the state service. A submission that needs
+// more gets 503; when it is repeated, the final states read before are in the cache and others are
+// read.
 constexpr std::size_t kMaxFinalStateReadsPerSubmission = 64;
 // Attempts to commit a cancellation before the reply asks the user to retry.
 constexpr int kMaxCancelAttempts = 3;
@@ -91,7 +92,7 @@
   // Another controller may have reported a newer state than this cache holds, so a state that is
   // not final is reported only after a read barrier. A live job's record is only ever replaced by a
   // final state: a job that the cache lacks after the barrier either has its final state in the
-  // store or was never accepted.
+  // state service or was never accepted.
   if (!store_.read_barrier()) return {};
   // A job is cancelled if any of its dependencies is. Another controller may have reported that
   // already, so this one must read the dependencies' final states before it reports "queued".
@@ -140,7 +141,8 @@
 }
 
 UserApi::DependencyLookup UserApi::look_up_dependencies(const protocol::JobSpec& spec) {
-  // Every job in the cache was accepted. Only the store shows that a job was never accepted.
+  // Every job in the cache was accepted. Only the state service shows that a job was never
+  // accepted.
   if (!dependencies_missing_from_cache(spec).empty()) {
     if (!store_.read_barrier()) return {Acceptance::kUnknown, {}, false};
     const std::vector<JobId> unknown = dependencies_missing_from_cache(spec);
@@ -217,7 +219,7 @@
   transaction.preconditions[key] = version;
   transaction.writes.push_back({key, value, {}});
   const auto commit_result = store_.commit(transaction);
-  if (commit_result.outcome != Outcome::kDone) return {};
+  if (commit_result.outcome != CommitOutcome::kDone) return {};
   // The version of a key is the revision of the commit that last wrote it.
   return Version(commit_result.revision.get());
 }
@@ -227,7 +229,7 @@
   if (!version) return {};
   for (const Transaction& transaction :
        coordination::dependency_list_writes(record, *version, settings_)) {
-    if (store_.commit(transaction).outcome != Outcome::kDone) return {};
+    if (store_.commit(transaction).outcome != CommitOutcome::kDone) return {};
   }
   return version;
 }
@@ -242,10 +244,10 @@
   }
   const Transaction transaction = coordination::acceptance_transaction(record, manifest_version);
   const auto commit_result = store_.commit(transaction);
-  if (commit_result.outcome == Outcome::kRefused) {
+  if (commit_result.outcome == CommitOutcome::kRefused) {
     return retry_later_reply("the state service is over its limit or out of service");
   }
-  if (commit_result.outcome != Outcome::kDone) {
+  if (commit_result.outcome != CommitOutcome::kDone) {
     // The job was accepted before, or this commit has succeeded although its response was lost.
     const LookupResult result = look_up_job(id);
     if (result.acceptance != Acceptance::kAccepted) {
@@ -289,8 +291,9 @@
   const Transaction transaction =
       coordination::cancellation_transaction(*record, response.item.version);
   const auto commit_result = store_.commit(transaction);
-  if (commit_result.outcome == Outcome::kRefused) return retry_later_reply(kStateServiceSilent);
-  if (commit_result.outcome != Outcome::kDone) return {};
+  if (commit_result.outcome == CommitOutcome::kRefused)
+    return retry_later_reply(kStateServiceSilent);
+  if (commit_result.outcome != CommitOutcome::kDone) return {};
   with_lock([&](Controller& controller) {
     controller.cache().apply(transaction, commit_result.revision, now);
   });
--- a/src/coordination/membership/authority_lease.cpp
+++ b/src/coordination/membership/authority_lease.cpp
@@ -22,11 +22,11 @@
   lease_valid_until_ = base::Time{};
 }
 
-void AuthorityLease::lease_acquired(base::Time sent_at) {
+void AuthorityLease::record_lease_acquired(base::Time sent_at) {
   lease_valid_until_ = std::max(lease_valid_until_, valid_until(sent_at));
 }
 
-void AuthorityLease::lease_renewed(base::Time sent_at, std::uint64_t cache_generation) {
+void AuthorityLease::record_lease_renewed(base::Time sent_at, std::uint64_t cache_generation) {
   if (cache_generation != cache_generation_) return;
   authority_valid_until_ = valid_until(sent_at);
   verified_view_ = cache_.version(protocol::kViewKey);
@@ -43,10 +43,10 @@
          installed_view == cache_.version(protocol::kViewKey) && has_member(*cache_.view(), self_);
 }
 
-// Returns when a lease expires at the latest that was acquired or renewed by a call sent at
+// Returns until when a lease is certainly valid that was acquired or renewed by a call sent at
 // `sent_at`. The TTL counts from the sending of the call and is shortened, since this clock may run
-// slower than the state service's. That the state service extends all leases after its own outage
-// is not relied upon.
+// slower than the state service's. The state service extends all leases after an outage of its own,
+// but this is not relied upon.
 base::Time AuthorityLease::valid_until(base::Time sent_at) const {
   return base::after(sent_at, settings_.tuning.member_ttl * (1.0 - base::kDrift));
 }
--- a/src/coordination/membership/ownership_transfers.h
+++ b/src/coordination/membership/ownership_transfers.h
@@ -20,7 +20,9 @@
 struct MemberReport {
   std::vector<base::MachineId> claims;  // machines of other members that it claims
   protocol::WorkerContact worker_contact = protocol::WorkerContact::kUnknown;
-  std::vector<base::MachineId> silent;  // its own machines whose heartbeats are overdue
+  // The machines it owns whose heartbeats are overdue, or that have recorded assignments but have
+  // never sent a heartbeat to it.
+  std::vector<base::MachineId> silent;
 };
 
 // Collects claims and lost contacts, and decides when to transfer machines to new owners.
@@ -42,8 +44,9 @@
   // all commands in flight, and a member that loses contact loses it to all its workers. So claims
   // are collected for a moment and then applied in one view. Transfers are due at once if there are
   // stored claims or if a member has reported that it lost contact.
-  NewOwners due(const MemberReport& own,
-                const std::function<bool(const base::MachineId&)>& is_released, base::Time now);
+  NewOwners due_transfers(const MemberReport& own,
+                          const std::function<bool(const base::MachineId&)>& is_released,
+                          base::Time now);
 
  private:
   // Returns the claims of all members, stored or reported.
--- a/src/coordination/scheduling/record_batch.h
+++ b/src/coordination/scheduling/record_batch.h
@@ -54,6 +54,8 @@
                               double time_of_day) const;
 
  private:
+  // Identifies a task record: it holds a chunk of a job's consecutive tasks, or a piece of a chunk
+  // if the job's chunks are split.
   struct ChunkId {
     base::JobId job;
     std::uint32_t chunk = 0;
@@ -72,8 +74,8 @@
   bool record_fits_start(const storage::Job& job, base::TaskNumber task,
                          const protocol::Assignment& assignment) const;
   std::set<base::JobId> finalized_jobs() const;
-  static void guard_whole_chunk(protocol::Transaction& transaction, const storage::Job& job,
-                                std::uint32_t piece);
+  static void guard_unsplit_chunk(protocol::Transaction& transaction, const storage::Job& job,
+                                  std::uint32_t piece);
   void add_serialization_keys(protocol::Transaction& transaction,
                               const protocol::ControllerIncarnation& self) const;
 
--- a/src/protocol/state_client.h
+++ b/src/protocol/state_client.h
@@ -23,7 +23,7 @@
   explicit StateClient(const base::Address& address, std::size_t max_changes_bytes = 8u << 20);
 
   // The outcome of a commit.
-  enum class Outcome {
+  enum class CommitOutcome {
     kDone,       // the transaction was committed
     kConflict,   // a precondition failed; nothing was written
     kRefused,    // rate limit exceeded or service unavailable; certainly not committed
@@ -32,7 +32,7 @@
   };
   // The result of a commit.
   struct CommitResult {
-    Outcome outcome = Outcome::kUnknown;
+    CommitOutcome outcome = CommitOutcome::kUnknown;
     Revision revision;                // set for kDone and kConflict
     std::vector<std::string> failed;  // keys whose preconditions failed
   };
@@ -64,7 +64,7 @@
   enum class RenewalOutcome { kYes, kGone, kUnknown };
   // Renews a lease for its time to live.
   RenewalOutcome renew_lease(LeaseId lease, Seconds timeout);
-  // Deletes a lease, and with it the keys under it. Whether it succeeded is not reported.
+  // Deletes a lease, and with it the keys attached to it. Whether it succeeded is not reported.
   void delete_lease(LeaseId lease, Seconds timeout);
 
   // The changes to the keys under a prefix after a revision.
--- a/src/storage/job.h
+++ b/src/storage/job.h
@@ -10,8 +10,8 @@
 
 namespace saddleslip::storage {
 
-// A task record as last read from the store. The version is 0 if the record does not exist in the
-// store.
+// The task record of a chunk of consecutive tasks, or of a piece of a chunk, as last read from the
+// state service. The version is 0 if the record does not exist there.
 struct Chunk {
   ChunkRecord record;
   Version version;
@@ -26,13 +26,13 @@
 
   // --- Cancellation and dependencies
 
-  // Returns whether the cancellation of this job, or of a job that it depends on, is in the store.
-  // Responses to users and writes to the store depend on this value.
+  // Returns whether the cancellation of this job, or of a job that it depends on, is in the state
+  // service. Responses to users and writes to the state service depend on this value.
   bool cancelled_on_record() const { return record.cancelled || dependency_cancelled; }
   // Returns whether the tasks of the job must stop and no more may start: it is cancelled in the
-  // store, or another controller announced its cancellation.
+  // state service, or another controller announced its cancellation.
   bool cancelled() const { return cancelled_on_record() || cancellation_announced; }
-  // Returns since when the tasks could have started, in seconds since the epoch.
+  // Returns the time from which the tasks could have started, in seconds since 1970.
   double startable_since() const { return std::max(record.submitted_at, unblocked_at); }
 
   // --- Tasks. A task number must be below the number of the job's tasks.
@@ -64,7 +64,7 @@
   TaskNumber chunk_size(std::size_t number) const {
     return record.tasks_of(static_cast<std::uint32_t>(number));
   }
-  // Returns the store keys of all task records that the job has or may have.
+  // Returns the keys in the state service of all task records that the job has or may have.
   std::vector<std::string> task_record_keys() const;
 
   // --- Modifications, only by the state cache
@@ -74,26 +74,26 @@
   void update_record(JobRecord newer, Version newer_version);
   // Replaces `chunks[number]` and updates the counts of completed and assigned tasks.
   void replace_chunk(std::size_t number, Chunk chunk, Time now);
-  // Returns whether the job's record divides the chunks into pieces and this has not been done here
-  // yet.
-  bool needs_dividing() const { return record.piece_size != 0 && whole.empty(); }
-  // Moves the chunks to `whole` and creates empty task records for their pieces.
-  // `piece_of_whole` returns the initial contents of each piece.
-  void divide();
+  // Returns whether the job's record says that the chunks are split into pieces and this has not
+  // been done here yet.
+  bool has_pending_split() const { return record.piece_size != 0 && unsplit_chunks.empty(); }
+  // Moves the chunks to `unsplit_chunks` and creates empty task records for their pieces.
+  // `piece_of_unsplit_chunk` returns the initial contents of each piece.
+  void split_chunks();
   // Returns the contents of a piece that has no record of its own, taken from the record of its
-  // undivided chunk. Requires divided chunks.
-  ChunkRecord piece_of_whole(std::uint32_t piece) const;
+  // unsplit chunk. Requires split chunks.
+  ChunkRecord piece_of_unsplit_chunk(std::uint32_t piece) const;
 
   // --- State
 
   JobRecord record;
-  Version version;  // version of the job's record in the store
+  Version version;  // version of the job's record in the state service
   // The task records in use: one for each chunk, or for each piece if the job's record says that
-  // the chunks are divided.
+  // the chunks are split.
   std::vector<Chunk> chunks;
-  // The records of the undivided chunks, or empty if the chunks are not divided. No task is started
+  // The records of the unsplit chunks, or empty if the chunks are not split. No task is started
   // from these records.
-  std::vector<Chunk> whole;
+  std::vector<Chunk> unsplit_chunks;
   // The number of completed tasks.
   TaskNumber done = 0;
   // The number of tasks assigned to machines.
@@ -103,12 +103,12 @@
   // Another controller has announced that the cancellation of this job is committed, and the watch
   // has not delivered it yet.
   bool cancellation_announced = false;
-  // A job that it depends on, directly or transitively, is cancelled in the store. This cancels the
-  // job regardless of its own record.
+  // A job that it depends on, directly or transitively, is cancelled in the state service. This
+  // cancels the job regardless of its own record.
   bool dependency_cancelled = false;
   // The job waits for its dependencies, so none of its tasks may start.
   bool blocked = false;
-  // When the last of its dependencies was done, in seconds since the epoch; 0 if not known.
+  // When the last of its dependencies was done, in seconds since 1970; 0 if not known.
   double unblocked_at = 0;
 };
 
--- a/tests/simulation/controller_store_access.cpp
+++ b/tests/simulation/controller_store_access.cpp
@@ -8,7 +8,7 @@
 namespace saddleslip::testing {
 
 using protocol::StateClient;
-using Outcome = StateClient::Outcome;
+using CommitOutcome = StateClient::CommitOutcome;
 
 namespace {
 
@@ -37,8 +37,9 @@
 }
 
 // Checks a transaction against the state service's limits. It is checked also if its preconditions
-// would fail, because the store rejects an oversized transaction on every retry. An upgraded
-// process must observe the limits that the store gets later (`next_state_limits`), too.
+// would fail, because the state service rejects an oversized transaction on every retry. An
+// upgraded process must observe the limits that the state service gets later (`next_state_limits`),
+// too.
 void SimulatedControllers::check_limits(std::size_t controller_index,
                                         const protocol::Transaction& transaction) const {
   const base::Settings& settings = processes_[controller_index].settings;
@@ -82,11 +83,11 @@
     std::size_t controller_index, const protocol::Transaction& transaction) {
   StateClient::CommitResult result;
   if (runs_previous_version(controller_index) && writes_format_record(transaction)) {
-    result.outcome = Outcome::kConflict;
+    result.outcome = CommitOutcome::kConflict;
     return result;
   }
   if (!state_.is_reachable_from(controller_index)) {
-    result.outcome = Outcome::kRefused;
+    result.outcome = CommitOutcome::kRefused;
     return result;
   }
   if (state_.take_delayed_commit(controller_index, transaction)) return result;
